--- a/crates/daemon/src/gateway/actor.rs
+++ b/crates/daemon/src/gateway/actor.rs
@@ -210,7 +210,7 @@
 
     pub(super) fn tick(&mut self, cx: CX![]) {
         let is_busy = self.dispatcher.open_requests() > 0
-            || self.batcher.sizes() != (0, 0)
+            || self.batcher.order_and_call_counts() != (0, 0)
             || !self.unready.is_empty()
             || self.permit_issuer.has_waiting()
             || !self.early.is_empty();
@@ -228,10 +228,12 @@
         self.carry_out(waiting, now);
         let late = self.batcher.expire(now);
         self.orders_finished(late, now);
-        let unstaffed = self.batcher.end_unstaffed(&self.dispatcher.instances);
+        let unstaffed = self
+            .batcher
+            .reject_orders_without_backend(&self.dispatcher.instances);
         self.orders_finished(unstaffed, now);
         let instances = &self.dispatcher.instances;
-        let too_late = self.batcher.end_late_by_rests(instances, now);
+        let too_late = self.batcher.reject_orders_delayed_by_rest(instances, now);
         self.orders_finished(too_late, now);
         self.choose_list_reader(now);
         self.tell_inputs_read(now);
@@ -274,7 +276,7 @@
             }
             GatewayEvent::CallerGone { number } => {
                 self.early.remove(number);
-                let actions = self.dispatcher.caller_gone(number, now);
+                let actions = self.dispatcher.caller_disconnected(number, now);
                 self.carry_out(actions, now);
                 self.close(number, "caller_gone", now);
             }
@@ -289,7 +291,7 @@
                 self.orders_finished(finished, now);
             }
             GatewayEvent::Probed { instance, answer } => self.probed(&instance, answer, now),
-            GatewayEvent::ResultsFreed { handles } => self.batcher.freed(&handles),
+            GatewayEvent::ResultsFreed { handles } => self.batcher.results_freed(&handles),
             GatewayEvent::Listed(read) => self.list_read(cx, read, now),
             GatewayEvent::ListFailed(why) => self.list_failed(&why),
             GatewayEvent::Surface { request, reply } => self.surface(cx, request, reply, now),
@@ -298,7 +300,7 @@
         self.ask_for_permits(now);
         self.free_results(now);
         // Orders of other nodes count too: a stop must not leave them behind.
-        let open = self.dispatcher.open_requests() + self.batcher.sizes().0;
+        let open = self.dispatcher.open_requests() + self.batcher.order_and_call_counts().0;
         let metrics = &self.setup.metrics;
         metrics.gateway_requests.set(open as i64);
         metrics.take_log_counts(&self.setup.log.counts());
@@ -336,7 +338,7 @@
         let actions = if is_refusing {
             self.dispatcher.refuse(number, &call, ResultCode::Stopping)
         } else {
-            self.dispatcher.arrive(number, call, now)
+            self.dispatcher.handle_request(number, call, now)
         };
         self.carry_out(actions, now);
     }
@@ -351,7 +353,9 @@
             since,
         } in due
         {
-            let actions = self.dispatcher.arrive_since(number, call, since, now);
+            let actions = self
+                .dispatcher
+                .handle_delayed_request(number, call, since, now);
             self.carry_out(actions, now);
         }
     }
--- a/crates/daemon/src/gateway/allowed.rs
+++ b/crates/daemon/src/gateway/allowed.rs
@@ -44,6 +44,6 @@
     /// Whether a shard has a back end that takes work and may do it for the request.
     pub fn has_makers(&self, shard: &Shard, instances: &InstanceTable) -> bool {
         let mut makers = instances.of_shard(shard);
-        makers.any(|one| one.takes_work() && self.has_zone(&one.listed.zone))
+        makers.any(|one| one.accepts_new_work() && self.has_zone(&one.listed.zone))
     }
 }
--- a/crates/daemon/src/gateway/batching.rs
+++ b/crates/daemon/src/gateway/batching.rs
@@ -275,7 +275,7 @@
     /// Gives an order that found no maker in its zone's shard to another shard. False where
     /// none is left.
     fn move_order(&mut self, owner: &NodeName, work: WorkId, now: Millis) -> bool {
-        if !self.works.is_owed_by(work, owner) || !self.dispatcher.knows_work(work) {
+        if !self.works.is_owed_by(work, owner) || !self.dispatcher.has_order(work) {
             return false;
         }
         let Some(phase) = self.works.movable_phase(work, now) else {
@@ -308,7 +308,7 @@
             Answered::MadeElsewhere { present } => self.cancel_at(present, work),
             Answered::Ended | Answered::Unknown => {}
         }
-        let is_wanted = answered != Answered::Unknown && self.dispatcher.knows_work(work);
+        let is_wanted = answered != Answered::Unknown && self.dispatcher.has_order(work);
         if !is_wanted {
             // Cancelled meanwhile.
             self.release_at(owner, result.unwrap_or_default());
--- a/crates/daemon/src/gateway/crashes.rs
+++ b/crates/daemon/src/gateway/crashes.rs
@@ -80,9 +80,9 @@
 
     /// Ends what waits here and is refused by now.
     fn end_quarantined(&mut self, now: Millis) {
-        let actions = self.dispatcher.end_quarantined(now);
+        let actions = self.dispatcher.reject_quarantined(now);
         self.carry_out(actions, now);
-        let finished = self.batcher.end_quarantined(&self.dispatcher.quarantine);
+        let finished = self.batcher.reject_quarantined(&self.dispatcher.quarantine);
         self.orders_finished(finished, now);
     }
 }
--- a/crates/daemon/src/gateway/following.rs
+++ b/crates/daemon/src/gateway/following.rs
@@ -70,12 +70,12 @@
         self.own_list.read_at = Some(now);
         self.own_list.calls = Some(read.calls);
         self.note_malformed(&read.malformed);
-        let listed = self.dispatcher.instances.followed();
+        let listed = self.dispatcher.instances.applied_list();
         let listed = listed.with_read(read.entries.iter().cloned());
         if let Some(relay) = &self.setup.relay {
             call!([relay], list_read(read.entries));
         }
-        self.dispatcher.take_listing(&listed, now);
+        self.dispatcher.apply_backend_list(&listed, now);
         self.place_waiting(now);
         self.choose_list_reader(now);
     }
@@ -191,7 +191,7 @@
             return;
         };
         self.listing_version = Some(listing.version);
-        self.dispatcher.take_listing(&listing.entries, now);
+        self.dispatcher.apply_backend_list(&listing.entries, now);
     }
 
     pub(super) fn follow_view(&mut self, now: Millis) {
@@ -253,7 +253,7 @@
             }
             if *owner == self.node {
                 let table = &self.dispatcher.instances;
-                self.batcher.take_over(shard, table, now);
+                self.batcher.take_over_shard(shard, table, now);
             }
             self.setup.log.record(LogEvent::BatchOwner {
                 service: shard.to_string(),
--- a/crates/daemon/src/gateway/frees.rs
+++ b/crates/daemon/src/gateway/frees.rs
@@ -82,7 +82,7 @@
 }
 
 fn fate_of(maker: &Instance, now: Millis) -> Fate {
-    if maker.said_it_leaves() || maker.is_limited() {
+    if maker.announced_shutdown() || maker.is_limited() {
         return Fate::Never;
     }
     match maker.is_resting(now) {
--- a/crates/daemon/src/gateway/versions.rs
+++ b/crates/daemon/src/gateway/versions.rs
@@ -19,7 +19,7 @@
         if self.rollouts_revision.replace(revision) == Some(revision) {
             return;
         }
-        self.dispatcher.take_rollouts(rollouts.all());
+        self.dispatcher.apply_rollouts(rollouts.all());
         self.batcher.rollouts.take(rollouts.all());
         self.renew_rollout_permit(now);
         self.tell_evidence(now);
--- a/crates/daemon/tests/allowed_places.rs
+++ b/crates/daemon/tests/allowed_places.rs
@@ -91,7 +91,7 @@
         cold: false,
         born: None,
     });
-    instances.replace(&listed);
+    instances.replace_list(&listed);
     let (topology, view) = (topology("n1"), view());
     let (own, regions) = (NodeName::from("node-n1"), only(regions));
     let places = AllowedPlaces {
--- a/crates/serving/examples/back_end_count.rs
+++ b/crates/serving/examples/back_end_count.rs
@@ -87,7 +87,7 @@
     let before = private_kilobytes();
     let held = whole.applied_to(None).expect("it is whole");
     let mut table = InstanceTable::new(DecisionLog::off());
-    table.follow(&held.entries);
+    table.apply_list(&held.entries);
     let memory = private_kilobytes().saturating_sub(before);
 
     let applied = microseconds(|| {
@@ -95,8 +95,8 @@
     });
     let changed = difference.applied_to(Some(&held)).expect("it fits");
     let taken_in = microseconds(|| {
-        table.follow(&changed.entries);
-        table.follow(&held.entries);
+        table.apply_list(&changed.entries);
+        table.apply_list(&held.entries);
     }) / 2.0;
     let choice = |affinity| {
         let request = SelectionRequest {
--- a/crates/serving/examples/batch_cost.rs
+++ b/crates/serving/examples/batch_cost.rs
@@ -77,7 +77,7 @@
     for waiting in [1, 100, 1_000] {
         let mut table = InstanceTable::new(DecisionLog::off());
         let listed = (0..MAKERS).map(maker);
-        table.replace(&listed.collect::<Vec<_>>());
+        table.replace_list(&listed.collect::<Vec<_>>());
         let mut batcher = Batcher::new(Policy::default(), DecisionLog::off());
         batcher.set_specs([("service".to_owned(), spec.clone())].into());
         // All makers are at work, and so many orders wait.
@@ -120,7 +120,7 @@
         zone: format!("zone-{}", number % 6),
         ..maker(number)
     });
-    table.replace(&listed.collect::<Vec<_>>());
+    table.replace_list(&listed.collect::<Vec<_>>());
     let mut batcher = Batcher::new(Policy::default(), DecisionLog::off());
     batcher.set_specs([("service".to_owned(), spec.clone())].into());
     let shard = Shard::in_zone("service", "zone-0");
@@ -154,7 +154,7 @@
             }
         }
         let released = batcher.take_releases();
-        batcher.freed(&released);
+        batcher.results_freed(&released);
     }
     let micros = began.elapsed().as_micros() as f64 / MESSAGES as f64;
     println!("{in_zone:>5} makers in the zone: {micros:8.1} us an order");
--- a/crates/serving/examples/returns.rs
+++ b/crates/serving/examples/returns.rs
@@ -12,7 +12,7 @@
 use silversail_model::Topology;
 use silversail_peer::ListedInstance;
 use silversail_serving::cold::ColdUse;
-use silversail_serving::instances::{InstanceTable, ReturnPolicy};
+use silversail_serving::instances::{InstanceTable, ResumePolicy};
 use silversail_serving::notices::{AnswerPath, BackendNotices};
 use silversail_serving::ports::{Pace, ReportedLoad, SelfReport};
 use silversail_serving::regions::{RegionAffinity, SharedPrompt};
@@ -46,7 +46,7 @@
 /// How nodes take what engines ask for.
 #[derive(Clone, Copy)]
 struct Way {
-    returns: ReturnPolicy,
+    returns: ResumePolicy,
     /// Whether a rest that one node was asked for counts at all of them.
     told_to_all: bool,
     /// Whether engines that turn a request away ask for rest.
@@ -114,8 +114,8 @@
             };
             let mut table = InstanceTable::with_notices(notices, DecisionLog::off());
             table.set_senders(own, names.clone());
-            table.set_returns(way.returns);
-            table.replace(&list);
+            table.set_resume_policy(way.returns);
+            table.replace_list(&list);
             table
         };
         Self {
@@ -174,7 +174,7 @@
             };
             let engine: usize = id[1..].parse().expect("a number");
             self.tally.sends += 1;
-            self.nodes[node].sent(&id, 1, now);
+            self.nodes[node].record_sent(&id, 1, now);
             if self.takes(engine, now) {
                 let work = -WORK_MS * (1.0 - self.random.gen::<f64>()).ln();
                 self.work(node, engine, work as u64 + 1, now);
@@ -232,9 +232,9 @@
             ..SelfReport::default()
         };
         table.notices().hear(&id, AnswerPath::Request, &said, now);
-        table.ended(&id, 1);
-        table.reported(&id, load, now);
-        table.full(&id, now);
+        table.record_ended(&id, 1);
+        table.record_load(&id, load, now);
+        table.record_full(&id, now);
     }
 
     fn end(&mut self, node: usize, engine: usize, arrived: u64, now: u64) {
@@ -247,9 +247,9 @@
         let table = &mut self.nodes[node];
         let said = SelfReport::default();
         table.notices().hear(&id, AnswerPath::Request, &said, now);
-        table.ended(&id, 1);
-        table.reported(&id, load, now);
-        table.answered(&id);
+        table.record_ended(&id, 1);
+        table.record_load(&id, load, now);
+        table.record_answer(&id);
         let took = now - arrived;
         self.tally.times.push(took);
         if took <= OBJECTIVE {
@@ -260,7 +260,7 @@
 
 const fn way(first_alone: bool, spread: f64, told_to_all: bool, asks: bool) -> Way {
     Way {
-        returns: ReturnPolicy {
+        returns: ResumePolicy {
             first_alone,
             spread,
         },
@@ -311,7 +311,7 @@
     sum.times.sort_unstable();
     let p90 = sum.times[sum.times.len() * 9 / 10];
     let asked = f64::from(sum.asked);
-    let ReturnPolicy {
+    let ResumePolicy {
         first_alone,
         spread,
     } = way.returns;
--- a/crates/serving/src/batcher.rs
+++ b/crates/serving/src/batcher.rs
@@ -219,7 +219,7 @@
 
     /// This node batches a shard from now on: what the results of the node before
     /// take at the makers is not known here.
-    pub fn take_over(&mut self, shard: &Shard, table: &InstanceTable, now: Millis) {
+    pub fn take_over_shard(&mut self, shard: &Shard, table: &InstanceTable, now: Millis) {
         let room = self.room_of(&shard.service);
         for maker in table.of_shard(shard) {
             let id = &maker.listed.id;
@@ -252,7 +252,7 @@
     }
 
     /// Makers said that they freed results.
-    pub fn freed(&mut self, handles: &[ResultHandle]) {
+    pub fn results_freed(&mut self, handles: &[ResultHandle]) {
         self.room.freed(handles);
     }
 
@@ -382,7 +382,7 @@
     }
 
     /// Orders that wait or are at work, and calls under way.
-    pub fn sizes(&self) -> (usize, usize) {
+    pub fn order_and_call_counts(&self) -> (usize, usize) {
         (self.orders.len(), self.calls.len())
     }
 }
--- a/crates/serving/src/batcher/makers.rs
+++ b/crates/serving/src/batcher/makers.rs
@@ -169,7 +169,7 @@
 
     /// Milliseconds until one of a shard's makers may get a call again; 0 where one may now.
     pub(super) fn refusing_ms(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> u32 {
-        let staying = table.of_shard(shard).filter(|one| one.takes_work());
+        let staying = table.of_shard(shard).filter(|one| one.accepts_new_work());
         let until = staying.map(|one| {
             let maker = self.makers.get(&one.listed.id);
             maker.map_or(0, |maker| maker.refused_until.saturating_sub(now))
@@ -181,8 +181,8 @@
     /// permit for it; 0 where there is one to which neither applies.
     pub(super) fn rest_ms(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> Millis {
         let mut first_back = None;
-        for maker in table.of_shard(shard).filter(|one| one.takes_work()) {
-            match maker.wait_left(now) {
+        for maker in table.of_shard(shard).filter(|one| one.accepts_new_work()) {
+            match maker.wait_ms(now) {
                 0 => return 0,
                 left => first_back = Some(first_back.map_or(left, |known: Millis| known.min(left))),
             }
@@ -220,7 +220,7 @@
         let usable = admitted().filter(|one| one.is_usable(now));
         let mut all: Vec<&str> = usable.map(|one| one.listed.id.as_str()).collect();
         if all.is_empty() {
-            let at_last = admitted().filter(|one| one.is_usable_at_last(now));
+            let at_last = admitted().filter(|one| one.is_usable_as_last_resort(now));
             all.extend(at_last.map(|one| one.listed.id.as_str()));
         }
         let quick = all.iter().copied().filter(|id| !self.is_slow(id, now));
@@ -243,7 +243,7 @@
         now: Millis,
     ) -> impl Iterator<Item = &'a str> {
         let lacking = table.of_shard(shard);
-        let lacking = lacking.filter(move |one| one.lacks_only_a_permit(now));
+        let lacking = lacking.filter(move |one| one.needs_only_permit(now));
         lacking.map(|one| one.listed.id.as_str())
     }
 
@@ -259,7 +259,7 @@
         if !table.notices().has_limits() {
             return 0.0;
         }
-        let limited = table.of_shard(shard).filter(|one| one.takes_work());
+        let limited = table.of_shard(shard).filter(|one| one.accepts_new_work());
         let rates = limited.filter_map(Instance::limit);
         let per_ms = rates.map(|rate| rate.requests_per_second() / 1_000.0);
         per_ms.map(|rate| rate.min(1.0 / call)).sum()
@@ -276,7 +276,7 @@
         let usable = table.of_shard(shard).filter(|one| {
             let id = &one.listed.id;
             versions.admits(one.role())
-                && one.takes_work()
+                && one.accepts_new_work()
                 && !one.is_resting(now)
                 && !one.is_limited()
                 && !self.has_failed(id)
--- a/crates/serving/src/batcher/outcomes.rs
+++ b/crates/serving/src/batcher/outcomes.rs
@@ -174,7 +174,7 @@
     }
 
     /// Ends the waiting orders of requests that `quarantine` refuses by now.
-    pub fn end_quarantined(&mut self, quarantine: &RequestQuarantine) -> Vec<FinishedOrder> {
+    pub fn reject_quarantined(&mut self, quarantine: &RequestQuarantine) -> Vec<FinishedOrder> {
         let orders = self.orders.iter().filter(|(_, order)| order.is_waiting());
         let refused = orders.filter(|(_, order)| quarantine.refuses(&order.work.fingerprint));
         let refused: Vec<OrderKey> = refused.map(|(key, _)| key.clone()).collect();
@@ -186,7 +186,11 @@
 
     /// Ends the waiting orders that no maker takes in time, as all of their shard rest: whoever
     /// gave them is told so at once.
-    pub fn end_late_by_rests(&mut self, table: &InstanceTable, now: Millis) -> Vec<FinishedOrder> {
+    pub fn reject_orders_delayed_by_rest(
+        &mut self,
+        table: &InstanceTable,
+        now: Millis,
+    ) -> Vec<FinishedOrder> {
         let rests = self.shards.keys().map(|shard| {
             let rest = self.makers.rest_ms(shard, table, now);
             (shard.clone(), rest)
@@ -208,7 +212,7 @@
     /// Ends the waiting orders of shards whose makers may get no work any more, as they leave
     /// or their zone is evacuated: whoever gave them can give them to another shard, or refuse
     /// at once. So do those that none of the shard's makers may make where they lie.
-    pub fn end_unstaffed(&mut self, table: &InstanceTable) -> Vec<FinishedOrder> {
+    pub fn reject_orders_without_backend(&mut self, table: &InstanceTable) -> Vec<FinishedOrder> {
         let any = RegionFilter::any();
         let is_unstaffed = |shard: &&Shard| !self.is_staffed(shard, &any, table);
         let unstaffed: BTreeSet<Shard> = self.shards.keys().filter(is_unstaffed).cloned().collect();
--- a/crates/serving/src/batcher/versions.rs
+++ b/crates/serving/src/batcher/versions.rs
@@ -91,7 +91,8 @@
     /// Whether the baseline's makers may have been stopped, as the rollout may have completed
     /// since this node last heard of it.
     fn may_be_stopped(&self, shard: &Shard, table: &InstanceTable) -> bool {
-        let is_ready = |one: &Instance| one.role() == VersionRole::Baseline && one.takes_work();
+        let is_ready =
+            |one: &Instance| one.role() == VersionRole::Baseline && one.accepts_new_work();
         !self.rollouts.is_permitted() && !table.of_shard(shard).any(is_ready)
     }
 
@@ -114,7 +115,7 @@
         let has_moved = self.rollouts.has_moved(&shard.service, BATCH_ROUTE);
         let takes_candidate = has_moved || self.may_be_stopped(shard, table);
         let may_get_calls = |one: &Instance| {
-            one.takes_work()
+            one.accepts_new_work()
                 && (takes_candidate || one.role() != VersionRole::Candidate)
                 && self.allows(regions, &one.listed.zone)
         };
--- a/crates/serving/src/dispatcher.rs
+++ b/crates/serving/src/dispatcher.rs
@@ -82,7 +82,7 @@
         log: DecisionLog,
     ) -> Self {
         let mut instances = InstanceTable::new(log.clone());
-        instances.set_returns(policy.returns);
+        instances.set_resume_policy(policy.returns);
         Self {
             routes: None,
             instances,
@@ -105,7 +105,7 @@
     /// reads answers writes there.
     pub fn with_notices(mut self, notices: BackendNotices) -> Self {
         self.instances = InstanceTable::with_notices(notices, self.log.clone());
-        self.instances.set_returns(self.policy.returns);
+        self.instances.set_resume_policy(self.policy.returns);
         self
     }
 
@@ -117,15 +117,15 @@
     }
 
     /// Takes a version of the list of back ends.
-    pub fn take_listing(&mut self, listed: &ListedInstances, now: Millis) {
-        if self.instances.follow(listed) {
+    pub fn apply_backend_list(&mut self, listed: &ListedInstances, now: Millis) {
+        if self.instances.apply_list(listed) {
             self.instances.hold_back_new_versions(now);
-            self.instances.forget_gone(now);
+            self.instances.forget_removed(now);
         }
     }
 
     /// Takes the latest rollout of each service.
-    pub fn take_rollouts<'a>(&mut self, rollouts: impl IntoIterator<Item = &'a Rollout>) {
+    pub fn apply_rollouts<'a>(&mut self, rollouts: impl IntoIterator<Item = &'a Rollout>) {
         self.rollouts.take(rollouts);
         let roles = self.rollouts.roles().clone();
         self.instances.set_version_roles(roles);
@@ -144,7 +144,7 @@
     }
 
     /// Whether an order of work belongs to a request under way.
-    pub fn knows_work(&self, work: WorkId) -> bool {
+    pub fn has_order(&self, work: WorkId) -> bool {
         self.works.contains_key(&work)
     }
 
@@ -175,13 +175,13 @@
     }
 
     /// A request arrived.
-    pub fn arrive(
+    pub fn handle_request(
         &mut self,
         number: RequestNumber,
         call: CallAttributes,
         now: Millis,
     ) -> Vec<Action> {
-        self.arrive_since(number, call, now, now)
+        self.handle_delayed_request(number, call, now, now)
     }
 
     /// The regions where requests of a host may be served, as far as they are known before a
@@ -199,7 +199,7 @@
     }
 
     /// A request that arrived at `since` and waited for a traffic configuration.
-    pub fn arrive_since(
+    pub fn handle_delayed_request(
         &mut self,
         number: RequestNumber,
         call: CallAttributes,
@@ -361,9 +361,9 @@
         request.head_at.get_or_insert(now);
         if let Some(present) = &request.present {
             if let Some(load) = load {
-                self.instances.reported(&present.instance, load, now);
+                self.instances.record_load(&present.instance, load, now);
             }
-            self.instances.answered(&present.instance);
+            self.instances.record_answer(&present.instance);
             if is_first && request.sends == 1 {
                 let after = now.saturating_sub(present.began_at);
                 let route = &request.routed.route.name;
@@ -403,13 +403,13 @@
     }
 
     /// The caller left.
-    pub fn caller_gone(&mut self, number: RequestNumber, now: Millis) -> Vec<Action> {
+    pub fn caller_disconnected(&mut self, number: RequestNumber, now: Millis) -> Vec<Action> {
         let Some(mut request) = self.requests.remove(&number) else {
             return Vec::new();
         };
         if let Some(present) = request.present.take() {
             let tokens = request.tokens();
-            self.instances.ended(&present.instance, tokens);
+            self.instances.record_ended(&present.instance, tokens);
         }
         self.log.record(Event::CallerGone {
             request: request.call.id.clone(),
@@ -422,7 +422,7 @@
     }
 
     /// Ends the requests that are refused by now, but for those that are at a back end.
-    pub fn end_quarantined(&mut self, now: Millis) -> Vec<Action> {
+    pub fn reject_quarantined(&mut self, now: Millis) -> Vec<Action> {
         let requests = self.requests.iter();
         let refused = requests.filter(|(_, request)| {
             request.present.is_none() && self.quarantine.refuses(&request.fingerprint)
--- a/crates/serving/src/dispatcher/limits.rs
+++ b/crates/serving/src/dispatcher/limits.rs
@@ -34,7 +34,7 @@
         }
         let utilization = chosen.utilization(now);
         let is_less_busy =
-            |one: &&Instance| one.lacks_only_a_permit(now) && one.utilization(now) <= utilization;
+            |one: &&Instance| one.needs_only_permit(now) && one.utilization(now) <= utilization;
         let lot = lot_of(&request.call.id, request.sends);
         let less_busy = self.engines_of(request).filter(is_less_busy);
         let preferred = less_busy.max_by_key(|one| rank(lot, &one.listed.id));
--- a/crates/serving/src/dispatcher/outcomes.rs
+++ b/crates/serving/src/dispatcher/outcomes.rs
@@ -24,15 +24,15 @@
         };
         let tokens = request.tokens();
         let broken = broke_off(outcome).then(|| request.break_off(&present));
-        self.instances.ended(&present.instance, tokens);
+        self.instances.record_ended(&present.instance, tokens);
         if let Some(load) = load {
-            self.instances.reported(&present.instance, load, now);
+            self.instances.record_load(&present.instance, load, now);
         }
         // Of a stream its head said so, seconds before its end.
         let is_whole_at_once = is_answer(outcome) && request.head_at.is_none();
         self.believe(&present.instance, outcome, now);
         if is_whole_at_once {
-            self.instances.answered(&present.instance);
+            self.instances.record_answer(&present.instance);
         }
         self.count_outcome(number, &present, outcome, now);
         let mut actions = match outcome {
@@ -52,21 +52,25 @@
         let instances = &mut self.instances;
         match outcome {
             SendOutcome::Delivered { is_whole: true, .. } | SendOutcome::Failed { .. } => {}
-            SendOutcome::Delivered { .. } => instances.failed(instance, now, "answer_broken"),
+            SendOutcome::Delivered { .. } => {
+                instances.record_failure(instance, now, "answer_broken")
+            }
             SendOutcome::NotRun(NotRunReason::Unreachable) => {
-                instances.failed(instance, now, "unreachable");
+                instances.record_failure(instance, now, "unreachable");
+            }
+            SendOutcome::NotRun(NotRunReason::Full) => instances.record_full(instance, now),
+            SendOutcome::NotRun(NotRunReason::Misplaced) => {
+                instances.record_address_mismatch(instance, now)
             }
-            SendOutcome::NotRun(NotRunReason::Full) => instances.full(instance, now),
-            SendOutcome::NotRun(NotRunReason::Misplaced) => instances.misplaced(instance, now),
             SendOutcome::NotRun(
                 NotRunReason::InputsGone | NotRunReason::Refused | NotRunReason::Withheld,
             ) => {}
             SendOutcome::Unknown(UnknownReason::Deadline) => {}
             SendOutcome::Unknown(UnknownReason::Broken) => {
-                instances.failed(instance, now, "broken");
+                instances.record_failure(instance, now, "broken");
             }
             SendOutcome::Unknown(UnknownReason::Garbled) => {
-                instances.failed(instance, now, "garbled");
+                instances.record_failure(instance, now, "garbled");
             }
         }
     }
--- a/crates/serving/src/dispatcher/rests.rs
+++ b/crates/serving/src/dispatcher/rests.rs
@@ -30,7 +30,7 @@
         let Some(request) = self.requests.get(&number) else {
             return Vec::new();
         };
-        let untried = |one: &Instance| !one.is_passed_over(now);
+        let untried = |one: &Instance| !one.is_ejected(now);
         let Some(first) = self.first_back(request, untried, now) else {
             let code = request.no_backend_code();
             return self.give_up(number, code, now);
@@ -78,7 +78,7 @@
         let back_in = back_at.saturating_sub(now);
         let told = (back_in <= LATEST_RETURN).then_some(back_in);
         let request = self.requests.get(&number);
-        let rests = |one: &Instance| one.is_resting(now) || one.is_first_awaited(now);
+        let rests = |one: &Instance| one.is_resting(now) || one.is_probe_pending(now);
         let code = match request.is_some_and(|request| self.engines_of(request).any(rests)) {
             true => ResultCode::BackendsResting,
             false => ResultCode::BackendsLimited,
@@ -104,7 +104,7 @@
         request: &'a ActiveRequest,
     ) -> impl Iterator<Item = &'a Instance> {
         let engines = self.instances.of_service(&request.routed.service);
-        engines.filter(|one| one.takes_work() && request.allows(one, &self.topology))
+        engines.filter(|one| one.accepts_new_work() && request.allows(one, &self.topology))
     }
 
     /// When the first engine of those considered is back that may have a request; none where one
@@ -131,8 +131,8 @@
         let mut first: Option<FirstBack<'a>> = None;
         let mut waits_help = false;
         for engine in self.engines_of(request).filter(|one| is_considered(one)) {
-            let at = engine.back_at(now)?;
-            let is_waiting = engine.is_resting(now) || engine.is_first_awaited(now);
+            let at = engine.available_at(now)?;
+            let is_waiting = engine.is_resting(now) || engine.is_probe_pending(now);
             waits_help |= is_waiting || engine.is_limited();
             let order = (at, rank(lot, &engine.listed.id));
             if first.as_ref().is_none_or(|known| order < known.order) {
@@ -148,7 +148,7 @@
             return true;
         }
         let at_rest = self.engines_of(request);
-        let at_rest = at_rest.filter(|one| one.back_at(now).is_some());
+        let at_rest = at_rest.filter(|one| one.available_at(now).is_some());
         let places: usize = at_rest.map(|one| one.listed.slots.max(1) as usize).sum();
         let others = self.requests.values().filter(|other| {
             other.waits_until.is_some() && other.routed.service == request.routed.service
--- a/crates/serving/src/dispatcher/sending.rs
+++ b/crates/serving/src/dispatcher/sending.rs
@@ -33,7 +33,7 @@
         let tokens = request.tokens();
         let route = &request.routed.route.name;
         let counted = self.rollouts.sent(&plan.service, route, role);
-        self.instances.sent(&plan.instance, tokens, now);
+        self.instances.record_sent(&plan.instance, tokens, now);
         if let Some(request) = self.requests.get_mut(&number) {
             request.sends += 1;
             request.waits_until = None;
@@ -118,7 +118,7 @@
         let is_ready = |one: &Instance| {
             let is_baseline = one.role() == VersionRole::Baseline;
             let is_allowed = request.allows(one, &self.topology);
-            is_baseline && is_allowed && one.takes_work() && !one.is_suspect(now)
+            is_baseline && is_allowed && one.accepts_new_work() && !one.is_suspect(now)
         };
         let mut engines = self.instances.of_service(&request.routed.service);
         request.unreached >= UNREACHED_OF_STOPPED || !engines.any(is_ready)
@@ -130,7 +130,7 @@
             |one: &Instance| !request.failed_at_candidate || one.role() != VersionRole::Candidate;
         let mut engines = self.instances.of_service(&request.routed.service);
         engines.any(|one| {
-            one.takes_work()
+            one.accepts_new_work()
                 && is_admitted(one)
                 && request.allows(one, &self.topology)
                 && !request.tried.contains(&one.listed.id)
--- a/crates/serving/src/instances.rs
+++ b/crates/serving/src/instances.rs
@@ -1,11 +1,11 @@
 //! The back ends and what this node believes of each.
 
-mod found;
 mod hashed_index;
 mod instance;
 mod list_news;
 mod listing;
-mod returns;
+mod lookup;
+mod resume;
 mod store;
 mod versions;
 
@@ -15,7 +15,7 @@
 use crate::rollouts::VersionRoles;
 use crate::Millis;
 pub use instance::Instance;
-pub use returns::ReturnPolicy;
+pub use resume::ResumePolicy;
 use silversail_decisions::{DecisionLog, Event};
 use silversail_model::traffic::ColdSpec;
 use silversail_peer::ListedInstances;
@@ -61,7 +61,7 @@
     known_versions: KnownVersions,
     cold_senders: ColdSenders,
     notices: BackendNotices,
-    returns: ReturnPolicy,
+    returns: ResumePolicy,
     own_node: String,
     log: DecisionLog,
 }
@@ -77,7 +77,7 @@
     pub fn with_notices(notices: BackendNotices, log: DecisionLog) -> Self {
         Self {
             notices,
-            returns: ReturnPolicy::default(),
+            returns: ResumePolicy::default(),
             own_node: String::new(),
             instances: InstanceStore::default(),
             followed: ListedInstances::default(),
@@ -98,7 +98,7 @@
     }
 
     /// Forgets what back ends said that no list has named for long.
-    pub fn forget_gone(&mut self, now: Millis) {
+    pub fn forget_removed(&mut self, now: Millis) {
         for id in self.gone.drain(..) {
             self.notices.unlisted(&id, now);
         }
@@ -132,7 +132,7 @@
     }
 
     /// Takes how this node comes back to back ends after rests.
-    pub fn set_returns(&mut self, returns: ReturnPolicy) {
+    pub fn set_resume_policy(&mut self, returns: ResumePolicy) {
         self.returns = returns;
         self.plan_returns();
     }
@@ -151,7 +151,7 @@
 
     /// Whether this node may send to a back end by what it bears: to a cold one within this
     /// node's part of it.
-    pub fn bears_another(&self, instance: &Instance, now: Millis) -> bool {
+    pub fn cold_limit_allows(&self, instance: &Instance, now: Millis) -> bool {
         let listed = &instance.listed;
         let sent_at = instance.sent_cold_at;
         let senders = &self.cold_senders;
@@ -175,7 +175,7 @@
     }
 
     /// A request of `tokens` tokens leaves for a back end.
-    pub fn sent(&mut self, id: &str, tokens: u64, now: Millis) {
+    pub fn record_sent(&mut self, id: &str, tokens: u64, now: Millis) {
         if let Some(instance) = self.instances.get_mut(id) {
             if instance.is_cold(now) {
                 instance.sent_cold_at = Some(now);
@@ -191,7 +191,7 @@
     }
 
     /// A request that was sent has ended.
-    pub fn ended(&mut self, id: &str, tokens: u64) {
+    pub fn record_ended(&mut self, id: &str, tokens: u64) {
         if let Some(instance) = self.instances.get_mut(id) {
             instance.in_flight = instance.in_flight.saturating_sub(1);
             instance.tokens_in_flight = instance.tokens_in_flight.saturating_sub(tokens);
@@ -199,7 +199,7 @@
     }
 
     /// A back end told its load.
-    pub fn reported(&mut self, id: &str, load: ReportedLoad, now: Millis) {
+    pub fn record_load(&mut self, id: &str, load: ReportedLoad, now: Millis) {
         if let Some(instance) = self.instances.get_mut(id) {
             instance.load = Some((load, now));
             instance.sent_since_report = 0;
@@ -207,7 +207,7 @@
     }
 
     /// A back end answered a request.
-    pub fn answered(&mut self, id: &str) {
+    pub fn record_answer(&mut self, id: &str) {
         let Some(instance) = self.instances.get_mut(id) else {
             return;
         };
@@ -219,7 +219,7 @@
     }
 
     /// A back end could not be reached or broke off.
-    pub fn failed(&mut self, id: &str, now: Millis, why: &str) {
+    pub fn record_failure(&mut self, id: &str, now: Millis, why: &str) {
         let Some(instance) = self.instances.get_mut(id) else {
             return;
         };
@@ -231,7 +231,7 @@
     }
 
     /// A back end said that it is full.
-    pub fn full(&mut self, id: &str, now: Millis) {
+    pub fn record_full(&mut self, id: &str, now: Millis) {
         let Some(instance) = self.instances.get_mut(id) else {
             return;
         };
@@ -241,7 +241,7 @@
     }
 
     /// Another back end answered at a back end's address. A list that lags does not take it back.
-    pub fn misplaced(&mut self, id: &str, now: Millis) {
+    pub fn record_address_mismatch(&mut self, id: &str, now: Millis) {
         if let Some(instance) = self.instances.get_mut(id) {
             instance.misplaced_until = now + MISPLACED_FOR;
             let listed = instance.listed.clone();
--- a/crates/serving/src/instances/instance.rs
+++ b/crates/serving/src/instances/instance.rs
@@ -1,6 +1,6 @@
 //! One back end, with what this node believes of it.
 
-use super::returns::ReturnPlan;
+use super::resume::ResumePlan;
 use crate::notices::Notice;
 use crate::ports::{ListedInstance, ReportedLoad};
 use crate::rollouts::VersionRole;
@@ -47,7 +47,7 @@
     /// What it said of itself.
     pub(super) notice: Arc<Notice>,
     /// How this node comes back to it after a rest.
-    pub(super) return_plan: ReturnPlan,
+    pub(super) return_plan: ResumePlan,
     /// When this node last sent to it after a rest, before anything was heard of it.
     pub(super) first_sent_after_rest_at: Option<Millis>,
 }
@@ -56,7 +56,7 @@
     pub(super) fn new(
         listed: Arc<ListedInstance>,
         notice: Arc<Notice>,
-        return_plan: ReturnPlan,
+        return_plan: ResumePlan,
     ) -> Self {
         Self {
             misplaced_until: 0,
@@ -81,13 +81,13 @@
 
     /// Whether it may get new work at all: it is not leaving, by the list or by its own word, its
     /// zone is not evacuated, and its version is not retired. One that rests does, later.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_new_work(&self) -> bool {
         let is_leaving = self.listed.draining || self.notice.is_leaving();
         !is_leaving && !self.is_evacuated && self.role != VersionRole::Retired
     }
 
     /// Whether it said itself that it leaves.
-    pub fn said_it_leaves(&self) -> bool {
+    pub fn announced_shutdown(&self) -> bool {
         self.notice.is_leaving()
     }
 
@@ -97,13 +97,13 @@
     }
 
     /// Milliseconds until its rest is over; 0 where it is.
-    pub fn rest_left(&self, now: Millis) -> Millis {
+    pub fn rest_ms_left(&self, now: Millis) -> Millis {
         self.notice.rest_until().saturating_sub(now)
     }
 
     /// When it may be chosen again by what it said of its load; none where it may be now.
     /// After a rest one request goes first: if it is turned away, the others were spared.
-    pub fn back_at(&self, now: Millis) -> Option<Millis> {
+    pub fn available_at(&self, now: Millis) -> Option<Millis> {
         let rest_until = self.notice.rest_until().max(self.first_awaited_until(now));
         let permit_at = self.notice.permit_at(now).unwrap_or(0);
         let until = rest_until.max(self.full_until).max(permit_at);
@@ -121,9 +121,9 @@
     }
 
     /// Milliseconds until its rest is over and this node has a permit for it; 0 where both is so.
-    pub fn wait_left(&self, now: Millis) -> Millis {
+    pub fn wait_ms(&self, now: Millis) -> Millis {
         let permit_at = self.notice.permit_at(now).unwrap_or(0);
-        self.rest_left(now).max(permit_at.saturating_sub(now))
+        self.rest_ms_left(now).max(permit_at.saturating_sub(now))
     }
 
     /// A request of this node was decided that goes there.
@@ -132,10 +132,10 @@
     }
 
     /// Whether it would get a request if this node had a permit for it.
-    pub(crate) fn lacks_only_a_permit(&self, now: Millis) -> bool {
+    pub(crate) fn needs_only_permit(&self, now: Millis) -> bool {
         self.is_limited()
-            && self.takes_work()
-            && !self.is_passed_over(now)
+            && self.accepts_new_work()
+            && !self.is_ejected(now)
             && !self.is_resting(now)
             && self.notice.permit_at(now).is_some()
     }
@@ -172,7 +172,7 @@
     }
 
     /// Whether the first request after its rest is under way and nothing was heard of it.
-    pub fn is_first_awaited(&self, now: Millis) -> bool {
+    pub fn is_probe_pending(&self, now: Millis) -> bool {
         now < self.first_awaited_until(now)
     }
 
@@ -182,12 +182,12 @@
     }
 
     /// Whether it may be chosen at `now` where no other can.
-    pub fn is_usable_at_last(&self, now: Millis) -> bool {
+    pub fn is_usable_as_last_resort(&self, now: Millis) -> bool {
         self.is_sound(now) && (self.is_held_back(now) || self.is_return_delayed(now))
     }
 
     fn is_sound(&self, now: Millis) -> bool {
-        self.takes_work() && !self.is_passed_over(now) && self.back_at(now).is_none()
+        self.accepts_new_work() && !self.is_ejected(now) && self.available_at(now).is_none()
     }
 
     /// Whether its version is new and no order names it yet.
@@ -206,17 +206,17 @@
     }
 
     /// Whether it failed lately, or another one answered at its address.
-    pub fn is_passed_over(&self, now: Millis) -> bool {
+    pub fn is_ejected(&self, now: Millis) -> bool {
         self.is_suspect(now) || now < self.misplaced_until
     }
 
     /// Whether it may be tried where all failed: it failed lately itself, but did not ask to be
     /// left alone and is not gone.
-    pub fn may_be_tried_again(&self, now: Millis) -> bool {
-        self.takes_work()
+    pub fn may_be_retried(&self, now: Millis) -> bool {
+        self.accepts_new_work()
             && self.is_suspect(now)
             && now >= self.misplaced_until
-            && self.back_at(now).is_none()
+            && self.available_at(now).is_none()
     }
 
     /// The latest report with its age; none when it is too old to count.
--- a/crates/serving/src/instances/listing.rs
+++ b/crates/serving/src/instances/listing.rs
@@ -8,13 +8,13 @@
 
 impl InstanceTable {
     /// Takes in a whole list. True when something changed.
-    pub fn replace(&mut self, listed: &[ListedInstance]) -> bool {
-        self.follow(&listed.iter().cloned().collect())
+    pub fn replace_list(&mut self, listed: &[ListedInstance]) -> bool {
+        self.apply_list(&listed.iter().cloned().collect())
     }
 
     /// Takes in a version of the list. True when something changed. Costs as much as it has not
     /// in common with the version before.
-    pub fn follow(&mut self, listed: &ListedInstances) -> bool {
+    pub fn apply_list(&mut self, listed: &ListedInstances) -> bool {
         let before = std::mem::replace(&mut self.followed, listed.clone());
         let mut news = ListNews::default();
         let mut gone = Vec::new();
@@ -32,7 +32,7 @@
     }
 
     /// The version of the list that was taken in last.
-    pub fn followed(&self) -> &ListedInstances {
+    pub fn applied_list(&self) -> &ListedInstances {
         &self.followed
     }
 
--- a/crates/serving/src/instances/found.rs
+++ b/crates/serving/src/instances/lookup.rs
@@ -38,7 +38,7 @@
     }
 
     /// One of the back ends of a service in a zone, by lot; none where there are none.
-    pub(crate) fn drawn_in_zone(&self, service: &str, zone: &str, lot: u64) -> Option<&Instance> {
+    pub(crate) fn random_in_zone(&self, service: &str, zone: &str, lot: u64) -> Option<&Instance> {
         let places = self.places_in(service, zone);
         let position = lot.checked_rem(places.len() as u64)?;
         self.instances.at(places[position as usize])
@@ -46,7 +46,7 @@
 
     /// Looks at single back ends since the start, to compare what is done at different numbers of
     /// them.
-    pub fn looks(&self) -> u64 {
+    pub fn lookup_count(&self) -> u64 {
         self.instances.looks()
     }
 
--- a/crates/serving/src/instances/returns.rs
+++ b/crates/serving/src/instances/resume.rs
@@ -9,14 +9,14 @@
 /// How nodes come back to back ends after rests.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct ReturnPolicy {
+pub struct ResumePolicy {
     /// Whether one request goes first, and the others once its answer says no more of rest.
     pub first_alone: bool,
     /// Nodes come back spread over this share of the rest after its end.
     pub spread: f64,
 }
 
-impl Default for ReturnPolicy {
+impl Default for ResumePolicy {
     fn default() -> Self {
         Self {
             first_alone: true,
@@ -27,25 +27,25 @@
 
 /// How one node comes back to one back end.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ReturnPlan {
+pub(super) struct ResumePlan {
     /// Whether one request goes first.
     pub(super) first_alone: bool,
     /// How long after the end of a rest, as a share of it.
     delay_share: f64,
 }
 
-impl ReturnPlan {
+impl ResumePlan {
     /// How long after the end of a rest of this length it comes back, both in milliseconds.
     pub(super) fn delay(&self, rest: Millis) -> Millis {
         (rest as f64 * self.delay_share) as Millis
     }
 }
 
-impl ReturnPolicy {
-    pub(super) fn plan_for(&self, node: &str, backend: &str) -> ReturnPlan {
+impl ResumePolicy {
+    pub(super) fn plan_for(&self, node: &str, backend: &str) -> ResumePlan {
         let mut hasher = DefaultHasher::new();
         (node, backend).hash(&mut hasher);
-        ReturnPlan {
+        ResumePlan {
             first_alone: self.first_alone,
             delay_share: hasher.finish() as f64 / u64::MAX as f64 * self.spread,
         }
--- a/crates/serving/src/policy.rs
+++ b/crates/serving/src/policy.rs
@@ -2,7 +2,7 @@
 //! measured. All are on by default.
 
 use crate::cold::ColdUse;
-use crate::instances::ReturnPolicy;
+use crate::instances::ResumePolicy;
 use crate::regions::RegionAffinity;
 use serde::Deserialize;
 use silversail_peer::RANKS;
@@ -68,7 +68,7 @@
     pub cold_use: ColdUse,
     /// How this node comes back to back ends that asked for rest: what all nodes send at once is
     /// turned away.
-    pub returns: ReturnPolicy,
+    pub returns: ResumePolicy,
     /// Share of the makers' room that calls fill.
     pub room_share: f64,
     /// Time after which a call that did not wait has read its inputs, in milliseconds.
@@ -104,7 +104,7 @@
             region_affinity: RegionAffinity::Popular,
             prefill_tokens_per_ms: 50.0,
             cold_use: ColdUse::Limited,
-            returns: ReturnPolicy::default(),
+            returns: ResumePolicy::default(),
             room_share: 1.0,
             inputs_read_after_ms: 100,
             admitted_shares: [1.0, 0.9, 0.7, 0.6],
--- a/crates/serving/src/selection.rs
+++ b/crates/serving/src/selection.rs
@@ -152,11 +152,11 @@
         match self {
             Self::Usable => one.is_usable(now) && is_untried(),
             Self::Returning => {
-                one.is_return_delayed(now) && one.is_usable_at_last(now) && is_untried()
+                one.is_return_delayed(now) && one.is_usable_as_last_resort(now) && is_untried()
             }
-            Self::FailedUntried => one.may_be_tried_again(now) && is_untried(),
+            Self::FailedUntried => one.may_be_retried(now) && is_untried(),
             Self::TriedBefore => one.is_usable(now),
-            Self::AtLast => one.is_usable_at_last(now),
+            Self::AtLast => one.is_usable_as_last_resort(now),
         }
     }
 }
@@ -186,7 +186,7 @@
         match self {
             Self::Any => true,
             Self::Warm => !table.is_limited(one, now),
-            Self::Another => table.bears_another(one, now),
+            Self::Another => table.cold_limit_allows(one, now),
         }
     }
 }
@@ -261,7 +261,7 @@
     let near = zones.contains(&own_zone).then_some(own_zone);
     let draw_in = |zone: &str, draw| {
         let lot = lot_of(request.lot, draw);
-        let drawn = table.drawn_in_zone(request.service, zone, lot);
+        let drawn = table.random_in_zone(request.service, zone, lot);
         drawn.filter(|one| fits(one))
     };
     let of_near = near
--- a/crates/serving/tests/allowed_regions.rs
+++ b/crates/serving/tests/allowed_regions.rs
@@ -39,7 +39,7 @@
     let mut dispatcher =
         Dispatcher::new(topology, LIMITS, Policy::default(), 1, DecisionLog::off());
     dispatcher.set_routes(RouteTable::new(traffic));
-    dispatcher.instances.replace(&instances());
+    dispatcher.instances.replace_list(&instances());
     dispatcher
 }
 
@@ -113,7 +113,7 @@
 #[test]
 fn engines_and_retries_lie_in_the_allowed_region() {
     let mut dispatcher = dispatcher(&restricted(Some(&["south"])));
-    let first = dispatcher.arrive(1, call("r1"), 0);
+    let first = dispatcher.handle_request(1, call("r1"), 0);
     let first = engine_of(&first).expect("sent").to_owned();
     let second = dispatcher.send_ended(1, UNREACHABLE, None, 10);
     let second = engine_of(&second).expect("sent again").to_owned();
@@ -135,10 +135,10 @@
     let mut dispatcher = dispatcher(&restricted(Some(&["south"])));
     let mut listed = instances();
     listed.retain(|one| !gone.contains(&one.id.as_str()));
-    dispatcher.instances.replace(&listed);
+    dispatcher.instances.replace_list(&listed);
     let mut request = call_of("r1", path);
     request.pieces = vec![2, 2];
-    let actions = dispatcher.arrive(1, request, 0);
+    let actions = dispatcher.handle_request(1, request, 0);
     assert_eq!(actions.len(), 1, "{actions:?}");
     let code = code_of(&actions).expect("refused");
     assert_eq!((code.number(), code.http_status()), (2113, 503));
@@ -150,7 +150,7 @@
 fn an_allowed_region_that_is_evacuated_serves_nothing_and_nobody_else_does() {
     let mut dispatcher = dispatcher(&restricted(Some(&["south"])));
     dispatcher.instances.set_evacuated(set(&["b"]), 0);
-    let actions = dispatcher.arrive(1, call("r1"), 0);
+    let actions = dispatcher.handle_request(1, call("r1"), 0);
     assert_eq!(code_of(&actions), Some(ResultCode::NoAllowedBackend));
 }
 
@@ -159,7 +159,7 @@
     let mut dispatcher = dispatcher(&restricted(Some(&["south"])));
     let mut request = call_of("r1", "/staged/x");
     request.pieces = vec![2, 2];
-    let actions = dispatcher.arrive(1, request, 0);
+    let actions = dispatcher.handle_request(1, request, 0);
     let phase = phase_of(&actions).expect("submitted");
     assert_eq!(phase.regions, only(&["south"]));
     let announced = actions.iter().find_map(|action| match action {
@@ -174,7 +174,7 @@
     let mut dispatcher = dispatcher(&restricted(Some(&["south"])));
     let mut request = call_of("r1", "/staged/x");
     request.pieces = vec![2, 2];
-    let actions = dispatcher.arrive(1, request, 0);
+    let actions = dispatcher.handle_request(1, request, 0);
     let work = actions.iter().find_map(|action| match action {
         Action::Submit { work, .. } => Some(*work),
         _ => None,
@@ -188,10 +188,10 @@
 #[test]
 fn what_a_new_configuration_allows_counts_for_requests_under_way() {
     let mut dispatcher = dispatcher(&restricted(None));
-    let first = dispatcher.arrive(1, call("r1"), 0);
+    let first = dispatcher.handle_request(1, call("r1"), 0);
     let mut staged = call_of("r2", "/staged/x");
     staged.pieces = vec![2, 2];
-    let submitted = dispatcher.arrive(2, staged, 0);
+    let submitted = dispatcher.handle_request(2, staged, 0);
     assert_eq!(engine_of(&first), Some("e1"));
     let work = submitted.iter().find_map(|action| match action {
         Action::Submit { work, .. } => Some(*work),
@@ -253,11 +253,11 @@
     batcher
         .submit(key(2), work(2, 2), &makers, 0)
         .expect("taken");
-    assert!(batcher.end_unstaffed(&makers).is_empty());
+    assert!(batcher.reject_orders_without_backend(&makers).is_empty());
     makers.set_evacuated(set(&["b"]), 10);
     let refused = batcher.submit(key(3), in_south(3), &makers, 10);
     assert_eq!(refused, Err(PieceFailure::NoBackend));
-    let ended = batcher.end_unstaffed(&makers);
+    let ended = batcher.reject_orders_without_backend(&makers);
     let ended: Vec<_> = ended.into_iter().map(|one| (one.key, one.result)).collect();
     assert_eq!(ended, [(key(1), Err(PieceFailure::NoBackend))]);
 }
--- a/crates/serving/tests/back_end_count.rs
+++ b/crates/serving/tests/back_end_count.rs
@@ -35,7 +35,7 @@
 
 fn table(count: usize) -> InstanceTable {
     let mut table = InstanceTable::new(DecisionLog::off());
-    table.replace(&entries(count));
+    table.replace_list(&entries(count));
     table
 }
 
@@ -66,12 +66,12 @@
     #[values(None, Some(77))] affinity: Option<u64>,
 ) {
     let table = table(count);
-    let before = table.looks();
+    let before = table.lookup_count();
     for lot in 0..50 {
         let affinity = affinity.map(|key| key + lot);
         chosen(&table, &request(affinity, lot));
     }
-    let looks = (table.looks() - before) / 50;
+    let looks = (table.lookup_count() - before) / 50;
     assert!(looks <= MOST_LOOKS_OF_CHOICE, "{looks}");
 }
 
@@ -79,19 +79,19 @@
 fn a_change_of_the_list_looks_at_what_changed(#[values(1_000, 10_000, 20_000)] count: usize) {
     let all = list_of(&entries(count));
     let mut table = InstanceTable::new(DecisionLog::off());
-    table.follow(&all);
+    table.apply_list(&all);
     table.hold_back_new_versions(0);
-    table.forget_gone(0);
+    table.forget_removed(0);
     let mut without_one = all.clone();
     without_one.remove("e000005");
     let mut with_another = without_one.clone();
     with_another.insert(instance("e999999", "pool", "a"));
     for next in [without_one, with_another, all] {
-        let before = table.looks();
-        assert!(table.follow(&next));
+        let before = table.lookup_count();
+        assert!(table.apply_list(&next));
         table.hold_back_new_versions(0);
-        table.forget_gone(0);
-        let looks = table.looks() - before;
+        table.forget_removed(0);
+        let looks = table.lookup_count() - before;
         assert!(looks <= MOST_LOOKS_OF_CHANGE, "{looks}");
     }
 }
@@ -101,9 +101,9 @@
 fn the_first_list_of_thousands_takes_few_lines_of_the_log() {
     let log = DecisionLog::start("n1", LogLimits::default(), std::io::sink()).expect("a thread");
     let mut table = InstanceTable::new(log.clone());
-    table.replace(&entries(10_000));
+    table.replace_list(&entries(10_000));
     assert_eq!(log.counts().taken, 1);
-    table.replace(&entries(9_990));
+    table.replace_list(&entries(9_990));
     assert_eq!(log.counts().taken, 11, "a few are told one by one");
 }
 
@@ -132,7 +132,7 @@
     const PROMPTS: u64 = 4_000;
     let whole = table(count);
     let mut without_one = table(count);
-    without_one.replace(&entries(count)[1..]);
+    without_one.replace_list(&entries(count)[1..]);
     let moved = (0..PROMPTS).filter(|key| {
         let request = request(Some(*key), 0);
         let before = chosen(&whole, &request);
--- a/crates/serving/tests/batcher.rs
+++ b/crates/serving/tests/batcher.rs
@@ -82,7 +82,7 @@
     let mut now = 0;
     for _ in 0..2 {
         let call = batcher.next_calls(&table, now).remove(0);
-        table.failed(&call.instance, now, "test");
+        table.record_failure(&call.instance, now, "test");
         assert!(batcher
             .call_ended(call.call, CallOutcome::Unknown, now)
             .is_empty());
--- a/crates/serving/tests/batcher_rollouts.rs
+++ b/crates/serving/tests/batcher_rollouts.rs
@@ -25,7 +25,7 @@
         let mut table = InstanceTable::new(DecisionLog::off());
         let listed = makers.iter();
         let listed = listed.map(|(id, version)| of_version(id, "encode", version));
-        table.replace(&listed.collect::<Vec<_>>());
+        table.replace_list(&listed.collect::<Vec<_>>());
         let mut batcher = batcher();
         batcher.rollouts.set_permitted(true);
         Self {
@@ -94,7 +94,7 @@
             .batcher
             .release(finished[0].result.as_ref().expect("made"));
         let releases = owner.batcher.take_releases();
-        owner.batcher.freed(&releases);
+        owner.batcher.results_freed(&releases);
     }
     assert!((70..=101).contains(&to_candidate), "{to_candidate} of 500");
     let (baseline, candidate) = owner.answers();
@@ -164,7 +164,7 @@
     owner.obey(directive(1, 0, &[BATCH_ROUTE]));
     owner.order(1, 0).expect("taken");
     owner.take(&rollout(1, "encode", "v2", rolled_back()));
-    let ended = owner.batcher.end_unstaffed(&owner.table);
+    let ended = owner.batcher.reject_orders_without_backend(&owner.table);
     assert_eq!(ended[0].result, Err(PieceFailure::NoBackend));
     assert_eq!(owner.order(1, 0), Err(PieceFailure::NoBackend));
 }
@@ -277,7 +277,7 @@
     let mut far = of_version("s2", "encode", "v2");
     far.zone = "b".to_owned();
     let near = of_version("s1", "encode", "v1");
-    owner.table.replace(&[near, far]);
+    owner.table.replace_list(&[near, far]);
     owner.obey(directive(1, 1_000, &[]));
     let mut near_inputs = work(1, 1);
     near_inputs.zone = "a".to_owned();
--- a/crates/serving/tests/batcher_room.rs
+++ b/crates/serving/tests/batcher_room.rs
@@ -22,7 +22,7 @@
     assert_eq!(releases.len(), 1);
     // The maker has not said yet that the room is free: a call that relied on it found none.
     assert!(batcher.next_calls(&table, 301).is_empty());
-    batcher.freed(&releases);
+    batcher.results_freed(&releases);
     assert_eq!(batcher.next_calls(&table, 305)[0].pieces.len(), 1);
 }
 
@@ -39,13 +39,13 @@
         .is_empty());
     assert_eq!(batcher.take_releases().len(), 8);
     assert!(batcher.next_calls(&table, 300).is_empty());
-    assert_eq!(batcher.sizes(), (0, 0));
+    assert_eq!(batcher.order_and_call_counts(), (0, 0));
 }
 
 #[test]
 fn after_a_change_of_owner_room_is_left_and_inputs_last() {
     let (table, mut batcher) = (table(&[("s1", "a")]), batcher());
-    batcher.take_over(&whole(), &table, 0);
+    batcher.take_over_shard(&whole(), &table, 0);
     batcher
         .submit(key(1), large_work(1, 4, 150_000), &table, 0)
         .expect("taken");
@@ -102,7 +102,7 @@
         .map(|index| ResultHandle(format!("s1:80/r1-{index}")))
         .collect();
     batcher.release(&handles);
-    batcher.freed(&handles);
+    batcher.results_freed(&handles);
     let third = batcher.next_calls(&table, 490).remove(0);
     assert_eq!(third.pieces.len(), 2);
 }
@@ -133,9 +133,9 @@
     }
     let calls = batcher.next_calls(&table, 0);
     assert_eq!(calls.len(), 1);
-    assert!(batcher.end_unstaffed(&table).is_empty());
+    assert!(batcher.reject_orders_without_backend(&table).is_empty());
     table.set_evacuated(["a".to_owned()].into(), 10);
-    let ended = batcher.end_unstaffed(&table);
+    let ended = batcher.reject_orders_without_backend(&table);
     assert_eq!(ended.len(), 1);
     assert_eq!(ended[0].key, key(2));
     assert_eq!(ended[0].result, Err(PieceFailure::NoBackend));
--- a/crates/serving/tests/burst.rs
+++ b/crates/serving/tests/burst.rs
@@ -67,7 +67,7 @@
                 DecisionLog::off(),
             );
             node.set_routes(RouteTable::new(&configuration));
-            node.instances.replace(&listed);
+            node.instances.replace_list(&listed);
             node
         };
         let nodes = (0..NODES).map(|_| node()).collect();
@@ -93,7 +93,7 @@
         call.deadline_ms = Some(15_000);
         self.arrived_at.insert(number, self.now);
         let node = number as usize % NODES;
-        let actions = self.nodes[node].arrive(number, call, self.now);
+        let actions = self.nodes[node].handle_request(number, call, self.now);
         self.carry_out(node, actions);
     }
 
--- a/crates/serving/tests/cold.rs
+++ b/crates/serving/tests/cold.rs
@@ -30,7 +30,7 @@
         one.cold = *cold;
         one
     });
-    table.replace(&listed.collect::<Vec<_>>());
+    table.replace_list(&listed.collect::<Vec<_>>());
     let requests_per_second = BORNE;
     let spec = ColdSpec {
         requests_per_second,
@@ -66,8 +66,8 @@
             else {
                 continue;
             };
-            table.sent(&id, 1, now);
-            table.ended(&id, 1);
+            table.record_sent(&id, 1, now);
+            table.record_ended(&id, 1);
             if id == backend {
                 arrivals.push(now);
             }
@@ -163,6 +163,6 @@
     table.set_cold_specs(Default::default());
     for now in 0..20 {
         assert!(select(&table, &request(ColdUse::Limited), now).is_some());
-        table.sent("cold", 1, now);
+        table.record_sent("cold", 1, now);
     }
 }
--- a/crates/serving/tests/common/batches.rs
+++ b/crates/serving/tests/common/batches.rs
@@ -12,7 +12,7 @@
 pub fn table(makers: &[(&str, &str)]) -> InstanceTable {
     let mut table = InstanceTable::new(DecisionLog::off());
     let listed = makers.iter().map(|(id, zone)| instance(id, "encode", zone));
-    table.replace(&listed.collect::<Vec<_>>());
+    table.replace_list(&listed.collect::<Vec<_>>());
     table
 }
 
--- a/crates/serving/tests/common/mod.rs
+++ b/crates/serving/tests/common/mod.rs
@@ -214,7 +214,7 @@
 pub fn dispatcher_with(policy: Policy) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(in_zone("a"), LIMITS, policy, 1, DecisionLog::off());
     dispatcher.set_routes(RouteTable::new(&traffic()));
-    dispatcher.instances.replace(&instances());
+    dispatcher.instances.replace_list(&instances());
     dispatcher
 }
 
--- a/crates/serving/tests/dispatcher.rs
+++ b/crates/serving/tests/dispatcher.rs
@@ -83,7 +83,7 @@
         1,
         DecisionLog::off(),
     );
-    let refusal = answered(&dispatcher.arrive(1, call("r"), 0));
+    let refusal = answered(&dispatcher.handle_request(1, call("r"), 0));
     assert_eq!(refusal.code, ResultCode::NoTrafficConfiguration);
     assert_eq!(refusal.code.http_status(), 503);
     assert!(refusal.retry_after_ms.is_some());
@@ -92,8 +92,8 @@
 #[test]
 fn a_route_without_back_ends_refuses_at_once() {
     let mut dispatcher = dispatcher();
-    dispatcher.instances.replace(&[]);
-    let refusal = answered(&dispatcher.arrive(1, call("r"), 0));
+    dispatcher.instances.replace_list(&[]);
+    let refusal = answered(&dispatcher.handle_request(1, call("r"), 0));
     assert_eq!(refusal.code, ResultCode::NoBackend);
     assert_eq!(dispatcher.open_requests(), 0);
 }
@@ -113,7 +113,7 @@
     #[case] status: Option<u16>,
 ) {
     let mut dispatcher = dispatcher();
-    let first = sent(&dispatcher.arrive(1, call_of("r", "/gate/x"), 0)).clone();
+    let first = sent(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 0)).clone();
     let actions = dispatcher.send_ended(1, outcome, None, 10);
     if is_sent_again {
         assert_ne!(sent(&actions).instance, first.instance);
@@ -128,7 +128,7 @@
 #[test]
 fn a_repeatable_request_is_sent_again_as_often_as_its_route_allows() {
     let mut dispatcher = dispatcher();
-    let first = sent(&dispatcher.arrive(1, call_of("r", "/lookup/x"), 0)).clone();
+    let first = sent(&dispatcher.handle_request(1, call_of("r", "/lookup/x"), 0)).clone();
     assert!(first.may_repeat);
     let again = dispatcher.send_ended(1, SendOutcome::Failed { status: 500 }, None, 10);
     let second = sent(&again).clone();
@@ -142,7 +142,7 @@
 #[test]
 fn when_all_engines_refuse_the_caller_hears_that_nothing_ran() {
     let mut dispatcher = dispatcher();
-    dispatcher.arrive(1, call_of("r", "/gate/x"), 0);
+    dispatcher.handle_request(1, call_of("r", "/gate/x"), 0);
     sent(&dispatcher.send_ended(1, FULL, None, 5));
     let refusal = answered(&dispatcher.send_ended(1, FULL, None, 10));
     assert_eq!(refusal.code.http_status(), 503);
@@ -156,7 +156,7 @@
     dispatcher.set_nodes("n0", nodes.collect());
     let mut repeats = 0;
     for number in 0..200 {
-        dispatcher.arrive(number, call_of(&format!("r{number}"), "/lookup/x"), 0);
+        dispatcher.handle_request(number, call_of(&format!("r{number}"), "/lookup/x"), 0);
         let failed = SendOutcome::Failed { status: 500 };
         let actions = dispatcher.send_ended(number, failed, None, 1);
         let is_sent = actions
@@ -175,9 +175,10 @@
     listed
         .iter_mut()
         .for_each(|one| one.draining = one.id == "g1");
-    dispatcher.instances.replace(&listed);
+    dispatcher.instances.replace_list(&listed);
     for number in 0..20 {
-        let actions = dispatcher.arrive(number, call_of(&format!("r{number}"), "/gate/x"), 0);
+        let actions =
+            dispatcher.handle_request(number, call_of(&format!("r{number}"), "/gate/x"), 0);
         assert_eq!(sent(&actions).instance, "g2");
     }
 }
@@ -188,7 +189,7 @@
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![1, 2, 1];
     request.piece_key = "k".into();
-    let first = submitted(&dispatcher.arrive(1, request, 0));
+    let first = submitted(&dispatcher.handle_request(1, request, 0));
     // Phase 2 holds much room and is as long as the last of the chain.
     assert_eq!(first.len(), 1);
     assert_eq!(first[0].1, 0);
@@ -219,7 +220,7 @@
     let mut dispatcher = dispatcher();
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![0, 0, 0];
-    sent(&dispatcher.arrive(1, request, 0));
+    sent(&dispatcher.handle_request(1, request, 0));
 }
 
 #[test]
@@ -227,7 +228,7 @@
     let mut dispatcher = dispatcher();
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![1, 1, 0];
-    let first = submitted(&dispatcher.arrive(1, request, 0));
+    let first = submitted(&dispatcher.handle_request(1, request, 0));
     let second = submitted(&dispatcher.phase_done(first[0].0, Ok(vec![handle("p0")]), 300));
     let freed = dispatcher.inputs_read(second[0].0);
     assert_eq!(freed.len(), 1, "{freed:?}");
@@ -241,7 +242,7 @@
     let mut dispatcher = dispatcher();
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![1, 0, 0];
-    let first = submitted(&dispatcher.arrive(1, request, 0));
+    let first = submitted(&dispatcher.handle_request(1, request, 0));
     let again = submitted(&dispatcher.phase_done(first[0].0, Err(PieceFailure::InputGone), 50));
     assert_eq!(again.len(), 1);
     let refusal = answered(&dispatcher.phase_done(again[0].0, Err(PieceFailure::InputGone), 90));
@@ -255,11 +256,14 @@
     dispatcher.set_waits([waits_of_encode()], 0);
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![1, 1, 0];
-    let refusal = answered(&dispatcher.arrive(1, request.clone(), 10));
+    let refusal = answered(&dispatcher.handle_request(1, request.clone(), 10));
     assert_eq!(refusal.code, ResultCode::PhaseOverloaded);
     assert!(refusal.retry_after_ms.is_some_and(|wait| wait >= 300));
     // What was told lately is forgotten later.
-    assert_eq!(submitted(&dispatcher.arrive(2, request, 5_000)).len(), 1);
+    assert_eq!(
+        submitted(&dispatcher.handle_request(2, request, 5_000)).len(),
+        1
+    );
 }
 
 /// The chain is expected to end after 1,650 of 2,000 ms.
@@ -280,7 +284,7 @@
     dispatcher.set_waits([waits_of_encode()], 0);
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![1, 1, 0];
-    let actions = dispatcher.arrive(1, request, 10);
+    let actions = dispatcher.handle_request(1, request, 10);
     assert_eq!(!submitted(&actions).is_empty(), is_admitted);
 }
 
@@ -291,10 +295,10 @@
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![1, 1, 0];
     dispatcher.set_waits([waits_of_encode()], 10);
-    let works = submitted(&dispatcher.arrive(1, request.clone(), 10));
+    let works = submitted(&dispatcher.handle_request(1, request.clone(), 10));
     dispatcher.phase_done(works[0].0, Ok(vec![handle("1")]), made_at);
     dispatcher.set_waits([waits_of_encode()], made_at);
-    let actions = dispatcher.arrive(2, request, made_at);
+    let actions = dispatcher.handle_request(2, request, made_at);
     !submitted(&actions).is_empty()
 }
 
@@ -320,10 +324,10 @@
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![1, 1, 0];
     dispatcher.set_waits([waits_of_encode()], 10);
-    let works = submitted(&dispatcher.arrive(1, request.clone(), 10));
+    let works = submitted(&dispatcher.handle_request(1, request.clone(), 10));
     dispatcher.phase_done(works[0].0, Ok(vec![handle("1")]), 2_900);
     dispatcher.set_waits([waits_of_encode()], 12_900);
-    let actions = dispatcher.arrive(2, request, 12_900);
+    let actions = dispatcher.handle_request(2, request, 12_900);
     assert_eq!(submitted(&actions).len(), 1);
 }
 
@@ -332,7 +336,7 @@
     let mut dispatcher = dispatcher();
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![1, 1, 0];
-    dispatcher.arrive(1, request, 0);
+    dispatcher.handle_request(1, request, 0);
     assert!(dispatcher.expire(3_999).is_empty());
     let actions = dispatcher.expire(4_000);
     assert_eq!(answered(&actions).code, ResultCode::TimeOverBeforeSend);
@@ -343,7 +347,7 @@
 #[test]
 fn a_caller_that_leaves_frees_its_engine_and_its_work() {
     let mut dispatcher = dispatcher();
-    let plan = sent(&dispatcher.arrive(1, call_of("r", "/gate/x"), 0)).clone();
+    let plan = sent(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 0)).clone();
     assert_eq!(
         dispatcher
             .instances
@@ -351,7 +355,7 @@
             .map(|one| one.in_flight),
         Some(1)
     );
-    dispatcher.caller_gone(1, 5);
+    dispatcher.caller_disconnected(1, 5);
     assert_eq!(
         dispatcher
             .instances
@@ -366,12 +370,13 @@
 #[test]
 fn an_engine_that_breaks_off_is_passed_over_for_a_while() {
     let mut dispatcher = dispatcher();
-    let broken = sent(&dispatcher.arrive(1, call_of("r", "/gate/x"), 0))
+    let broken = sent(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 0))
         .instance
         .clone();
     dispatcher.send_ended(1, BROKEN, None, 1);
     for number in 2..12 {
-        let actions = dispatcher.arrive(number, call_of(&format!("r{number}"), "/gate/x"), 2);
+        let actions =
+            dispatcher.handle_request(number, call_of(&format!("r{number}"), "/gate/x"), 2);
         assert_ne!(sent(&actions).instance, broken);
     }
 }
@@ -389,15 +394,15 @@
     let mut dispatcher = dispatcher();
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![1, 2, 0];
-    let actions = dispatcher.arrive(1, request.clone(), 0);
+    let actions = dispatcher.handle_request(1, request.clone(), 0);
     let told = announced(&actions);
     assert_eq!(told.len(), 1, "{actions:?}");
     let first = submitted(&actions)[0].0;
     let second = submitted(&dispatcher.phase_done(first, Ok(vec![handle("p0")]), 300));
     assert_eq!(second[0].0, told[0]);
     // A caller that leaves takes back what was announced for it.
-    let told = announced(&dispatcher.arrive(2, request, 400));
-    let actions = dispatcher.caller_gone(2, 410);
+    let told = announced(&dispatcher.handle_request(2, request, 400));
+    let actions = dispatcher.caller_disconnected(2, 410);
     let taken_back = Action::Cancel { work: told[0] };
     assert!(actions.contains(&taken_back), "{actions:?}");
 }
@@ -415,7 +420,7 @@
     dispatcher.set_waits([waits], 0);
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![1, 2, 0];
-    assert!(announced(&dispatcher.arrive(1, request, 10)).is_empty());
+    assert!(announced(&dispatcher.handle_request(1, request, 10)).is_empty());
 }
 
 #[test]
@@ -425,7 +430,7 @@
     request.pieces = vec![0, 0, 0];
     for number in 0..40 {
         let now = number * 2_000;
-        sent(&dispatcher.arrive(number, request.clone(), now));
+        sent(&dispatcher.handle_request(number, request.clone(), now));
         dispatcher.head_received(number, None, now + 900);
         let whole = SendOutcome::Delivered {
             status: 200,
@@ -444,9 +449,12 @@
     };
     dispatcher.set_waits([waits.clone()], 90_000);
     request.pieces = vec![1, 1, 0];
-    let refusal = answered(&dispatcher.arrive(50, request.clone(), 90_000));
+    let refusal = answered(&dispatcher.handle_request(50, request.clone(), 90_000));
     assert_eq!(refusal.code, ResultCode::PhaseOverloaded);
     let mut fresh = common::dispatcher();
     fresh.set_waits([waits], 90_000);
-    assert_eq!(submitted(&fresh.arrive(50, request, 90_000)).len(), 1);
+    assert_eq!(
+        submitted(&fresh.handle_request(50, request, 90_000)).len(),
+        1
+    );
 }
--- a/crates/serving/tests/limits.rs
+++ b/crates/serving/tests/limits.rs
@@ -68,7 +68,7 @@
 }
 
 fn ask(dispatcher: &mut Dispatcher, number: u64, now: u64) -> Vec<Action> {
-    dispatcher.arrive(number, call_of(&format!("r{number}"), "/gate/x"), now)
+    dispatcher.handle_request(number, call_of(&format!("r{number}"), "/gate/x"), now)
 }
 
 #[test]
@@ -93,8 +93,8 @@
         .into_iter()
         .filter(|one| one.id != "g1")
         .collect();
-    dispatcher.take_listing(&list_of(&without), 100);
-    dispatcher.take_listing(&list_of(&instances()), 1_100);
+    dispatcher.apply_backend_list(&list_of(&without), 100);
+    dispatcher.apply_backend_list(&list_of(&instances()), 1_100);
     assert_eq!(
         sent_to(&ask(&mut dispatcher, 1, 1_200)).as_deref(),
         Some("g2")
@@ -178,7 +178,7 @@
         for number in 1..=3 {
             let mut call = call_of(&format!("r{number}"), "/gate/x");
             call.deadline_ms = Some(4_500 - 500 * number);
-            assert!(dispatcher.arrive(number, call, 0).is_empty());
+            assert!(dispatcher.handle_request(number, call, 0).is_empty());
         }
         dispatcher
             .instances
@@ -227,7 +227,7 @@
         hear(&dispatcher.instances, &["e1", "e2", "e3"], per_second);
         let mut staged = call_of("r", "/staged/x");
         staged.pieces = vec![1, 1, 1];
-        let actions = dispatcher.arrive(1, staged, 10);
+        let actions = dispatcher.handle_request(1, staged, 10);
         let is_submitted = |action: &Action| matches!(action, Action::Submit { .. });
         assert_eq!(actions.iter().any(is_submitted), is_taken);
         let code = refusals(&actions).first().map(|(_, refusal)| refusal.code);
--- a/crates/serving/tests/owner_cost.rs
+++ b/crates/serving/tests/owner_cost.rs
@@ -43,7 +43,7 @@
     let table = makers(zones, in_zone);
     let mut batcher = batcher();
     let shard = Shard::in_zone("encode", "z0");
-    let before = table.looks();
+    let before = table.lookup_count();
     batcher
         .submit(key(1), of_shard(&shard, 1), &table, 0)
         .expect("taken");
@@ -52,7 +52,7 @@
     assert_eq!(calls.len(), 1);
     let finished = batcher.call_ended(calls[0].call, made(&calls[0]), 300);
     assert_eq!(finished.len(), 1);
-    let looks = table.looks() - before;
+    let looks = table.lookup_count() - before;
     let most = LOOKS_FOR_EACH_MAKER * in_zone as u64 + LOOKS_AT_THE_CHOSEN;
     assert!(looks <= most, "{looks}");
 }
@@ -68,9 +68,9 @@
             .expect("taken");
         assert_eq!(batcher.next_calls(&table, 0).len(), 1);
     }
-    let before = table.looks();
+    let before = table.lookup_count();
     for _ in 0..100 {
         assert!(batcher.next_calls(&table, 1).is_empty());
     }
-    assert_eq!(table.looks() - before, 0);
+    assert_eq!(table.lookup_count() - before, 0);
 }
--- a/crates/serving/tests/quarantine.rs
+++ b/crates/serving/tests/quarantine.rs
@@ -61,7 +61,7 @@
 fn a_refused_request_is_answered_at_once_and_told_not_to_come_again() {
     let mut dispatcher = dispatcher();
     refuse(&mut dispatcher.quarantine, "/chat/x");
-    let actions = dispatcher.arrive(1, bad_call("r1", "/chat/x"), 0);
+    let actions = dispatcher.handle_request(1, bad_call("r1", "/chat/x"), 0);
     assert_eq!(answered(&actions), [REFUSED]);
     assert_eq!(ResultCode::RequestQuarantined.http_status(), 400);
     // Others, of the same path too, go on.
@@ -69,33 +69,33 @@
         content: ContentDigest::of("/chat/x", b"good"),
         ..call_of("r2", "/chat/x")
     };
-    assert_eq!(sends(&dispatcher.arrive(2, other, 0)), 1);
+    assert_eq!(sends(&dispatcher.handle_request(2, other, 0)), 1);
 }
 
 #[test]
 fn a_verdict_ends_requests_whose_phases_are_under_way_and_lets_sent_ones_end() {
     let mut dispatcher = dispatcher();
-    let submitted = dispatcher.arrive(1, bad_call("r1", "/staged/x"), 0);
+    let submitted = dispatcher.handle_request(1, bad_call("r1", "/staged/x"), 0);
     assert!(submitted
         .iter()
         .any(|action| matches!(action, Action::Submit { .. })));
-    let at_engine = dispatcher.arrive(2, bad_call("r2", "/chat/x"), 0);
+    let at_engine = dispatcher.handle_request(2, bad_call("r2", "/chat/x"), 0);
     assert_eq!(sends(&at_engine), 1);
     refuse(&mut dispatcher.quarantine, "/staged/x");
-    let actions = dispatcher.end_quarantined(10);
+    let actions = dispatcher.reject_quarantined(10);
     assert_eq!(answered(&actions), [REFUSED]);
     assert!(actions
         .iter()
         .any(|action| matches!(action, Action::Cancel { .. })));
     refuse(&mut dispatcher.quarantine, "/chat/x");
-    assert_eq!(dispatcher.end_quarantined(10), []);
+    assert_eq!(dispatcher.reject_quarantined(10), []);
 }
 
 /// It ran at an engine that broke off: "not run" would not be true of this attempt.
 #[test]
 fn a_request_that_is_refused_meanwhile_is_not_sent_again_and_not_said_to_be_not_run() {
     let mut dispatcher = dispatcher();
-    dispatcher.arrive(1, bad_call("r1", "/lookup/x"), 0);
+    dispatcher.handle_request(1, bad_call("r1", "/lookup/x"), 0);
     refuse(&mut dispatcher.quarantine, "/lookup/x");
     let actions = dispatcher.send_ended(1, BROKEN, None, 20);
     assert_eq!(sends(&actions), 0);
@@ -106,7 +106,7 @@
 #[test]
 fn what_breaks_off_is_to_be_diagnosed_and_a_late_end_is_not() {
     let mut dispatcher = dispatcher();
-    dispatcher.arrive(1, bad_call("r1", "/gate/x"), 0);
+    dispatcher.handle_request(1, bad_call("r1", "/gate/x"), 0);
     let actions = dispatcher.send_ended(1, BROKEN, None, 20);
     let broken: Vec<&Vec<BrokenSend>> = actions
         .iter()
@@ -120,7 +120,7 @@
         fingerprint: bad("/gate/x"),
     }];
     assert_eq!(broken, [&expected]);
-    dispatcher.arrive(2, bad_call("r2", "/gate/x"), 0);
+    dispatcher.handle_request(2, bad_call("r2", "/gate/x"), 0);
     let late = SendOutcome::Unknown(UnknownReason::Deadline);
     let actions = dispatcher.send_ended(2, late, None, 20);
     assert!(!actions
@@ -149,7 +149,7 @@
     let mut batcher = Batcher::new(Policy::default(), DecisionLog::off());
     batcher.set_specs([("encode".to_owned(), common::batch_spec())].into());
     let mut table = InstanceTable::new(DecisionLog::off());
-    table.replace(&instances());
+    table.replace_list(&instances());
     let submit = |batcher: &mut Batcher, number: u64, path: &str| {
         let key = OrderKey {
             node: NodeName("n1".into()),
@@ -178,7 +178,7 @@
     }
     let mut quarantine = RequestQuarantine::default();
     refuse(&mut quarantine, "/c");
-    let ended = batcher.end_quarantined(&quarantine);
+    let ended = batcher.reject_quarantined(&quarantine);
     assert_eq!(ended.len(), 6);
     assert!(ended
         .iter()
--- a/crates/serving/tests/regions.rs
+++ b/crates/serving/tests/regions.rs
@@ -27,7 +27,7 @@
     let listed = ZONES.iter().flat_map(|zone| {
         (0..3).map(move |number| instance(&format!("{zone}{number}"), "pool", zone))
     });
-    table.replace(&listed.collect::<Vec<_>>());
+    table.replace_list(&listed.collect::<Vec<_>>());
     table
 }
 
@@ -43,7 +43,7 @@
                 slots,
                 pace: Pace::USUAL,
             };
-            table.reported(&id, report, 0);
+            table.record_load(&id, report, 0);
         }
     }
 }
@@ -201,7 +201,7 @@
 fn a_region_whose_engines_fail_is_left_at_once() {
     let mut table = table();
     for id in ["a0", "a1", "a2", "b0", "b1", "b2"] {
-        table.failed(id, 0, "unreachable");
+        table.record_failure(id, 0, "unreachable");
     }
     let chosen = select(&table, &request(RegionAffinity::Popular), 1).expect("one");
     assert!(SOUTH.contains(&chosen.listed.zone.as_str()));
@@ -240,7 +240,7 @@
     }
     let ids = ["c0", "c1", "c2", "d0", "d1", "d2"].map(str::to_owned);
     for id in &ids {
-        table.failed(id, 0, "unreachable");
+        table.record_failure(id, 0, "unreachable");
     }
     let chosen = |regions: &RegionFilter, tried: &[String]| {
         let request = SelectionRequest {
--- a/crates/serving/tests/request_regions.rs
+++ b/crates/serving/tests/request_regions.rs
@@ -18,7 +18,7 @@
     let mut dispatcher =
         Dispatcher::new(topology, LIMITS, Policy::default(), 1, DecisionLog::off());
     dispatcher.set_routes(RouteTable::new(&traffic()));
-    dispatcher.instances.replace(&instances());
+    dispatcher.instances.replace_list(&instances());
     dispatcher
 }
 
@@ -26,7 +26,7 @@
 fn arrive(dispatcher: &mut Dispatcher) -> (WorkId, PhaseWork) {
     let mut request = call_of("r1", "/staged/x");
     request.pieces = vec![0, 0, 2];
-    let actions = dispatcher.arrive(1, request, 0);
+    let actions = dispatcher.handle_request(1, request, 0);
     let submitted = actions.into_iter().find_map(|action| match action {
         Action::Submit { work, phase, .. } => Some((work, phase)),
         _ => None,
@@ -71,7 +71,7 @@
         slots: 64,
         pace: Pace::USUAL,
     };
-    dispatcher.instances.reported("e1", load, 0);
+    dispatcher.instances.record_load("e1", load, 0);
     let (_, phase) = arrive(&mut dispatcher);
     assert_eq!((phase.zone.as_str(), phase.moved_bytes), (zone, 1_000_000));
 }
--- a/crates/serving/tests/rest_seeds.rs
+++ b/crates/serving/tests/rest_seeds.rs
@@ -58,7 +58,7 @@
         let policy = Policy::default();
         let mut dispatcher = Dispatcher::new(in_zone("a"), LIMITS, policy, 1, log());
         dispatcher.set_routes(RouteTable::new(&traffic()));
-        dispatcher.take_listing(&list_of(&instances()), 0);
+        dispatcher.apply_backend_list(&list_of(&instances()), 0);
         let mut batcher = Batcher::new(policy, log());
         batcher.set_specs([("encode".to_owned(), batch_spec())].into());
         Self {
@@ -114,8 +114,8 @@
         self.carry_out(waiting, now);
         self.batcher.expire(now);
         let table = &self.dispatcher.instances;
-        self.batcher.end_unstaffed(table);
-        self.batcher.end_late_by_rests(table, now);
+        self.batcher.reject_orders_without_backend(table);
+        self.batcher.reject_orders_delayed_by_rest(table, now);
         self.start_calls(now);
     }
 }
@@ -179,7 +179,7 @@
             let target = TARGETS.choose(random).expect("some");
             let actions =
                 node.dispatcher
-                    .arrive(number, call_of(&format!("r{number}"), target), now);
+                    .handle_request(number, call_of(&format!("r{number}"), target), now);
             node.carry_out(actions, now);
         }
         35..=59 if !node.sends.is_empty() => {
@@ -233,7 +233,7 @@
         }
         82..=87 => {
             let listed = list(starts, random);
-            node.dispatcher.take_listing(&list_of(&listed), now);
+            node.dispatcher.apply_backend_list(&list_of(&listed), now);
         }
         88..=89 => {
             let name = IDS.choose(random).expect("some");
@@ -242,7 +242,7 @@
         90..=91 => {
             let shard = Shard::whole("encode");
             let table = &node.dispatcher.instances;
-            node.batcher.take_over(&shard, table, now);
+            node.batcher.take_over_shard(&shard, table, now);
         }
         92 => node.stands_still_until = now + random.gen_range(100..3_000),
         _ => {}
--- a/crates/serving/tests/rests.rs
+++ b/crates/serving/tests/rests.rs
@@ -11,7 +11,7 @@
 use silversail_serving::dispatcher::{
     Action, Dispatcher, NotRunReason, Refusal, SendOutcome, UnknownReason,
 };
-use silversail_serving::instances::{InstanceTable, ReturnPolicy};
+use silversail_serving::instances::{InstanceTable, ResumePolicy};
 use silversail_serving::notices::AnswerPath;
 use silversail_serving::policy::Policy;
 use silversail_serving::ports::SelfReport;
@@ -77,7 +77,7 @@
     let policy = Policy::default();
     let mut dispatcher = Dispatcher::new(in_zone("a"), limits, policy, 1, DecisionLog::off());
     dispatcher.set_routes(RouteTable::new(&traffic()));
-    dispatcher.instances.replace(&instances());
+    dispatcher.instances.replace_list(&instances());
     dispatcher
 }
 
@@ -87,7 +87,7 @@
     hear(&dispatcher.instances, &["g1"], &rest(3_000), 0);
     let mut came_back = false;
     for number in 0..20 {
-        let actions = dispatcher.arrive(number, call_of("r", "/gate/x"), 400 * number);
+        let actions = dispatcher.handle_request(number, call_of("r", "/gate/x"), 400 * number);
         let to = sent_to(&actions).expect("sent");
         came_back |= to == "g1";
         assert!(to == "g2" || 400 * number >= 3_000, "at {}", 400 * number);
@@ -104,9 +104,9 @@
         hear(&dispatcher.instances, &["g1"], &said, 0);
         let mut listed = instances();
         change(&mut listed);
-        dispatcher.take_listing(&list_of(&listed), 100);
-        dispatcher.take_listing(&list_of(&instances()), 1_100);
-        let actions = dispatcher.arrive(1, call_of("r", "/gate/x"), 1_200);
+        dispatcher.apply_backend_list(&list_of(&listed), 100);
+        dispatcher.apply_backend_list(&list_of(&instances()), 1_100);
+        let actions = dispatcher.handle_request(1, call_of("r", "/gate/x"), 1_200);
         assert_eq!(sent_to(&actions).as_deref(), Some("g2"), "{said:?}");
     }
 }
@@ -114,16 +114,16 @@
 #[test]
 fn an_engine_at_whose_address_another_answered_stays_gone_although_lists_name_it() {
     let mut dispatcher = dispatcher();
-    dispatcher.instances.misplaced("g1", 0);
+    dispatcher.instances.record_address_mismatch("g1", 0);
     let mut listed = instances();
     listed[0].cold = true;
-    dispatcher.take_listing(&list_of(&listed), 1_000);
-    let actions = dispatcher.arrive(1, call_of("r", "/gate/x"), 1_100);
+    dispatcher.apply_backend_list(&list_of(&listed), 1_000);
+    let actions = dispatcher.handle_request(1, call_of("r", "/gate/x"), 1_100);
     assert_eq!(sent_to(&actions).as_deref(), Some("g2"));
     // At another address it is another matter.
     listed[3].address = "elsewhere:80".into();
-    dispatcher.take_listing(&list_of(&listed), 2_000);
-    let actions = dispatcher.arrive(2, call_of("r", "/gate/x"), 2_100);
+    dispatcher.apply_backend_list(&list_of(&listed), 2_000);
+    let actions = dispatcher.handle_request(2, call_of("r", "/gate/x"), 2_100);
     assert_eq!(sent_to(&actions).as_deref(), Some("g1"));
 }
 
@@ -133,31 +133,31 @@
     hear(&dispatcher.instances, &["g1"], &LEAVING, 0);
     let mut listed = instances();
     listed[3].id = "g1#2".into();
-    dispatcher.take_listing(&list_of(&listed), 1_000);
-    let actions = dispatcher.arrive(1, call_of("r", "/gate/x"), 1_100);
+    dispatcher.apply_backend_list(&list_of(&listed), 1_000);
+    let actions = dispatcher.handle_request(1, call_of("r", "/gate/x"), 1_100);
     assert_eq!(sent_to(&actions).as_deref(), Some("g1#2"));
 }
 
 #[test]
 fn an_engine_that_said_it_leaves_is_no_last_resort() {
     let mut dispatcher = dispatcher();
-    dispatcher.instances.failed("g1", 0, "test");
-    dispatcher.instances.failed("g2", 0, "test");
+    dispatcher.instances.record_failure("g1", 0, "test");
+    dispatcher.instances.record_failure("g2", 0, "test");
     hear(&dispatcher.instances, &["g1"], &LEAVING, 0);
-    let actions = dispatcher.arrive(1, call_of("r", "/gate/x"), 10);
+    let actions = dispatcher.handle_request(1, call_of("r", "/gate/x"), 10);
     assert_eq!(sent_to(&actions).as_deref(), Some("g2"));
     hear(&dispatcher.instances, &["g2"], &LEAVING, 20);
-    let refused = refusal(&dispatcher.arrive(2, call_of("r", "/gate/x"), 30));
+    let refused = refusal(&dispatcher.handle_request(2, call_of("r", "/gate/x"), 30));
     assert_eq!(refused.map(|one| one.code), Some(ResultCode::NoBackend));
 }
 
 #[test]
 fn an_engine_that_rests_is_no_last_resort_where_the_others_failed() {
     let mut dispatcher = dispatcher();
-    dispatcher.instances.failed("g1", 0, "test");
-    dispatcher.instances.failed("g2", 0, "test");
+    dispatcher.instances.record_failure("g1", 0, "test");
+    dispatcher.instances.record_failure("g2", 0, "test");
     hear(&dispatcher.instances, &["g1"], &rest(3_000), 0);
-    let actions = dispatcher.arrive(1, call_of("r", "/gate/x"), 10);
+    let actions = dispatcher.handle_request(1, call_of("r", "/gate/x"), 10);
     assert_eq!(sent_to(&actions).as_deref(), Some("g2"));
 }
 
@@ -165,7 +165,7 @@
 #[test]
 fn a_send_that_is_withheld_costs_no_retry_and_no_send() {
     let mut dispatcher = without_retries();
-    let first = sent_to(&dispatcher.arrive(1, call_of("r", "/gate/x"), 0)).expect("sent");
+    let first = sent_to(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 0)).expect("sent");
     hear(&dispatcher.instances, &[&first], &rest(3_000), 5);
     let second = sent_to(&dispatcher.send_ended(1, WITHHELD, None, 5)).expect("sent anew");
     assert_ne!(second, first);
@@ -180,7 +180,8 @@
     let mut dispatcher = dispatcher();
     hear(&dispatcher.instances, &["g1"], &rest(9_000), 0);
     hear(&dispatcher.instances, &["g2"], &rest(7_000), 0);
-    let refused = refusal(&dispatcher.arrive(1, call_of("r", "/gate/x"), 1_000)).expect("refused");
+    let refused =
+        refusal(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 1_000)).expect("refused");
     assert_eq!(refused.code, ResultCode::BackendsResting);
     assert_eq!(refused.retry_after_ms, Some(6_000));
     assert_eq!(dispatcher.open_requests(), 0);
@@ -190,7 +191,8 @@
 fn of_a_rest_without_end_no_return_is_told() {
     let mut dispatcher = dispatcher();
     hear(&dispatcher.instances, &["g1", "g2"], &rest(u64::MAX), 0);
-    let refused = refusal(&dispatcher.arrive(1, call_of("r", "/gate/x"), 10)).expect("refused");
+    let refused =
+        refusal(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 10)).expect("refused");
     assert_eq!(refused.code, ResultCode::BackendsResting);
     assert_eq!(refused.retry_after_ms, None);
 }
@@ -202,7 +204,7 @@
     hear(&dispatcher.instances, &["e1", "e2", "e3"], &rest(60_000), 0);
     let mut staged = call_of("r", "/staged/x");
     staged.pieces = vec![1, 1, 1];
-    let actions = dispatcher.arrive(1, staged, 10);
+    let actions = dispatcher.handle_request(1, staged, 10);
     let refused = refusal(&actions).expect("refused");
     assert_eq!(refused.code, ResultCode::BackendsResting);
     let is_submit = |action: &Action| matches!(action, Action::Submit { .. });
@@ -215,7 +217,7 @@
     hear(&dispatcher.instances, &["g1"], &rest(2_000), 0);
     hear(&dispatcher.instances, &["g2"], &rest(1_000), 0);
     assert!(dispatcher
-        .arrive(1, call_of("r", "/gate/x"), 100)
+        .handle_request(1, call_of("r", "/gate/x"), 100)
         .is_empty());
     assert!(dispatcher.send_waiting(999).is_empty());
     assert!(dispatcher.expire(999).is_empty());
@@ -229,11 +231,11 @@
     let mut dispatcher = dispatcher();
     hear(&dispatcher.instances, &["g1", "g2"], &rest(2_000), 0);
     assert!(dispatcher
-        .arrive(1, call_of("r", "/gate/x"), 100)
+        .handle_request(1, call_of("r", "/gate/x"), 100)
         .is_empty());
     let mut listed = instances();
     listed.push(common::instance("g3", "gate", "a"));
-    dispatcher.take_listing(&list_of(&listed), 200);
+    dispatcher.apply_backend_list(&list_of(&listed), 200);
     let actions = dispatcher.send_waiting(225);
     assert_eq!(sent_to(&actions).as_deref(), Some("g3"));
 }
@@ -244,7 +246,7 @@
     let mut dispatcher = dispatcher();
     hear(&dispatcher.instances, &["g1", "g2"], &rest(1_000), 0);
     for number in 1..=4 {
-        let actions = dispatcher.arrive(number, call_of("r", "/gate/x"), 100);
+        let actions = dispatcher.handle_request(number, call_of("r", "/gate/x"), 100);
         assert!(actions.is_empty());
     }
     let first = dispatcher.send_waiting(1_000);
@@ -275,7 +277,7 @@
     let mut dispatcher = dispatcher();
     hear(&dispatcher.instances, &["g1", "g2"], &rest(500), 0);
     for number in 1..=3 {
-        dispatcher.arrive(number, call_of("r", "/gate/x"), 100);
+        dispatcher.handle_request(number, call_of("r", "/gate/x"), 100);
     }
     dispatcher.send_waiting(500);
     assert!(dispatcher.send_waiting(1_400).is_empty());
@@ -288,11 +290,11 @@
     let returns_at = |node: &str| {
         let mut table = InstanceTable::new(DecisionLog::off());
         table.set_senders(node, vec![node.to_owned()]);
-        table.set_returns(ReturnPolicy {
+        table.set_resume_policy(ResumePolicy {
             first_alone: true,
             spread: 0.4,
         });
-        table.replace(&instances());
+        table.replace_list(&instances());
         hear(&table, &["g1"], &rest(1_000), 0);
         let engine = table.get("g1").expect("listed");
         (0..3_000).find(|now| engine.is_usable(*now))
@@ -313,8 +315,8 @@
 fn a_node_without_another_engine_comes_back_at_the_end_of_the_rest() {
     let mut dispatcher = dispatcher();
     hear(&dispatcher.instances, &["g1"], &rest(1_000), 0);
-    dispatcher.instances.failed("g2", 900, "test");
-    let actions = dispatcher.arrive(1, call_of("r", "/gate/x"), 1_000);
+    dispatcher.instances.record_failure("g2", 900, "test");
+    let actions = dispatcher.handle_request(1, call_of("r", "/gate/x"), 1_000);
     assert_eq!(sent_to(&actions).as_deref(), Some("g1"));
 }
 
@@ -324,10 +326,11 @@
     let mut dispatcher = dispatcher();
     hear(&dispatcher.instances, &["g1", "g2"], &rest(1_000), 0);
     for number in 1..=8 {
-        let actions = dispatcher.arrive(number, call_of("r", "/gate/x"), 10);
+        let actions = dispatcher.handle_request(number, call_of("r", "/gate/x"), 10);
         assert!(actions.is_empty(), "{number}");
     }
-    let refused = refusal(&dispatcher.arrive(9, call_of("r", "/gate/x"), 10)).expect("refused");
+    let refused =
+        refusal(&dispatcher.handle_request(9, call_of("r", "/gate/x"), 10)).expect("refused");
     assert_eq!(refused.code, ResultCode::BackendsResting);
     assert_eq!(refused.retry_after_ms, Some(990));
 }
@@ -336,8 +339,8 @@
 fn a_caller_that_leaves_while_it_waits_is_forgotten() {
     let mut dispatcher = dispatcher();
     hear(&dispatcher.instances, &["g1", "g2"], &rest(1_000), 0);
-    dispatcher.arrive(1, call_of("r", "/gate/x"), 10);
-    dispatcher.caller_gone(1, 20);
+    dispatcher.handle_request(1, call_of("r", "/gate/x"), 10);
+    dispatcher.caller_disconnected(1, 20);
     assert!(dispatcher.send_waiting(1_000).is_empty());
 }
 
@@ -346,12 +349,13 @@
     let mut dispatcher = dispatcher();
     for id in ["g1", "g2"] {
         for _ in 0..3 {
-            dispatcher.instances.failed(id, 0, "test");
+            dispatcher.instances.record_failure(id, 0, "test");
         }
     }
-    let first = sent_to(&dispatcher.arrive(1, call_of("r", "/gate/x"), 5_000)).expect("sent");
+    let first =
+        sent_to(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 5_000)).expect("sent");
     dispatcher.send_ended(1, WHOLE, None, 5_010);
-    dispatcher.instances.failed(&first, 5_020, "test");
+    dispatcher.instances.record_failure(&first, 5_020, "test");
     let engine = dispatcher.instances.get(&first).expect("listed");
     assert!(engine.is_usable(5_520), "as after a first failure");
 }
@@ -360,7 +364,7 @@
 #[test]
 fn a_request_that_may_have_run_is_not_refused_as_if_it_had_not() {
     let mut dispatcher = dispatcher();
-    let first = sent_to(&dispatcher.arrive(1, call_of("r", "/lookup/x"), 0)).expect("sent");
+    let first = sent_to(&dispatcher.handle_request(1, call_of("r", "/lookup/x"), 0)).expect("sent");
     let other = if first == "g1" { "g2" } else { "g1" };
     hear(&dispatcher.instances, &[other], &rest(1_000), 5);
     let broken = SendOutcome::Unknown(UnknownReason::Broken);
@@ -372,7 +376,7 @@
 #[test]
 fn nor_is_one_that_was_turned_away_after_a_send_that_may_have_run() {
     let mut dispatcher = dispatcher();
-    dispatcher.arrive(1, call_of("r", "/lookup/x"), 0);
+    dispatcher.handle_request(1, call_of("r", "/lookup/x"), 0);
     let broken = SendOutcome::Unknown(UnknownReason::Broken);
     assert!(sent_to(&dispatcher.send_ended(1, broken, None, 10)).is_some());
     let refused = refusal(&dispatcher.send_ended(1, FULL, None, 20)).expect("given up");
@@ -383,11 +387,11 @@
 #[test]
 fn what_a_head_said_counts_while_its_answer_goes_on() {
     let mut dispatcher = dispatcher();
-    let first = sent_to(&dispatcher.arrive(1, call("r"), 0)).expect("sent");
+    let first = sent_to(&dispatcher.handle_request(1, call("r"), 0)).expect("sent");
     hear(&dispatcher.instances, &[&first], &LEAVING, 50);
     dispatcher.head_received(1, None, 50);
     for number in 2..10 {
-        let to = sent_to(&dispatcher.arrive(number, call("r"), 60));
+        let to = sent_to(&dispatcher.handle_request(number, call("r"), 60));
         assert_ne!(to.as_deref(), Some(first.as_str()));
     }
     assert!(dispatcher.send_ended(1, WHOLE, None, 4_000).is_empty());
@@ -425,14 +429,14 @@
         assert!(batcher.next_calls(&table, 0).is_empty());
         let waits = batcher.waits(&whole(), &table, 0);
         assert!(waits.backlog_ms[1] >= 2_000, "{waits:?}");
-        assert!(batcher.end_late_by_rests(&table, 10).is_empty());
+        assert!(batcher.reject_orders_delayed_by_rest(&table, 10).is_empty());
         let mut short = work(2, 1);
         short.remaining_ms = 1_500;
         let refused = batcher.submit(key(2), short, &table, 10);
         assert_eq!(refused, Err(PieceFailure::Overloaded));
         // A longer rest makes the order that waits too late.
         hear(&table, &["s1", "s2"], &rest(9_000), 100);
-        let ended = batcher.end_late_by_rests(&table, 110);
+        let ended = batcher.reject_orders_delayed_by_rest(&table, 110);
         assert_eq!(ended.len(), 1);
         assert_eq!(ended[0].result, Err(PieceFailure::Overloaded));
     }
@@ -462,7 +466,7 @@
             .submit(key(1), work(1, 1), &table, 0)
             .expect("taken");
         hear(&table, &["s1"], &LEAVING, 0);
-        let ended = batcher.end_unstaffed(&table);
+        let ended = batcher.reject_orders_without_backend(&table);
         assert_eq!(ended.len(), 1);
         assert_eq!(ended[0].result, Err(PieceFailure::NoBackend));
     }
@@ -471,5 +475,5 @@
 #[test]
 fn engines_are_chosen_as_before_where_nothing_is_said() {
     let mut dispatcher = dispatcher_with(Policy::default());
-    assert!(sent_to(&dispatcher.arrive(1, call("r"), 0)).is_some());
+    assert!(sent_to(&dispatcher.handle_request(1, call("r"), 0)).is_some());
 }
--- a/crates/serving/tests/rollouts.rs
+++ b/crates/serving/tests/rollouts.rs
@@ -35,7 +35,7 @@
 /// candidates.
 fn dispatcher_of_two_versions() -> Dispatcher {
     let mut dispatcher = dispatcher();
-    dispatcher.instances.replace(&[
+    dispatcher.instances.replace_list(&[
         of_version("e1", "pool", "v1"),
         of_version("e2", "pool", "v1"),
         of_version("e3", "pool", "v1"),
@@ -52,7 +52,7 @@
 /// A dispatcher whose rollout of `service` has this directive.
 fn obeying(service: &str, directive: Directive) -> Dispatcher {
     let mut dispatcher = dispatcher_of_two_versions();
-    dispatcher.take_rollouts(&[in_progress(service, directive)]);
+    dispatcher.apply_rollouts(&[in_progress(service, directive)]);
     dispatcher
 }
 
@@ -87,7 +87,7 @@
     for number in requests {
         let now = number * 10;
         let id = format!("{path}-{number}");
-        let mut actions = dispatcher.arrive(number, call_of(&id, path), now);
+        let mut actions = dispatcher.handle_request(number, call_of(&id, path), now);
         while let Some(plan) = send_of(&actions).cloned() {
             versions.push(plan.version.clone());
             actions = dispatcher.send_ended(number, outcome(&plan), None, now + 1);
@@ -183,7 +183,7 @@
 #[case::completed(completed(&["v1"]), "v2")]
 fn a_retired_version_gets_nothing(#[case] end: RolloutState, #[case] serving: &str) {
     let mut dispatcher = obeying("gate", directive(1, 500, &[]));
-    dispatcher.take_rollouts(&[rollout(1, "gate", "v2", end)]);
+    dispatcher.apply_rollouts(&[rollout(1, "gate", "v2", end)]);
     let outcomes = [GOOD, FULL, UNREACHABLE, BROKEN];
     for (round, outcome) in (0..).zip(outcomes) {
         let requests = round * 20..round * 20 + 20;
@@ -196,20 +196,20 @@
 #[test]
 fn with_retired_back_ends_only_a_request_is_refused_at_once() {
     let mut dispatcher = dispatcher_of_two_versions();
-    dispatcher.take_rollouts(&[rollout(1, "gate", "v2", rolled_back())]);
+    dispatcher.apply_rollouts(&[rollout(1, "gate", "v2", rolled_back())]);
     dispatcher
         .instances
-        .replace(&[of_version("g3", "gate", "v2")]);
-    let refusal = refused(&dispatcher.arrive(1, call_of("r", "/gate/x"), 0));
+        .replace_list(&[of_version("g3", "gate", "v2")]);
+    let refusal = refused(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 0));
     assert_eq!(refusal.code, ResultCode::NoBackend);
 }
 
 #[test]
 fn a_retired_version_is_a_candidate_again_once_it_is_ordered() {
     let mut dispatcher = dispatcher_of_two_versions();
-    dispatcher.take_rollouts(&[rollout(1, "gate", "v2", rolled_back())]);
+    dispatcher.apply_rollouts(&[rollout(1, "gate", "v2", rolled_back())]);
     let again = RolloutState::InProgress(directive(1, 0, &["lookup"]));
-    dispatcher.take_rollouts(&[rollout(2, "gate", "v2", again)]);
+    dispatcher.apply_rollouts(&[rollout(2, "gate", "v2", again)]);
     let versions = versions_sent(&mut dispatcher, "/lookup/x", 0..10, |_| GOOD);
     assert_eq!(count(&versions, "v2"), 10);
 }
@@ -218,9 +218,9 @@
 #[test]
 fn what_one_rollout_retired_stays_so_under_the_next() {
     let mut dispatcher = dispatcher_of_two_versions();
-    dispatcher.take_rollouts(&[rollout(1, "gate", "v2", rolled_back())]);
+    dispatcher.apply_rollouts(&[rollout(1, "gate", "v2", rolled_back())]);
     let next = RolloutState::InProgress(directive(1, 0, &[]));
-    dispatcher.take_rollouts(&[rollout(2, "gate", "v3", next)]);
+    dispatcher.apply_rollouts(&[rollout(2, "gate", "v3", next)]);
     let versions = versions_sent(&mut dispatcher, "/lookup/x", 0..40, |_| GOOD);
     assert_eq!(count(&versions, "v1"), 40);
 }
@@ -229,7 +229,7 @@
 #[test]
 fn back_ends_that_appear_have_the_part_of_their_version() {
     let mut dispatcher = dispatcher();
-    dispatcher.take_rollouts(&[
+    dispatcher.apply_rollouts(&[
         in_progress("gate", directive(1, 0, &[])),
         rollout(2, "pool", "v2", rolled_back()),
     ]);
@@ -239,7 +239,7 @@
         of_version("e1", "pool", "v1"),
         of_version("e9", "pool", "v2"),
     ];
-    dispatcher.instances.replace(&listed);
+    dispatcher.instances.replace_list(&listed);
     let gates = versions_sent(&mut dispatcher, "/lookup/x", 0..40, |_| GOOD);
     let engines = versions_sent(&mut dispatcher, "/chat/x", 40..80, |_| GOOD);
     assert_eq!((count(&gates, "v2"), count(&engines, "v2")), (0, 0));
@@ -252,7 +252,7 @@
 #[case::unreachable(UNREACHABLE)]
 fn after_a_candidate_failed_a_request_goes_to_the_baseline(#[case] outcome: SendOutcome) {
     let mut dispatcher = obeying("pool", directive(1, 0, &["deep"]));
-    let first = sent(&dispatcher.arrive(1, call_of("r", "/chat/deep/x"), 0)).clone();
+    let first = sent(&dispatcher.handle_request(1, call_of("r", "/chat/deep/x"), 0)).clone();
     assert_eq!(first.version, "v2");
     let again = dispatcher.send_ended(1, outcome, None, 5);
     // `e5` is a candidate that was not tried.
@@ -267,12 +267,12 @@
 fn where_no_candidate_can_be_used_the_baseline_serves_and_counts(#[case] are_listed: bool) {
     let mut dispatcher = obeying("gate", directive(1, 0, &["lookup"]));
     if are_listed {
-        dispatcher.instances.failed("g3", 0, "test");
+        dispatcher.instances.record_failure("g3", 0, "test");
     } else {
         let listed = ["g1", "g2"].map(|id| of_version(id, "gate", "v1"));
-        dispatcher.instances.replace(&listed);
+        dispatcher.instances.replace_list(&listed);
     }
-    let plan = sent(&dispatcher.arrive(1, call_of("r", "/lookup/x"), 1)).clone();
+    let plan = sent(&dispatcher.handle_request(1, call_of("r", "/lookup/x"), 1)).clone();
     assert_eq!(plan.version, "v1");
     let (baseline, candidate) = answers(&dispatcher, "lookup");
     assert_eq!((baseline.sent, candidate.sent), (1, 0));
@@ -292,7 +292,7 @@
         of_version("g3", "gate", "v2"),
     ];
     listed[1].cold = true;
-    dispatcher.instances.replace(&listed);
+    dispatcher.instances.replace_list(&listed);
     // 100 requests in a second.
     let versions = versions_sent(&mut dispatcher, "/lookup/x", 0..100, |_| GOOD);
     let to_candidate = count(&versions, "v2");
@@ -307,11 +307,11 @@
     let mut listed = ["g1", "g2"].map(|id| of_version(id, "gate", "v1")).to_vec();
     listed.iter_mut().for_each(|one| one.draining = true);
     listed.push(of_version("g3", "gate", "v2"));
-    dispatcher.instances.replace(&listed);
-    let refusal = refused(&dispatcher.arrive(1, call_of("r1", "/gate/x"), 0));
+    dispatcher.instances.replace_list(&listed);
+    let refusal = refused(&dispatcher.handle_request(1, call_of("r1", "/gate/x"), 0));
     assert_eq!(refusal.code, ResultCode::NoBackend, "with a permit");
     dispatcher.rollouts.set_permitted(false);
-    let plan = sent(&dispatcher.arrive(2, call_of("r2", "/gate/x"), 0)).clone();
+    let plan = sent(&dispatcher.handle_request(2, call_of("r2", "/gate/x"), 0)).clone();
     assert_eq!(plan.version, "v2");
 }
 
@@ -319,7 +319,7 @@
 fn a_node_without_a_permit_goes_on_with_the_candidate_where_the_baseline_is_not_reached() {
     let mut dispatcher = obeying("pool", directive(1, 0, &[]));
     dispatcher.rollouts.set_permitted(false);
-    let mut actions = dispatcher.arrive(1, call("r"), 0);
+    let mut actions = dispatcher.handle_request(1, call("r"), 0);
     let mut versions = Vec::new();
     while let Some(plan) = send_of(&actions).cloned() {
         versions.push(plan.version.clone());
@@ -353,7 +353,7 @@
 ) {
     for (moved, is_candidate) in [(&["gate"][..], true), (&[][..], false)] {
         let mut dispatcher = obeying("gate", directive(1, 0, moved));
-        sent(&dispatcher.arrive(1, call_of("r", "/gate/x"), 100));
+        sent(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 100));
         dispatcher.send_ended(1, outcome, None, 130);
         let (baseline, candidate) = answers(&dispatcher, "gate");
         let seen = if is_candidate { candidate } else { baseline };
@@ -365,7 +365,7 @@
 #[test]
 fn times_are_told_from_the_send_to_the_first_part_and_to_the_end() {
     let mut dispatcher = obeying("pool", directive(1, 0, &["chat"]));
-    sent(&dispatcher.arrive(1, call("r"), 1_000));
+    sent(&dispatcher.handle_request(1, call("r"), 1_000));
     dispatcher.head_received(1, None, 1_100);
     dispatcher.send_ended(1, GOOD, None, 2_600);
     let (_, candidate) = answers(&dispatcher, "chat");
@@ -382,9 +382,9 @@
 #[test]
 fn an_answer_counts_for_the_rollout_of_its_send_only() {
     let mut dispatcher = obeying("gate", directive(1, 0, &["gate"]));
-    sent(&dispatcher.arrive(1, call_of("r", "/gate/x"), 0));
+    sent(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 0));
     let next = RolloutState::InProgress(directive(1, 0, &[]));
-    dispatcher.take_rollouts(&[rollout(2, "gate", "v2", next)]);
+    dispatcher.apply_rollouts(&[rollout(2, "gate", "v2", next)]);
     dispatcher.send_ended(1, SendOutcome::Failed { status: 500 }, None, 10);
     let evidence = evidence_of(&dispatcher);
     assert_eq!((evidence.rollout, evidence.candidate_ended()), (2, 0));
@@ -395,16 +395,16 @@
 #[test]
 fn all_that_runs_at_the_baseline_is_under_way_there() {
     let mut dispatcher = dispatcher_of_two_versions();
-    dispatcher.instances.replace(&[
+    dispatcher.instances.replace_list(&[
         of_version("g1", "gate", "v1"),
         of_version("g2", "gate", "v1"),
     ]);
-    sent(&dispatcher.arrive(1, call_of("r1", "/gate/x"), 0));
-    dispatcher.take_rollouts(&[in_progress("gate", directive(1, 0, &[]))]);
-    sent(&dispatcher.arrive(2, call_of("r2", "/gate/x"), 0));
+    sent(&dispatcher.handle_request(1, call_of("r1", "/gate/x"), 0));
+    dispatcher.apply_rollouts(&[in_progress("gate", directive(1, 0, &[]))]);
+    sent(&dispatcher.handle_request(2, call_of("r2", "/gate/x"), 0));
     assert_eq!(evidence_of(&dispatcher).baseline_in_flight, 2);
     dispatcher.send_ended(1, GOOD, None, 10);
-    dispatcher.caller_gone(2, 10);
+    dispatcher.caller_disconnected(2, 10);
     assert_eq!(evidence_of(&dispatcher).baseline_in_flight, 0);
 }
 
@@ -418,7 +418,7 @@
             let number = session * 5 + turn;
             let mut request = call(&format!("r{number}"));
             request.prefix = vec![part(session), part(1_000 + number)];
-            let plan = sent(&dispatcher.arrive(number, request, 0)).clone();
+            let plan = sent(&dispatcher.handle_request(number, request, 0)).clone();
             assert_eq!(plan.version, "v2");
             engines.insert(plan.instance.clone());
             dispatcher.send_ended(number, GOOD, Some(IDLE), 1);
@@ -435,13 +435,14 @@
         of_version("g1", "gate", "v1"),
         of_version("g3", "gate", "v2"),
     ];
-    dispatcher.take_listing(&list_of(&both[..1]), 0);
-    dispatcher.take_listing(&list_of(&both), 1_000);
+    dispatcher.apply_backend_list(&list_of(&both[..1]), 0);
+    dispatcher.apply_backend_list(&list_of(&both), 1_000);
     let to_new = |dispatcher: &mut Dispatcher, first: u64, now: u64| {
         let mut count = 0;
         for number in first..first + 40 {
             let id = format!("r{number}");
-            let plan = sent(&dispatcher.arrive(number, call_of(&id, "/lookup/x"), now)).clone();
+            let plan =
+                sent(&dispatcher.handle_request(number, call_of(&id, "/lookup/x"), now)).clone();
             dispatcher.send_ended(number, GOOD, None, now);
             count += usize::from(plan.version == "v2");
         }
@@ -459,18 +460,18 @@
         of_version("g3", "gate", "v2"),
     ];
     let mut replaced = dispatcher();
-    replaced.take_listing(&list_of(&both[..1]), 0);
-    replaced.take_listing(&list_of(&both), 1_000);
-    replaced.take_listing(&list_of(&both[1..]), 1_500);
-    let plan = sent(&replaced.arrive(1, call_of("r", "/gate/x"), 1_500)).clone();
+    replaced.apply_backend_list(&list_of(&both[..1]), 0);
+    replaced.apply_backend_list(&list_of(&both), 1_000);
+    replaced.apply_backend_list(&list_of(&both[1..]), 1_500);
+    let plan = sent(&replaced.handle_request(1, call_of("r", "/gate/x"), 1_500)).clone();
     assert_eq!(plan.version, "v2");
 
     let mut ordered = dispatcher();
     ordered.rollouts.set_permitted(true);
-    ordered.take_listing(&list_of(&both[..1]), 0);
-    ordered.take_listing(&list_of(&both), 1_000);
-    ordered.take_rollouts(&[in_progress("gate", directive(1, 0, &["gate"]))]);
-    let plan = sent(&ordered.arrive(1, call_of("r", "/gate/x"), 1_100)).clone();
+    ordered.apply_backend_list(&list_of(&both[..1]), 0);
+    ordered.apply_backend_list(&list_of(&both), 1_000);
+    ordered.apply_rollouts(&[in_progress("gate", directive(1, 0, &["gate"]))]);
+    let plan = sent(&ordered.handle_request(1, call_of("r", "/gate/x"), 1_100)).clone();
     assert_eq!(plan.version, "v2");
 }
 
@@ -482,7 +483,7 @@
         of_version("g1", "gate", "v1"),
         of_version("g3", "gate", "v2"),
     ];
-    dispatcher.take_listing(&list_of(&listed), 0);
+    dispatcher.apply_backend_list(&list_of(&listed), 0);
     let versions = versions_sent(&mut dispatcher, "/lookup/x", 0..40, |_| GOOD);
     assert!(count(&versions, "v1") > 0 && count(&versions, "v2") > 0);
 }
--- a/crates/serving/tests/selection.rs
+++ b/crates/serving/tests/selection.rs
@@ -14,7 +14,7 @@
 
 fn table() -> InstanceTable {
     let mut table = InstanceTable::new(DecisionLog::off());
-    table.replace(&instances());
+    table.replace_list(&instances());
     table
 }
 
@@ -69,7 +69,7 @@
         slots: 64,
         pace: Pace::USUAL,
     };
-    table.reported(&favourite, busy, 100);
+    table.record_load(&favourite, busy, 100);
     assert_ne!(
         select(&table, &request(key), 200).expect("one").listed.id,
         favourite
@@ -85,32 +85,32 @@
 fn failures_are_passed_over_longer_and_longer_but_not_when_all_fail() {
     let mut table = table();
     for id in ["e1", "e2"] {
-        table.failed(id, 0, "test");
+        table.record_failure(id, 0, "test");
     }
     assert_eq!(
         select(&table, &request(None), 1).expect("one").listed.id,
         "e3"
     );
-    table.failed("e3", 1, "test");
+    table.record_failure("e3", 1, "test");
     assert!(select(&table, &request(None), 2).is_some());
-    table.failed("e1", 600, "test");
+    table.record_failure("e1", 600, "test");
     assert!(table.get("e1").is_some_and(|one| one.is_suspect(1_500)));
-    table.answered("e1");
+    table.record_answer("e1");
     assert!(table.get("e1").is_some_and(|one| !one.is_suspect(1_500)));
 }
 
 #[test]
 fn a_new_start_at_an_old_address_is_another_back_end() {
     let mut table = table();
-    table.sent("e1", 10, 0);
+    table.record_sent("e1", 10, 0);
     let mut listed = instances();
     listed[0] = instance("e1-again", "gate", "a");
     listed[0].address = "e1:80".into();
-    assert!(table.replace(&listed));
+    assert!(table.replace_list(&listed));
     assert!(table.get("e1").is_none());
     assert_eq!(table.at_address("e1:80").map(|one| one.in_flight), Some(0));
     // What ends at the former one changes nothing.
-    table.ended("e1", 10);
+    table.record_ended("e1", 10);
 }
 
 /// Also as a last resort, and for requests that share a prompt with what ran there.
@@ -123,7 +123,7 @@
         let engine = select(&table, &request(key), 0).expect("an engine");
         assert_eq!(engine.listed.id, "e1");
     }
-    table.failed("e1", 0, "unreachable");
+    table.record_failure("e1", 0, "unreachable");
     assert_eq!(
         select(&table, &request(None), 0).expect("one").listed.id,
         "e1"
@@ -139,10 +139,10 @@
     table.set_evacuated(["b".to_owned()].into(), 0);
     let mut listed = instances();
     listed.push(instance("e4", "pool", "b"));
-    table.replace(&listed);
-    assert!(!table.get("e4").expect("listed").takes_work());
+    table.replace_list(&listed);
+    assert!(!table.get("e4").expect("listed").accepts_new_work());
     table.set_evacuated(BTreeSet::new(), 0);
-    assert!(table.get("e4").expect("listed").takes_work());
+    assert!(table.get("e4").expect("listed").accepts_new_work());
 }
 
 /// A pace changes many times a second: an old one says nothing.
@@ -155,7 +155,7 @@
         slots: 64,
         pace: Pace(160),
     };
-    table.reported("e1", slow, 1_000);
+    table.record_load("e1", slow, 1_000);
     for lot in 0..50 {
         let request = SelectionRequest {
             lot,
