--- a/crates/serving/src/batcher.rs
+++ b/crates/serving/src/batcher.rs
@@ -1,16 +1,15 @@
-//! Which pieces share a call. One node batches all pieces of a service: a call
-//! costs most of its time whatever it carries, so pieces of different requests,
-//! taken in by different nodes, go together.
+//! Batches pieces of different requests into calls to the back ends of a service.
 //!
-//! An idle back end gets what waits at once; while all are busy, pieces gather.
-//! Pieces may be made again, so a batch whose fate is unknown is sent once more.
+//! One node batches all pieces of a shard, so that pieces of requests that arrived at different
+//! nodes can share a call. An idle back end gets what is waiting at once; while all are busy,
+//! pieces accumulate. Pieces are idempotent: a batch with an unknown outcome is sent again.
 
 mod announced;
+mod backend_health;
 mod estimate;
-mod makers;
 mod order;
 mod outcomes;
-mod room;
+mod result_memory;
 mod schedule;
 mod versions;
 
@@ -22,10 +21,10 @@
 use crate::Millis;
 pub use announced::AnnouncedOrder;
 use announced::AnnouncedOrders;
-use estimate::Pace;
-use makers::MakerBook;
+use backend_health::BackendHealthTable;
+use estimate::CallAverages;
 use order::{Order, PieceState};
-use room::RoomBook;
+use result_memory::ResultMemory;
 use silversail_decisions::{DecisionLog, Event};
 use silversail_model::topology::RegionFilter;
 use silversail_model::traffic::BatchSpec;
@@ -34,63 +33,64 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// How long the results of the node that batched before are assumed to take half of
-/// the room, in milliseconds.
-const FORMER_OWNER_FOR: Millis = 1_000;
-/// Identifies an order of work by the node that gave it.
+/// How long half of the result memory of a back end is assumed to hold results of the previous
+/// owner, in milliseconds.
+const FORMER_OWNER_RESULTS_FOR: Millis = 1_000;
+/// Identifies an order: the pieces of one phase of one request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OrderKey {
-    /// The node.
+    /// The node that submitted the order.
     pub node: NodeName,
-    /// The order at that node's process.
+    /// Number of the order, unique within that node's process.
     pub work: WorkId,
 }
 
-/// Identifies a call of this node.
+/// Identifies a batch call within this process.
 pub type CallId = u64;
 
-/// A call to be made.
+/// A batch call to send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BatchCall {
-    /// Identifies the call.
+    /// Reported back with the outcome.
     pub call: CallId,
-    /// Identity of the back end.
+    /// Identity of the back end's process.
     pub instance: String,
-    /// What it calls itself.
+    /// The name that the back end gives itself.
     pub name: String,
-    /// Its service.
+    /// Service of the back end.
     pub service: String,
-    /// Version of its software; empty where the list does not tell.
+    /// Software version of the back end; empty if the list does not name one.
     pub version: String,
-    /// Its address.
+    /// Network address of the back end.
     pub address: String,
-    /// The pieces, each with the milliseconds that remain for it.
+    /// The pieces, each with its remaining time in milliseconds.
     pub pieces: Vec<(Piece, u64)>,
 }
 
-/// What a call came to.
+/// Outcome of a batch call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallOutcome {
-    /// It was answered, piece by piece.
+    /// The back end answered with one result for each piece.
     Answered(PieceResults),
-    /// The back end said that it did not run.
+    /// The back end rejected the call without running it.
     NotRun,
-    /// The back end was not reached: nothing was sent.
+    /// The connection failed before anything was sent.
     Unreachable,
-    /// Nothing was sent, as the back end said after it was chosen that it rests or leaves.
+    /// Nothing was sent: after it was selected, the back end reported that it rests or shuts
+    /// down.
     Withheld,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
-/// An order that ended.
+/// An order that completed or failed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FinishedOrder {
-    /// The order.
+    /// The order's key.
     pub key: OrderKey,
-    /// The back ends that were to do it.
+    /// The shard that processed the order.
     pub shard: Shard,
-    /// The results in the order of the pieces, or why there are none.
+    /// Results in the order of the pieces, or the reason of the failure.
     pub result: Result<Vec<ResultHandle>, PieceFailure>,
 }
 
@@ -98,11 +98,11 @@
     instance: String,
     address: String,
     version: String,
-    /// Where it counts for a rollout.
+    /// How the call is counted for a rollout.
     counted: Option<CountedSend>,
     shard: Shard,
     members: Vec<(OrderKey, usize)>,
-    room: u64,
+    result_bytes: u64,
     began_at: Millis,
 }
 
@@ -110,14 +110,14 @@
 pub struct Batcher {
     specs: BTreeMap<String, BatchSpec>,
     orders: BTreeMap<OrderKey, Order>,
-    /// How many orders each shard has, so that a message costs no look at all orders.
+    /// Number of orders of each shard, kept so that a message need not scan all orders.
     shards: BTreeMap<Shard, usize>,
     calls: BTreeMap<CallId, CallState>,
-    makers: MakerBook,
-    room: RoomBook,
+    backends: BackendHealthTable,
+    result_memory: ResultMemory,
     announced: AnnouncedOrders,
-    paces: BTreeMap<Shard, Pace>,
-    /// The rollouts of batched services.
+    call_averages: BTreeMap<Shard, CallAverages>,
+    /// Rollouts of the batched services.
     pub rollouts: RolloutBook,
     policy: Policy,
     topology: Arc<Topology>,
@@ -127,17 +127,17 @@
 }
 
 impl Batcher {
-    /// A batcher without services.
+    /// Creates a batcher without services.
     pub fn new(policy: Policy, log: DecisionLog) -> Self {
         Self {
             specs: BTreeMap::new(),
             orders: BTreeMap::new(),
             shards: BTreeMap::new(),
             calls: BTreeMap::new(),
-            makers: MakerBook::new(policy, log.clone()),
-            room: RoomBook::default(),
+            backends: BackendHealthTable::new(policy, log.clone()),
+            result_memory: ResultMemory::default(),
             announced: AnnouncedOrders::default(),
-            paces: BTreeMap::new(),
+            call_averages: BTreeMap::new(),
             rollouts: RolloutBook::default(),
             policy,
             topology: Arc::default(),
@@ -147,28 +147,28 @@
         }
     }
 
-    /// The same batcher in a deployment whose zones lie in regions.
+    /// Sets the topology that maps zones to regions.
     pub fn with_topology(mut self, topology: Arc<Topology>) -> Self {
         self.topology = topology;
         self
     }
 
-    /// Whether a back end in `zone` may make pieces that are restricted to regions.
+    /// Whether pieces restricted to `regions` may run in `zone`.
     fn allows(&self, regions: &RegionFilter, zone: &str) -> bool {
         regions.allows(self.topology.region_of(zone))
     }
 
-    /// Takes what each service's back ends can do.
+    /// Replaces the batch settings of all services.
     pub fn set_specs(&mut self, specs: BTreeMap<String, BatchSpec>) {
         self.specs = specs;
     }
 
-    /// Takes in that an order is to come.
+    /// Records an order that will be submitted later.
     pub fn announce(&mut self, key: OrderKey, order: AnnouncedOrder, now: Millis) {
         self.announced.add(key, order, now);
     }
 
-    /// Takes an order. An error refuses it at once.
+    /// Accepts an order. An error rejects it immediately.
     pub fn submit(
         &mut self,
         key: OrderKey,
@@ -177,15 +177,15 @@
         now: Millis,
     ) -> Result<(), PieceFailure> {
         self.announced.remove(&key);
-        if !self.is_staffed(&work.shard, &work.regions, table) {
+        if !self.has_eligible_backend(&work.shard, &work.regions, table) {
             return Err(PieceFailure::NoBackend);
         }
-        let rank = work.priority;
-        let expected = self.expected_ms(&work.shard, work.pieces.len(), rank, table, now)?;
+        let priority = work.priority;
+        let expected = self.expected_ms(&work.shard, work.pieces.len(), priority, table, now)?;
         if expected > work.remaining_ms {
             return Err(PieceFailure::Overloaded);
         }
-        // An order that is given again is still the same order.
+        // Submitting an order is idempotent.
         if !self.orders.contains_key(&key) {
             *self.shards.entry(work.shard.clone()).or_default() += 1;
             self.orders.insert(key, Order::new(work, self.policy, now));
@@ -209,62 +209,63 @@
         orders.filter(move |order| order.work.shard == *shard)
     }
 
-    /// Forgets an order; its results are freed, also those still to come.
+    /// Cancels an order and releases its results, including those of calls in flight.
     pub fn cancel(&mut self, key: &OrderKey) {
         self.announced.remove(key);
         if let Some(order) = self.remove_order(key) {
-            self.room.release(&order.made());
+            self.result_memory.release(&order.made());
         }
     }
 
-    /// This node batches a shard from now on: what the results of the node before
-    /// take at the makers is not known here.
+    /// Takes over the batching of a shard. The memory that results of the previous owner use is
+    /// unknown here, so half of it is assumed to be in use for a while.
     pub fn take_over_shard(&mut self, shard: &Shard, table: &InstanceTable, now: Millis) {
-        let room = self.room_of(&shard.service);
-        for maker in table.of_shard(shard) {
-            let id = &maker.listed.id;
-            let until = now + FORMER_OWNER_FOR;
-            self.makers.put_at_risk(id, FORMER_OWNER_FOR, now);
-            self.room.assume_taken(id, room / 2, until);
+        let memory = self.result_memory_of(&shard.service);
+        for backend in table.of_shard(shard) {
+            let id = &backend.listed.id;
+            let until = now + FORMER_OWNER_RESULTS_FOR;
+            self.backends
+                .mark_at_risk(id, FORMER_OWNER_RESULTS_FOR, now);
+            self.result_memory.assume_used(id, memory / 2, until);
         }
     }
 
-    /// Forgets the orders of a process that is gone, those with numbers below
-    /// `first_work`, and frees their results.
+    /// Cancels the orders of a process that has ended, those numbered below `first_work`, and
+    /// releases their results.
     pub fn forget_process(&mut self, node: &NodeName, first_work: WorkId) {
-        let is_theirs = |key: &OrderKey| key.node == *node && key.work < first_work;
+        let matches = |key: &OrderKey| key.node == *node && key.work < first_work;
         let keys: Vec<OrderKey> = self
             .orders
             .keys()
-            .filter(|key| is_theirs(key))
+            .filter(|key| matches(key))
             .cloned()
             .collect();
         for key in keys {
             self.cancel(&key);
         }
-        self.announced.forget(is_theirs);
-        self.room.release_of(is_theirs);
+        self.announced.forget(matches);
+        self.result_memory.release_orders(matches);
     }
 
-    /// Frees results.
+    /// Releases results that are no longer needed.
     pub fn release(&mut self, handles: &[ResultHandle]) {
-        self.room.release(handles);
+        self.result_memory.release(handles);
     }
 
-    /// Makers said that they freed results.
+    /// Records that back ends have freed results.
     pub fn results_freed(&mut self, handles: &[ResultHandle]) {
-        self.room.freed(handles);
+        self.result_memory.freed(handles);
     }
 
-    /// Results to be freed at their makers.
+    /// Takes the results that back ends have to be told to free.
     pub fn take_releases(&mut self) -> Vec<ResultHandle> {
-        self.room.take_releases()
+        self.result_memory.take_releases()
     }
 
     fn start(
         &mut self,
         shard: &Shard,
-        maker: &str,
+        backend: &str,
         members: Vec<(OrderKey, usize)>,
         table: &InstanceTable,
         now: Millis,
@@ -272,52 +273,58 @@
         let call = self.next_call;
         self.next_call += 1;
         let mut pieces = Vec::new();
-        let mut room = 0;
+        let mut result_bytes = 0;
         for (key, index) in &members {
             let Some(order) = self.orders.get_mut(key) else {
                 continue;
             };
             order.set_state(*index, PieceState::InCall(call));
-            order.is_at_risk |= self.makers.is_at_risk(maker, now);
+            order.is_at_risk |= self.backends.is_at_risk(backend, now);
             if order.waiting_pieces() == 0 {
                 order.all_called_at = Some(now);
             }
             let piece = order.work.pieces[*index].clone();
-            room += piece.result_bytes;
+            result_bytes += piece.result_bytes;
             pieces.push((piece, order.deadline.saturating_sub(now)));
         }
-        self.room.reserve(maker, room);
-        if let Some(instance) = table.get(maker) {
+        self.result_memory.reserve(backend, result_bytes);
+        if let Some(instance) = table.get(backend) {
             instance.choose_permit(now);
         }
-        let listed = table.get(maker).map(|one| one.listed.clone());
+        let listed = table.get(backend).map(|instance| instance.listed.clone());
         let (name, address, version) = listed
-            .map(|one| (one.name.clone(), one.address.clone(), one.version.clone()))
+            .map(|entry| {
+                (
+                    entry.name.clone(),
+                    entry.address.clone(),
+                    entry.version.clone(),
+                )
+            })
             .unwrap_or_default();
-        let counted = self.count_call(shard, maker, table);
+        let counted = self.count_call(shard, backend, table);
         let waiting = self.waiting_of(shard).map(Order::waiting_pieces).sum();
         self.log.record(Event::BatchSent {
-            backend: maker.to_owned(),
+            backend: backend.to_owned(),
             service: shard.service.clone(),
             pieces: pieces.len(),
             waiting,
-            room_taken: self.room.taken(maker),
+            room_taken: self.result_memory.used_bytes(backend),
             requests: distinct_requests(&pieces),
         });
         let state = CallState {
-            instance: maker.to_owned(),
+            instance: backend.to_owned(),
             address: address.clone(),
             version: version.clone(),
             counted,
             shard: shard.clone(),
             members,
-            room,
+            result_bytes,
             began_at: now,
         };
         self.calls.insert(call, state);
         BatchCall {
             call,
-            instance: maker.to_owned(),
+            instance: backend.to_owned(),
             name,
             service: shard.service.clone(),
             version,
@@ -326,34 +333,36 @@
         }
     }
 
-    fn room_of(&self, service: &str) -> u64 {
+    fn result_memory_of(&self, service: &str) -> u64 {
         self.specs.get(service).map_or(0, |spec| spec.room_bytes)
     }
 
-    /// Orders whose back ends have read all inputs by now: their calls began at
-    /// once, as no other waited there, and inputs are read first. The inputs can
-    /// be freed; each order is told once. Orders at risk are not told: a piece that is
-    /// made a second time needs its inputs.
+    /// Returns, once each, the orders whose back ends have read all inputs, so that the inputs
+    /// can be freed. A call reads its inputs first, and starts at once because no other waits at
+    /// that back end. Orders at risk are left out: a piece that is run again needs its inputs.
     pub fn inputs_read(&mut self, now: Millis) -> Vec<OrderKey> {
         if !self.policy.early_freeing {
             return Vec::new();
         }
         let read_after = self.policy.inputs_read_after_ms;
-        let is_read = |order: &Order| {
+        let has_read_inputs = |order: &Order| {
             let called_at = order.all_called_at;
-            !order.told_inputs_read
+            !order.is_inputs_read_reported
                 && !order.is_at_risk
                 && called_at.is_some_and(|at| at + read_after <= now)
         };
-        let read = self.orders.iter_mut().filter(|(_, order)| is_read(order));
+        let read = self
+            .orders
+            .iter_mut()
+            .filter(|(_, order)| has_read_inputs(order));
         read.map(|(key, order)| {
-            order.told_inputs_read = true;
+            order.is_inputs_read_reported = true;
             key.clone()
         })
         .collect()
     }
 
-    /// Where the requests of a call under way break off, if it does.
+    /// Describes a call in flight whose connection was lost; none if the call is unknown.
     pub fn break_off(&self, call: CallId) -> Option<BreakOff> {
         let state = self.calls.get(&call)?;
         let members: BTreeSet<&OrderKey> = state.members.iter().map(|(key, _)| key).collect();
@@ -373,15 +382,15 @@
         })
     }
 
-    /// Limited makers for which pieces wait that this node has no permit for, each once.
+    /// Rate-limited back ends that have waiting pieces but no permit of this node.
     pub fn permits_wanted(&self, table: &InstanceTable, now: Millis) -> Vec<InstanceId> {
         let waits = |shard: &&Shard| self.waiting_of(shard).any(Order::is_waiting);
         let shards = self.shards.keys().filter(waits);
-        let makers = shards.flat_map(|shard| self.makers.without_permit(shard, table, now));
-        makers.map(str::to_owned).collect()
+        let backends = shards.flat_map(|shard| self.backends.without_permit(shard, table, now));
+        backends.map(str::to_owned).collect()
     }
 
-    /// Orders that wait or are at work, and calls under way.
+    /// Number of open orders, and of calls in flight.
     pub fn order_and_call_counts(&self) -> (usize, usize) {
         (self.orders.len(), self.calls.len())
     }
--- a/crates/serving/src/batcher/announced.rs
+++ b/crates/serving/src/batcher/announced.rs
@@ -1,6 +1,5 @@
-//! Orders to come: requests under way whose phases before are not done yet. Without
-//! them, a burst would be seen only when it reaches the last phase, and too much be
-//! admitted until then.
+//! Announced orders: later phases of admitted requests whose earlier phases still run. Counting
+//! them keeps a burst from being over-admitted before it reaches the last phase.
 
 use super::OrderKey;
 use crate::Millis;
@@ -8,22 +7,21 @@
 use silversail_peer::RANKS;
 use std::collections::BTreeMap;
 
-/// How long an announced order counts, in milliseconds, if nothing more is heard
-/// of it.
+/// How long an announced order counts without further news of it, in milliseconds.
 const ANNOUNCED_FOR: Millis = 4_000;
 
-/// An order to come.
+/// An order that will be submitted once earlier phases are done.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnnouncedOrder {
-    /// The back ends that will make it.
+    /// The shard that will process it.
     pub shard: Shard,
-    /// How many pieces it will have.
+    /// Number of pieces.
     pub pieces: usize,
-    /// Rank of the request.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u8,
 }
 
-/// All orders to come.
+/// The announced orders with their expiry times.
 #[derive(Default)]
 pub(super) struct AnnouncedOrders {
     orders: BTreeMap<OrderKey, (AnnouncedOrder, Millis)>,
@@ -34,18 +32,18 @@
         self.orders.insert(key, (order, now + ANNOUNCED_FOR));
     }
 
-    /// Forgets an order: it came, or it will not.
+    /// Removes an order that was submitted or cancelled.
     pub(super) fn remove(&mut self, key: &OrderKey) {
         self.orders.remove(key);
     }
 
-    /// Forgets the orders that `is_theirs` holds for.
-    pub(super) fn forget(&mut self, is_theirs: impl Fn(&OrderKey) -> bool) {
-        self.orders.retain(|key, _| !is_theirs(key));
+    /// Removes the orders whose key matches.
+    pub(super) fn forget(&mut self, matches: impl Fn(&OrderKey) -> bool) {
+        self.orders.retain(|key, _| !matches(key));
     }
 
-    /// Pieces to come of a shard, by the rank of their requests.
-    pub(super) fn pieces_by_rank(&self, shard: &Shard, now: Millis) -> [usize; RANKS] {
+    /// Announced pieces of a shard by priority.
+    pub(super) fn pieces_by_priority(&self, shard: &Shard, now: Millis) -> [usize; RANKS] {
         let mut pieces = [0; RANKS];
         for (order, until) in self.orders.values() {
             if order.shard == *shard && *until > now {
@@ -55,7 +53,7 @@
         pieces
     }
 
-    /// Forgets orders whose time is over.
+    /// Removes expired orders.
     pub(super) fn expire(&mut self, now: Millis) {
         self.orders.retain(|_, (_, until)| *until > now);
     }
--- a/crates/serving/src/batcher/makers.rs
+++ b/crates/serving/src/batcher/backend_health.rs
@@ -1,5 +1,5 @@
-//! What the batching node believes of the back ends that make pieces: which of them
-//! refuse, fail or are slow.
+//! Health of back ends as the batching node sees it: which of them reject calls, fail or are
+//! slow.
 
 use super::CallOutcome;
 use crate::instances::{Instance, InstanceTable};
@@ -11,54 +11,53 @@
 use silversail_model::Shard;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long a maker that refused a call, or had no room, gets none, in
+/// How long a back end that rejected a call, or lacked memory for a result, gets no calls, in
 /// milliseconds.
 const REFUSED_FOR: Millis = 80;
-/// How long a maker that failed a call gets none after the first failure, in
-/// milliseconds; each further one doubles it.
+/// How long a back end gets no calls after its first failure, in milliseconds; doubles with each
+/// further failure.
 const FAILED_FOR: Millis = 250;
-/// Most doublings of it.
+/// Maximum number of times that `FAILED_FOR` doubles.
 const MAX_DOUBLINGS: u32 = 4;
-/// A call that took so many times what calls of the service take lately was made by
-/// a slow maker.
+/// A call whose relative duration exceeds the recent median by this factor marks the back end as
+/// slow.
 const SLOW_FACTOR: f64 = 2.4;
-/// Calls of a service that are remembered for that.
+/// Number of recent calls of a service from which the median is taken.
 const REMEMBERED_CALLS: usize = 15;
-/// How long a slow maker gets no call, in milliseconds, until it is tried again.
+/// How long a slow back end gets no calls, in milliseconds.
 const SLOW_FOR: Millis = 2_000;
 
-/// How long after a maker failed its calls count as at risk, in milliseconds.
+/// How long calls to a back end count as at risk after a failure, in milliseconds.
 const AT_RISK_FOR: Millis = 1_000;
 
-/// Times of one maker.
+/// Health of one back end.
 #[derive(Default)]
-struct Maker {
+struct BackendHealth {
     failures: u32,
     refused_until: Millis,
     slow_until: Millis,
     at_risk_until: Millis,
 }
 
-/// A call that ended, as its maker is judged by it.
+/// A finished call, from which the back end's health is updated.
 pub(super) struct EndedCall<'a> {
-    pub(super) maker: &'a str,
+    pub(super) backend: &'a str,
     pub(super) service: &'a str,
-    /// Version of the maker's software.
+    /// Software version of the back end.
     pub(super) version: &'a str,
     pub(super) took_ms: Millis,
-    /// How long it takes by the configuration, in milliseconds.
+    /// Duration by the configured cost model, in milliseconds.
     pub(super) expected_ms: f64,
 }
 
 impl EndedCall<'_> {
-    /// The time that it took as a share of what it takes by the configuration.
+    /// Measured duration relative to the configured one.
     pub(super) fn share(&self) -> f64 {
         self.took_ms as f64 / self.expected_ms
     }
 }
 
-/// How long the latest calls of a service took, each as a share of what its pieces
-/// take by the configuration.
+/// Relative durations of the latest calls of a service.
 #[derive(Default)]
 struct RecentCalls {
     shares: VecDeque<f64>,
@@ -72,9 +71,9 @@
         self.shares.push_back(share);
     }
 
-    /// The median, at least the configuration's time. Two nodes that batch for a while,
-    /// after a change of owner, make calls wait and all of them longer. Of few calls the
-    /// median says little: a first slow call hides a second one.
+    /// The median, but at least 1. While two nodes batch for a shard after a change of owner,
+    /// calls queue and all get slower; and the median of a few calls could hide a second slow
+    /// back end.
     fn usual(&self) -> f64 {
         let mut sorted: Vec<f64> = self.shares.iter().copied().collect();
         sorted.sort_by(f64::total_cmp);
@@ -83,59 +82,60 @@
     }
 }
 
-/// All makers of which something is believed.
-pub(super) struct MakerBook {
+/// Health of the back ends that are not known to be well.
+pub(super) struct BackendHealthTable {
     policy: Policy,
-    makers: BTreeMap<String, Maker>,
+    backends: BTreeMap<String, BackendHealth>,
     recent: BTreeMap<String, RecentCalls>,
     log: DecisionLog,
 }
 
-impl MakerBook {
+impl BackendHealthTable {
     pub(super) fn new(policy: Policy, log: DecisionLog) -> Self {
         Self {
             policy,
-            makers: BTreeMap::new(),
+            backends: BTreeMap::new(),
             recent: BTreeMap::new(),
             log,
         }
     }
 
-    /// A piece may have to be made a second time for `within` milliseconds from now.
-    pub(super) fn put_at_risk(&mut self, id: &str, within: Millis, now: Millis) {
-        let maker = self.makers.entry(id.to_owned()).or_default();
-        maker.at_risk_until = maker.at_risk_until.max(now + within);
+    /// Marks the pieces of a back end as likely to be run again during the next `within`
+    /// milliseconds.
+    pub(super) fn mark_at_risk(&mut self, id: &str, within: Millis, now: Millis) {
+        let backend = self.backends.entry(id.to_owned()).or_default();
+        backend.at_risk_until = backend.at_risk_until.max(now + within);
     }
 
-    /// Whether pieces that a maker gets may well have to be made a second time.
+    /// Whether pieces sent to a back end are likely to be run again.
     pub(super) fn is_at_risk(&self, id: &str, now: Millis) -> bool {
-        let maker = self.makers.get(id);
-        maker.is_some_and(|maker| maker.at_risk_until > now)
+        let backend = self.backends.get(id);
+        backend.is_some_and(|backend| backend.at_risk_until > now)
     }
 
-    /// A maker refused a call, or had no room for a result.
+    /// Records that a back end rejected a call or lacked memory for a result.
     pub(super) fn refused(&mut self, id: &str, now: Millis) {
-        let maker = self.makers.entry(id.to_owned()).or_default();
-        maker.refused_until = maker.refused_until.max(now + REFUSED_FOR);
+        let backend = self.backends.entry(id.to_owned()).or_default();
+        backend.refused_until = backend.refused_until.max(now + REFUSED_FOR);
     }
 
-    /// A maker could not be reached, or gave no whole answer.
+    /// Records that a back end was unreachable or its answer was incomplete.
     fn failed(&mut self, call: &EndedCall<'_>, now: Millis) {
-        let id = call.maker;
-        let maker = self.makers.entry(id.to_owned()).or_default();
-        let doublings = maker.failures.min(MAX_DOUBLINGS);
-        maker.at_risk_until = now + AT_RISK_FOR;
+        let id = call.backend;
+        let backend = self.backends.entry(id.to_owned()).or_default();
+        let doublings = backend.failures.min(MAX_DOUBLINGS);
+        backend.at_risk_until = now + AT_RISK_FOR;
         if !self.policy.pass_over_failing {
             return;
         }
-        maker.failures += 1;
-        maker.refused_until = now + (FAILED_FOR << doublings);
+        backend.failures += 1;
+        backend.refused_until = now + (FAILED_FOR << doublings);
         self.record(call, "suspect");
     }
 
     fn record(&self, call: &EndedCall<'_>, state: &str) {
         self.log.record(Event::Backend {
-            backend: call.maker.to_owned(),
+            backend: call.backend.to_owned(),
             service: call.service.to_owned(),
             version: call.version.to_owned(),
             state: state.to_owned(),
@@ -143,9 +143,9 @@
         });
     }
 
-    /// A call to a maker ended.
+    /// Updates the health of a back end from a finished call.
     pub(super) fn call_ended(&mut self, call: &EndedCall<'_>, outcome: &CallOutcome, now: Millis) {
-        let id = call.maker;
+        let id = call.backend;
         match outcome {
             CallOutcome::Withheld => {}
             CallOutcome::NotRun => self.refused(id, now),
@@ -155,34 +155,34 @@
                 let recent = self.recent.entry(call.service.to_owned()).or_default();
                 let is_slow = self.policy.pass_over_slow && share > recent.usual() * SLOW_FACTOR;
                 recent.add(share);
-                if let Some(maker) = self.makers.get_mut(id) {
-                    maker.failures = 0;
+                if let Some(backend) = self.backends.get_mut(id) {
+                    backend.failures = 0;
                 }
                 if is_slow {
-                    let maker = self.makers.entry(id.to_owned()).or_default();
-                    maker.slow_until = now + SLOW_FOR;
+                    let backend = self.backends.entry(id.to_owned()).or_default();
+                    backend.slow_until = now + SLOW_FOR;
                     self.record(call, "slow");
                 }
             }
         }
     }
 
-    /// Milliseconds until one of a shard's makers may get a call again; 0 where one may now.
+    /// Milliseconds until the first back end of a shard may get calls again; 0 if one may now.
     pub(super) fn refusing_ms(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> u32 {
         let staying = table.of_shard(shard).filter(|one| one.accepts_new_work());
         let until = staying.map(|one| {
-            let maker = self.makers.get(&one.listed.id);
-            maker.map_or(0, |maker| maker.refused_until.saturating_sub(now))
+            let backend = self.backends.get(&one.listed.id);
+            backend.map_or(0, |backend| backend.refused_until.saturating_sub(now))
         });
         until.min().unwrap_or_default() as u32
     }
 
-    /// Milliseconds until the first of a shard's makers is back from its rest, or this node has a
-    /// permit for it; 0 where there is one to which neither applies.
+    /// Milliseconds until the first back end of a shard has ended its rest and this node has a
+    /// permit for it; 0 if one is available.
     pub(super) fn rest_ms(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> Millis {
         let mut first_back = None;
-        for maker in table.of_shard(shard).filter(|one| one.accepts_new_work()) {
-            match maker.wait_ms(now) {
+        for backend in table.of_shard(shard).filter(|one| one.accepts_new_work()) {
+            match backend.wait_ms(now) {
                 0 => return 0,
                 left => first_back = Some(first_back.map_or(left, |known: Millis| known.min(left))),
             }
@@ -191,21 +191,23 @@
     }
 
     fn is_refusing(&self, id: &str, now: Millis) -> bool {
-        let maker = self.makers.get(id);
-        maker.is_some_and(|maker| maker.refused_until > now)
+        let backend = self.backends.get(id);
+        backend.is_some_and(|backend| backend.refused_until > now)
     }
 
     fn is_slow(&self, id: &str, now: Millis) -> bool {
-        let maker = self.makers.get(id);
-        maker.is_some_and(|maker| maker.slow_until > now)
+        let backend = self.backends.get(id);
+        backend.is_some_and(|backend| backend.slow_until > now)
     }
 
     fn has_failed(&self, id: &str) -> bool {
-        self.makers.get(id).is_some_and(|maker| maker.failures > 0)
+        self.backends
+            .get(id)
+            .is_some_and(|backend| backend.failures > 0)
     }
 
-    /// Makers of a shard of the versions chosen that may get a call at `now`, busy ones
-    /// included. Slow ones are passed over while they are the fewer.
+    /// Back ends of a shard, of the selected versions, that may get a call at `now`, including
+    /// busy ones. Slow ones are excluded while they are the minority.
     pub(super) fn usable<'a>(
         &self,
         shard: &'a Shard,
@@ -235,7 +237,7 @@
         usable
     }
 
-    /// Limited makers for which this node has no permit.
+    /// Rate-limited back ends for which this node has no permit.
     pub(super) fn without_permit<'a>(
         &self,
         shard: &'a Shard,
@@ -247,15 +249,15 @@
         lacking.map(|one| one.listed.id.as_str())
     }
 
-    /// Calls a millisecond that the limited makers of a shard take, where a call takes `call`
-    /// milliseconds.
+    /// Calls per millisecond that the rate-limited back ends of a shard accept, if a call takes
+    /// `call` milliseconds.
     pub(super) fn limited_calls_per_ms(
         &self,
         shard: &Shard,
         call: f64,
         table: &InstanceTable,
     ) -> f64 {
-        // A look at each maker for each message would cost as much as the service has makers.
+        // Skips the scan of all back ends of the shard.
         if !table.notices().has_limits() {
             return 0.0;
         }
@@ -265,8 +267,8 @@
         per_ms.map(|rate| rate.min(1.0 / call)).sum()
     }
 
-    /// How many makers of a shard of the versions chosen work by what is known, without a limit.
-    pub(super) fn working(
+    /// Number of healthy back ends of a shard, of the selected versions, without a rate limit.
+    pub(super) fn working_count(
         &self,
         shard: &Shard,
         versions: VersionChoice,
@@ -285,19 +287,18 @@
         usable.count()
     }
 
-    /// Forgets makers that the list names no more, and those of which nothing is to be heeded:
-    /// each choice among hundreds of makers looks here for each of them.
-    pub(super) fn forget_well(&mut self, table: &InstanceTable, now: Millis) {
-        let is_heeded = |maker: &Maker| {
-            let until = maker.refused_until.max(maker.slow_until);
-            maker.failures > 0 || until.max(maker.at_risk_until) > now
+    /// Removes back ends that are unlisted or healthy, to keep lookups cheap.
+    pub(super) fn forget_healthy(&mut self, table: &InstanceTable, now: Millis) {
+        let is_relevant = |backend: &BackendHealth| {
+            let until = backend.refused_until.max(backend.slow_until);
+            backend.failures > 0 || until.max(backend.at_risk_until) > now
         };
-        self.makers
-            .retain(|id, maker| is_heeded(maker) && table.get(id).is_some());
+        self.backends
+            .retain(|id, backend| is_relevant(backend) && table.get(id).is_some());
     }
 }
 
-/// How long a call of so many pieces takes by the configuration, in milliseconds.
+/// Duration of a call with so many pieces by the configured cost model, in milliseconds.
 pub(super) fn call_ms(spec: &BatchSpec, pieces: usize) -> f64 {
     spec.call_ms + spec.piece_ms * pieces as f64
 }
--- a/crates/serving/src/batcher/estimate.rs
+++ b/crates/serving/src/batcher/estimate.rs
@@ -1,6 +1,6 @@
-//! How long a service takes now.
+//! Estimates how long orders wait for a shard.
 
-use super::makers::call_ms;
+use super::backend_health::call_ms;
 use super::order::Order;
 use super::Batcher;
 use crate::instances::InstanceTable;
@@ -10,143 +10,150 @@
 use silversail_model::Shard;
 use silversail_peer::{PieceFailure, ShardWaits, RANKS};
 
-/// Least share of a full call that is expected of a service.
-const LEAST_FULLNESS: f64 = 0.2;
-/// Weight of a call in the mean size of calls.
+/// Lower bound of the fill ratio of calls.
+const MIN_FILL_RATIO: f64 = 0.2;
+/// Weight of a new call in the moving average of pieces per call.
 const SIZE_WEIGHT: f64 = 0.05;
 
-/// What the calls of a shard were like lately.
+/// Moving averages over the calls of a shard.
 #[derive(Clone, Copy)]
-pub(super) struct Pace {
-    /// Share of a full call that calls hold while more waits than they take.
-    fullness: f64,
-    /// Mean number of pieces in a call.
+pub(super) struct CallAverages {
+    /// Fill ratio of calls while more pieces wait than they take.
+    fill_ratio: f64,
+    /// Average number of pieces in a call.
     pieces: f64,
 }
 
-impl Default for Pace {
+impl Default for CallAverages {
     fn default() -> Self {
         Self {
-            fullness: 1.0,
+            fill_ratio: 1.0,
             pieces: 1.0,
         }
     }
 }
 
-/// How fast the makers of a shard take pieces now.
-struct Flow {
-    /// Milliseconds until one of them can begin a call.
+/// Current throughput of the back ends of a shard.
+struct Throughput {
+    /// Milliseconds until a back end can start a call.
     until_free: f64,
     pieces_per_ms: f64,
 }
 
-impl Flow {
-    /// Milliseconds until so many pieces have their turn.
+impl Throughput {
+    /// Milliseconds until this many pieces have been started.
     fn time_of(&self, pieces: usize) -> u32 {
         (self.until_free + pieces as f64 / self.pieces_per_ms) as u32
     }
 }
 
 impl Batcher {
-    /// How long `pieces` more pieces of a shard can be expected to take for a
-    /// request of `rank`, in milliseconds: what is at least as urgent goes first.
+    /// Expected time in milliseconds to process `pieces` more pieces of a shard for a request of
+    /// this priority, behind everything that is at least as urgent.
     pub fn expected_ms(
         &self,
         shard: &Shard,
         pieces: usize,
-        rank: u8,
+        priority: u8,
         table: &InstanceTable,
         now: Millis,
     ) -> Result<u64, PieceFailure> {
         let spec = self.specs.get(&shard.service);
         let spec = spec.ok_or(PieceFailure::NoBackend)?;
-        if !self.is_staffed(shard, &RegionFilter::any(), table) {
+        if !self.has_eligible_backend(shard, &RegionFilter::any(), table) {
             return Err(PieceFailure::NoBackend);
         }
-        let rank = usize::from(rank).min(RANKS - 1);
-        let backlog = self.backlogs_ms(shard, table, now)[rank];
+        let level = usize::from(priority).min(RANKS - 1);
+        let backlog = self.backlogs_ms(shard, table, now)[level];
         Ok(u64::from(backlog) + call_ms(spec, pieces) as u64)
     }
 
-    /// How long it takes until an order has its turn, in milliseconds, by rank. Orders
-    /// too late for their objective stand back and do not count.
+    /// Milliseconds until a new order is started, by priority. Orders that can no longer meet
+    /// their objective are deferred and do not count.
     fn backlogs_ms(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> [u32; RANKS] {
         let Some(spec) = self.specs.get(&shard.service) else {
             return [0; RANKS];
         };
-        let flow = self.flow_of(shard, spec, table, now);
-        let mut pieces = self.announced.pieces_by_rank(shard, now);
+        let throughput = self.throughput_of(shard, spec, table, now);
+        let mut pieces = self.announced.pieces_by_priority(shard, now);
         for order in self.waiting_of(shard).filter(|order| order.is_waiting()) {
             let own_call = call_ms(spec, order.work.pieces.len()) as Millis;
             if !order.is_late(now + own_call) {
-                pieces[order.rank()] += order.waiting_pieces();
+                pieces[order.priority()] += order.waiting_pieces();
             }
         }
         let mut before = 0;
-        pieces.map(|of_rank| {
-            before += of_rank;
-            flow.time_of(before)
+        pieces.map(|of_priority| {
+            before += of_priority;
+            throughput.time_of(before)
         })
     }
 
-    /// How long what waits now takes, late and less urgent orders included. A shard whose
-    /// makers all refuse or fail has no turn for anybody, however little waits.
+    /// Milliseconds to start everything that waits, including late and less urgent orders. If
+    /// all back ends of the shard reject calls or fail, the time until one may be used again is
+    /// added.
     fn queue_ms(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> u32 {
         let Some(spec) = self.specs.get(&shard.service) else {
             return 0;
         };
         let waiting = self.waiting_of(shard).map(Order::waiting_pieces).sum();
-        let refusing = self.makers.refusing_ms(shard, table, now);
-        let queue = self.flow_of(shard, spec, table, now).time_of(waiting);
+        let refusing = self.backends.refusing_ms(shard, table, now);
+        let queue = self.throughput_of(shard, spec, table, now).time_of(waiting);
         queue.saturating_add(refusing)
     }
 
-    fn flow_of(&self, shard: &Shard, spec: &BatchSpec, table: &InstanceTable, now: Millis) -> Flow {
+    fn throughput_of(
+        &self,
+        shard: &Shard,
+        spec: &BatchSpec,
+        table: &InstanceTable,
+        now: Millis,
+    ) -> Throughput {
         let versions = self.main_versions(&shard.service);
-        let working = self.makers.working(shard, versions, table, now);
-        let makers = working.max(1);
+        let working_count = self.backends.working_count(shard, versions, table, now);
+        let backends = working_count.max(1);
         let busy = self.calls.values().filter(|one| one.shard == *shard);
-        let until_free = match busy.count() >= makers {
-            true => call_ms(spec, spec.pieces) / (makers + 1) as f64,
+        let until_free = match busy.count() >= backends {
+            true => call_ms(spec, spec.pieces) / (backends + 1) as f64,
             false => 0.0,
         };
-        let rest = self.makers.rest_ms(shard, table, now) as f64;
+        let rest = self.backends.rest_ms(shard, table, now) as f64;
         let until_free = until_free.max(rest);
-        let pieces_of_call = spec.pieces as f64 * self.pace_of(shard).fullness;
+        let pieces_of_call = spec.pieces as f64 * self.averages_of(shard).fill_ratio;
         let call = spec.call_ms + spec.piece_ms * pieces_of_call;
-        let of_limited = self.makers.limited_calls_per_ms(shard, call, table);
-        let calls_per_ms = match working == 0 && of_limited > 0.0 {
+        let of_limited = self.backends.limited_calls_per_ms(shard, call, table);
+        let calls_per_ms = match working_count == 0 && of_limited > 0.0 {
             true => of_limited,
-            false => makers as f64 / call + of_limited,
+            false => backends as f64 / call + of_limited,
         };
-        Flow {
+        Throughput {
             until_free,
             pieces_per_ms: calls_per_ms * pieces_of_call,
         }
     }
 
-    fn pace_of(&self, shard: &Shard) -> Pace {
-        self.paces.get(shard).copied().unwrap_or_default()
+    fn averages_of(&self, shard: &Shard) -> CallAverages {
+        self.call_averages.get(shard).copied().unwrap_or_default()
     }
 
-    /// Takes in how many pieces a call took. While more waits than it took, room at
-    /// the makers may limit calls.
-    pub(super) fn note_call(&mut self, shard: &Shard, taken: usize, is_limited: bool) {
+    /// Updates the averages with the size of a call. `is_limited` tells that more pieces were
+    /// waiting, so that result memory may have limited the call.
+    pub(super) fn record_call_size(&mut self, shard: &Shard, pieces: usize, is_limited: bool) {
         let most = self.specs[&shard.service].pieces.max(1);
         let seen = match is_limited {
-            true => (taken as f64 / most as f64).clamp(LEAST_FULLNESS, 1.0),
+            true => (pieces as f64 / most as f64).clamp(MIN_FILL_RATIO, 1.0),
             false => 1.0,
         };
         let weight = if is_limited { 0.2 } else { 0.05 };
-        let mut pace = self.pace_of(shard);
-        pace.fullness += weight * (seen - pace.fullness);
-        pace.pieces += SIZE_WEIGHT * (taken as f64 - pace.pieces);
-        self.paces.insert(shard.clone(), pace);
+        let mut averages = self.averages_of(shard);
+        averages.fill_ratio += weight * (seen - averages.fill_ratio);
+        averages.pieces += SIZE_WEIGHT * (pieces as f64 - averages.pieces);
+        self.call_averages.insert(shard.clone(), averages);
     }
 
-    /// How long a phase takes at a shard now, by rank.
+    /// Current wait estimates of a shard, by priority.
     pub fn waits(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> ShardWaits {
-        let pieces = self.pace_of(shard).pieces;
+        let pieces = self.averages_of(shard).pieces;
         let spec = self.specs.get(&shard.service);
         let call = spec.map_or(0.0, |spec| spec.call_ms + spec.piece_ms * pieces);
         ShardWaits {
--- a/crates/serving/src/batcher/order.rs
+++ b/crates/serving/src/batcher/order.rs
@@ -1,52 +1,50 @@
-//! One order: all pieces of one phase of one request.
+//! An order: all pieces of one phase of one request.
 
 use super::CallId;
 use crate::policy::Policy;
 use crate::Millis;
 use silversail_peer::{PhaseWork, Piece, PieceFailure, ResultHandle, RANKS};
 
-/// A lower rank lets a phase wait longer by this much, in milliseconds.
-const RANK_STEP: Millis = 1_000;
-/// How long an order that a call could hold waits for a maker with room for more than
-/// a few of its pieces, in milliseconds: results of the first pieces take room while
-/// the others wait.
+/// How much later an order is due per priority level, in milliseconds.
+const PRIORITY_LEVEL_DELAY: Millis = 1_000;
+/// How long an order that fits into one call waits for a back end with enough memory before it
+/// may be split, in milliseconds: results of its first pieces use memory while the others wait.
 const SPLIT_AFTER: Millis = 400;
-/// An order that comes too late for its objective waits longer by this much, in
-/// milliseconds, so that it does not make others late too.
-const LATE_STEP: Millis = 2_500;
+/// How much later an order is due that can no longer meet its objective, in milliseconds, so
+/// that it does not delay others.
+const LATE_ORDER_DELAY: Millis = 2_500;
 
-/// Where a piece is.
+/// Progress of a piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum PieceState {
-    /// Waits for a call.
     Waiting,
-    /// Takes part in a call.
+    /// Sent in a call that has not ended.
     InCall(CallId),
-    /// Made.
+    /// Completed with a result.
     Made(ResultHandle),
 }
 
-/// An order and where its pieces are.
+/// An order with the progress of its pieces.
 pub(super) struct Order {
     pub(super) work: PhaseWork,
     policy: Policy,
     states: Vec<PieceState>,
-    /// How many pieces wait.
+    /// Number of waiting pieces.
     waiting: usize,
-    /// When it should be done to keep the request's objective.
+    /// When it has to be done to meet the request's objective.
     pub(super) wanted_at: Millis,
-    /// When the request ends.
+    /// Deadline of the request.
     pub(super) deadline: Millis,
-    /// When it may be split over calls.
+    /// When it may be split over several calls.
     splits_from: Millis,
-    /// Until when it waits for a maker in the zone where it had better be made.
+    /// Until when it waits for a back end in its preferred zone.
     waits_near_until: Millis,
     calls: Vec<u32>,
-    /// When its last waiting piece went into a call; none while pieces wait.
+    /// When its last waiting piece was sent; none while pieces wait.
     pub(super) all_called_at: Option<Millis>,
-    /// Whether it was told that its inputs are read.
-    pub(super) told_inputs_read: bool,
-    /// Whether a piece may well have to be made a second time: its inputs must last.
+    /// Whether its submitter was told that its inputs are read.
+    pub(super) is_inputs_read_reported: bool,
+    /// Whether a piece is likely to be run again, so that its inputs must be kept.
     pub(super) is_at_risk: bool,
 }
 
@@ -61,14 +59,14 @@
             splits_from: now + SPLIT_AFTER,
             waits_near_until: now + policy.zone_wait_ms,
             all_called_at: None,
-            told_inputs_read: false,
+            is_inputs_read_reported: false,
             is_at_risk: false,
             policy,
             work,
         }
     }
 
-    /// Waiting pieces with their numbers.
+    /// Waiting pieces with their indexes.
     pub(super) fn waiting(&self) -> impl Iterator<Item = (usize, &Piece)> {
         let states = self.states.iter().enumerate();
         states
@@ -76,34 +74,35 @@
             .map(|(index, _)| (index, &self.work.pieces[index]))
     }
 
-    /// Its request's rank; the last for all beyond.
-    pub(super) fn rank(&self) -> usize {
+    /// Priority of its request, capped at the lowest level.
+    pub(super) fn priority(&self) -> usize {
         usize::from(self.work.priority).min(RANKS - 1)
     }
 
-    /// Orders the waiting orders: the least goes first. An order that can't be done
-    /// when it is wanted, as it would end at `earliest_end`, stands back.
-    pub(super) fn due(&self, earliest_end: Millis) -> Millis {
+    /// Sort key of waiting orders; the smallest goes first. An order that would end at
+    /// `earliest_end`, too late for its objective, is deferred.
+    pub(super) fn sort_key(&self, earliest_end: Millis) -> Millis {
         let steps = match self.policy.rank_order {
             true => Millis::from(self.work.priority),
             false => 0,
         };
-        let due = self.wanted_at + RANK_STEP * steps;
+        let due = self.wanted_at + PRIORITY_LEVEL_DELAY * steps;
         if self.policy.late_orders_stand_back && self.is_late(earliest_end) {
-            due + LATE_STEP
+            due + LATE_ORDER_DELAY
         } else {
             due
         }
     }
 
-    /// Whether it can't be done when it is wanted, if it ends at `earliest_end`.
+    /// Whether it misses its objective if it ends at `earliest_end`.
     pub(super) fn is_late(&self, earliest_end: Millis) -> bool {
         earliest_end > self.wanted_at
     }
 
-    /// How many of its waiting pieces fit into `places` and `room` bytes.
-    pub(super) fn fitting(&self, places: usize, room: u64) -> usize {
-        let mut left = room;
+    /// How many of its waiting pieces fit into `places` of a call and `free_bytes` of result
+    /// memory.
+    pub(super) fn fitting(&self, places: usize, free_bytes: u64) -> usize {
+        let mut left = free_bytes;
         let fits = |piece: &Piece| {
             let rest = left.checked_sub(piece.result_bytes);
             left = rest.unwrap_or(left);
@@ -113,9 +112,9 @@
         waiting.map(fits).take_while(|fits| *fits).count()
     }
 
-    /// Whether it had better be made in another zone than `zone`. An order of a zone's
-    /// shard has no other makers to wait for.
-    pub(super) fn is_far_from(&self, zone: &str) -> bool {
+    /// Whether it prefers another zone than `zone`. An order of a zone's shard has no choice of
+    /// zones.
+    pub(super) fn prefers_other_zone_than(&self, zone: &str) -> bool {
         let may_choose = !self.work.shard.is_of_one_zone() && !self.work.zone.is_empty();
         may_choose && self.work.zone != zone
     }
@@ -129,11 +128,14 @@
             || now >= self.splits_from
     }
 
-    /// Whether it may be made in `zone` at `now`: for a while it waits for a maker where
-    /// less has to be moved, if it can still end when it is wanted. A call takes
-    /// `call_ms`.
-    pub(super) fn may_go_to(&self, zone: &str, call_ms: Millis, now: Millis) -> bool {
-        if !self.policy.wait_for_zone || !self.is_far_from(zone) || now >= self.waits_near_until {
+    /// Whether it may run in `zone` at `now`. For a while it waits for a back end in its
+    /// preferred zone, if it can still meet its objective afterwards. A call takes `call_ms`
+    /// milliseconds.
+    pub(super) fn may_run_in(&self, zone: &str, call_ms: Millis, now: Millis) -> bool {
+        if !self.policy.wait_for_zone
+            || !self.prefers_other_zone_than(zone)
+            || now >= self.waits_near_until
+        {
             return true;
         }
         self.is_late(self.waits_near_until + call_ms)
@@ -147,7 +149,7 @@
         self.waiting
     }
 
-    /// Sets where a piece is.
+    /// Sets the progress of a piece and updates the count of waiting pieces.
     pub(super) fn set_state(&mut self, index: usize, state: PieceState) {
         let before = std::mem::replace(&mut self.states[index], state);
         let was_waiting = usize::from(before == PieceState::Waiting);
@@ -155,7 +157,7 @@
         self.waiting = self.waiting + is_waiting - was_waiting;
     }
 
-    /// Results made so far, in the order of the pieces.
+    /// Results so far, in the order of the pieces.
     pub(super) fn made(&self) -> Vec<ResultHandle> {
         let states = self.states.iter();
         states
@@ -166,14 +168,14 @@
             .collect()
     }
 
-    pub(super) fn is_whole(&self) -> bool {
+    pub(super) fn is_complete(&self) -> bool {
         let mut states = self.states.iter();
         states.all(|state| matches!(state, PieceState::Made(_)))
     }
 
-    /// Lets a piece wait again. `counts` tells whether its call counts against
-    /// `most_calls`; returns why the order can't go on.
-    pub(super) fn put_back(
+    /// Requeues a piece. `counts` tells whether the call counts against `most_calls`. Returns
+    /// the failure that ends the order, if any.
+    pub(super) fn requeue(
         &mut self,
         index: usize,
         counts: bool,
--- a/crates/serving/src/batcher/outcomes.rs
+++ b/crates/serving/src/batcher/outcomes.rs
@@ -1,7 +1,7 @@
-//! What ends orders: the outcomes of calls, time that is over, makers that are gone.
+//! Completion and failure of orders: outcomes of calls, deadlines, unavailable back ends.
 
 use super::{Batcher, CallId, CallOutcome, CallState, FinishedOrder, Order, OrderKey, PieceState};
-use crate::batcher::makers::{call_ms, EndedCall};
+use crate::batcher::backend_health::{call_ms, EndedCall};
 use crate::instances::InstanceTable;
 use crate::ports::PieceResults;
 use crate::quarantine::RequestQuarantine;
@@ -12,11 +12,11 @@
 use silversail_peer::{PieceFailure, ResultHandle};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most calls that a piece takes part in.
+/// Maximum number of calls in which a piece is tried.
 const MAX_CALLS_OF_PIECE: u32 = 3;
 
 impl Batcher {
-    /// A call ended. Returns the orders that ended with it.
+    /// Processes the outcome of a call and returns the orders that ended with it.
     pub fn call_ended(
         &mut self,
         call: CallId,
@@ -26,34 +26,35 @@
         let Some(state) = self.calls.remove(&call) else {
             return Vec::new();
         };
-        self.room.unreserve(&state.instance, state.room);
+        self.result_memory
+            .unreserve(&state.instance, state.result_bytes);
         self.log.record(Event::BatchEnded {
             backend: state.instance.clone(),
             outcome: outcome_text(&outcome),
             took_ms: now.saturating_sub(state.began_at),
         });
-        self.note_maker(&state, &outcome, now);
+        self.record_call_outcome(&state, &outcome, now);
         match outcome {
             CallOutcome::Answered(results) => self.answered(&state, results, now),
             CallOutcome::NotRun | CallOutcome::Unreachable | CallOutcome::Withheld => {
-                self.put_back(&state, false)
+                self.requeue(&state, false)
             }
-            CallOutcome::Unknown => self.put_back(&state, true),
+            CallOutcome::Unknown => self.requeue(&state, true),
         }
     }
 
-    fn note_maker(&mut self, call: &CallState, outcome: &CallOutcome, now: Millis) {
+    fn record_call_outcome(&mut self, call: &CallState, outcome: &CallOutcome, now: Millis) {
         let Some(spec) = self.specs.get(&call.shard.service) else {
             return;
         };
         let ended = EndedCall {
-            maker: &call.instance,
+            backend: &call.instance,
             service: &call.shard.service,
             version: &call.version,
             took_ms: now.saturating_sub(call.began_at),
             expected_ms: call_ms(spec, call.members.len()),
         };
-        self.makers.call_ended(&ended, outcome, now);
+        self.backends.call_ended(&ended, outcome, now);
         if let Some(counted) = call.counted {
             let usual_ms = spec.call_ms;
             self.rollouts
@@ -75,14 +76,14 @@
         for ((key, index), result) in call.members.iter().zip(results) {
             if let Ok(handle) = &result {
                 let bytes = self.bytes_of(key, *index);
-                self.room
-                    .hold(key, &call.instance, handle, bytes, now + lifetime);
+                self.result_memory
+                    .add_result(key, &call.instance, handle, bytes, now + lifetime);
             }
             if let Some(failure) = self.take_result(key, *index, result, &call.instance, now) {
                 finished.extend(self.fail(key, failure));
             }
         }
-        self.collect_whole(&call.members, &mut finished);
+        self.collect_completed(&call.members, &mut finished);
         finished
     }
 
@@ -91,19 +92,19 @@
         order.map_or(0, |order| order.work.pieces[index].result_bytes)
     }
 
-    /// Takes a piece's result; returns why its order can't go on.
+    /// Stores the result of a piece. Returns the failure that ends its order, if any.
     fn take_result(
         &mut self,
         key: &OrderKey,
         index: usize,
         result: Result<ResultHandle, PieceFailure>,
-        maker: &str,
+        backend: &str,
         now: Millis,
     ) -> Option<PieceFailure> {
         let Some(order) = self.orders.get_mut(key) else {
-            // Cancelled while the call ran.
+            // The order was cancelled while the call ran.
             if let Ok(handle) = result {
-                self.room.release(&[handle]);
+                self.result_memory.release(&[handle]);
             }
             return None;
         };
@@ -113,20 +114,19 @@
                 None
             }
             Err(PieceFailure::NoRoom) => {
-                self.makers.refused(maker, now);
-                order.put_back(index, false, MAX_CALLS_OF_PIECE)
+                self.backends.refused(backend, now);
+                order.requeue(index, false, MAX_CALLS_OF_PIECE)
             }
-            Err(PieceFailure::Failed) => order.put_back(index, true, MAX_CALLS_OF_PIECE),
+            Err(PieceFailure::Failed) => order.requeue(index, true, MAX_CALLS_OF_PIECE),
             Err(failure) => Some(failure),
         }
     }
 
-    fn put_back(&mut self, call: &CallState, counts: bool) -> Vec<FinishedOrder> {
+    fn requeue(&mut self, call: &CallState, counts: bool) -> Vec<FinishedOrder> {
         let mut finished = Vec::new();
         for (key, index) in &call.members {
             let order = self.orders.get_mut(key);
-            let failure =
-                order.and_then(|order| order.put_back(*index, counts, MAX_CALLS_OF_PIECE));
+            let failure = order.and_then(|order| order.requeue(*index, counts, MAX_CALLS_OF_PIECE));
             if let Some(failure) = failure {
                 finished.extend(self.fail(key, failure));
             }
@@ -136,7 +136,7 @@
 
     fn fail(&mut self, key: &OrderKey, failure: PieceFailure) -> Option<FinishedOrder> {
         let order = self.remove_order(key)?;
-        self.room.release(&order.made());
+        self.result_memory.release(&order.made());
         Some(FinishedOrder {
             key: key.clone(),
             shard: order.work.shard,
@@ -144,10 +144,14 @@
         })
     }
 
-    fn collect_whole(&mut self, members: &[(OrderKey, usize)], finished: &mut Vec<FinishedOrder>) {
+    fn collect_completed(
+        &mut self,
+        members: &[(OrderKey, usize)],
+        finished: &mut Vec<FinishedOrder>,
+    ) {
         for (key, _) in members {
-            let is_whole = self.orders.get(key).is_some_and(Order::is_whole);
-            if !is_whole {
+            let is_complete = self.orders.get(key).is_some_and(Order::is_complete);
+            if !is_complete {
                 continue;
             }
             if let Some(order) = self.remove_order(key) {
@@ -160,7 +164,7 @@
         }
     }
 
-    /// Ends the orders whose time is over.
+    /// Fails the orders whose deadline has passed.
     pub fn expire(&mut self, now: Millis) -> Vec<FinishedOrder> {
         self.announced.expire(now);
         let late = self
@@ -173,7 +177,7 @@
             .collect()
     }
 
-    /// Ends the waiting orders of requests that `quarantine` refuses by now.
+    /// Fails the waiting orders of quarantined requests.
     pub fn reject_quarantined(&mut self, quarantine: &RequestQuarantine) -> Vec<FinishedOrder> {
         let orders = self.orders.iter().filter(|(_, order)| order.is_waiting());
         let refused = orders.filter(|(_, order)| quarantine.refuses(&order.work.fingerprint));
@@ -184,15 +188,15 @@
             .collect()
     }
 
-    /// Ends the waiting orders that no maker takes in time, as all of their shard rest: whoever
-    /// gave them is told so at once.
+    /// Fails the waiting orders whose deadline passes before any back end of their shard ends
+    /// its rest, so that submitters learn it at once.
     pub fn reject_orders_delayed_by_rest(
         &mut self,
         table: &InstanceTable,
         now: Millis,
     ) -> Vec<FinishedOrder> {
         let rests = self.shards.keys().map(|shard| {
-            let rest = self.makers.rest_ms(shard, table, now);
+            let rest = self.backends.rest_ms(shard, table, now);
             (shard.clone(), rest)
         });
         let rests: BTreeMap<Shard, Millis> = rests.filter(|(_, rest)| *rest > 0).collect();
@@ -209,20 +213,23 @@
             .collect()
     }
 
-    /// Ends the waiting orders of shards whose makers may get no work any more, as they leave
-    /// or their zone is evacuated: whoever gave them can give them to another shard, or refuse
-    /// at once. So do those that none of the shard's makers may make where they lie.
+    /// Fails the waiting orders that no back end of their shard may process, because all shut
+    /// down, their zone is evacuated or their region is not allowed. The submitter can then use
+    /// another shard or reject the request.
     pub fn reject_orders_without_backend(&mut self, table: &InstanceTable) -> Vec<FinishedOrder> {
         let any = RegionFilter::any();
-        let is_unstaffed = |shard: &&Shard| !self.is_staffed(shard, &any, table);
-        let unstaffed: BTreeSet<Shard> = self.shards.keys().filter(is_unstaffed).cloned().collect();
-        let is_left_out = |order: &Order| {
+        let lacks_backends = |shard: &&Shard| !self.has_eligible_backend(shard, &any, table);
+        let shards_without_backend: BTreeSet<Shard> =
+            self.shards.keys().filter(lacks_backends).cloned().collect();
+        let has_no_allowed_backend = |order: &Order| {
             let regions = &order.work.regions;
-            regions.is_restricting() && !self.is_staffed(&order.work.shard, regions, table)
+            regions.is_restricting()
+                && !self.has_eligible_backend(&order.work.shard, regions, table)
         };
         let orders = self.orders.iter().filter(|(_, order)| order.is_waiting());
-        let ended =
-            orders.filter(|(_, order)| unstaffed.contains(&order.work.shard) || is_left_out(order));
+        let ended = orders.filter(|(_, order)| {
+            shards_without_backend.contains(&order.work.shard) || has_no_allowed_backend(order)
+        });
         let ended: Vec<OrderKey> = ended.map(|(key, _)| key.clone()).collect();
         ended
             .iter()
@@ -231,7 +238,7 @@
     }
 }
 
-/// What a call came to, for the log; for each way in which pieces failed, how many.
+/// Outcome of a call for the decision log, with a count for each kind of piece failure.
 fn outcome_text(outcome: &CallOutcome) -> String {
     let results = match outcome {
         CallOutcome::Answered(results) => results,
--- a/crates/serving/src/batcher/versions.rs
+++ b/crates/serving/src/batcher/versions.rs
@@ -1,7 +1,7 @@
-//! Versions of a batched service's makers: which of them get the next call, what is counted of
-//! calls, and what is still wanted of the baseline.
+//! Rollouts of a batched service: which version gets the next call, how calls are counted, and
+//! what still runs at the baseline.
 
-use super::makers::EndedCall;
+use super::backend_health::EndedCall;
 use super::{Batcher, CallOutcome};
 use crate::instances::{Instance, InstanceTable};
 use crate::rollouts::{CountedAnswer, CountedSend, RolloutBook, VersionChoice, VersionRole};
@@ -12,35 +12,37 @@
 use silversail_peer::PieceFailure;
 use silversail_rollout::BATCH_ROUTE;
 
-/// Makers with a free place, each kind with the one with most room last.
-pub(super) struct IdleMakers {
+/// Back ends with a free slot by version; in each list the one with the most free result memory
+/// is last.
+pub(super) struct IdleBackends {
     candidate: Vec<String>,
     others: Vec<String>,
 }
 
-impl IdleMakers {
+impl IdleBackends {
     pub(super) fn is_empty(&self) -> bool {
         self.candidate.is_empty() && self.others.is_empty()
     }
 
-    /// Leaves the candidate out of the calls made now; false where none of it is left.
+    /// Excludes the candidate from the calls of this round; false if none of its back ends was
+    /// left.
     pub(super) fn pass_over_candidate(&mut self) -> bool {
         !std::mem::take(&mut self.candidate).is_empty()
     }
 }
 
 impl Batcher {
-    /// The idle makers of a shard.
+    /// Idle back ends of a shard by version.
     pub(super) fn idle_by_version(
         &self,
         shard: &Shard,
         spec: &BatchSpec,
         table: &InstanceTable,
         now: Millis,
-    ) -> IdleMakers {
-        let idle = |versions| self.idle_makers(shard, versions, spec, table, now);
+    ) -> IdleBackends {
+        let idle = |versions| self.idle_backends(shard, versions, spec, table, now);
         let is_in_progress = self.rollouts.is_in_progress(&shard.service);
-        IdleMakers {
+        IdleBackends {
             candidate: match is_in_progress {
                 true => idle(VersionChoice::Candidate),
                 false => Vec::new(),
@@ -49,19 +51,19 @@
         }
     }
 
-    /// Those of the idle makers that the next call may go to. A call of a share that may go to
-    /// the candidate does not wait for it; where all calls are to go there they wait while a
-    /// maker of it is only busy, as the baseline would never come to rest else.
+    /// Idle back ends that the next call may go to. A call that is part of a canary share does
+    /// not wait for the candidate. Once all calls have moved there, they wait while a candidate
+    /// is merely busy; otherwise the baseline would never become idle.
     pub(super) fn idle_for_next_call<'a>(
         &self,
         shard: &Shard,
-        idle: &'a mut IdleMakers,
+        idle: &'a mut IdleBackends,
         table: &InstanceTable,
         now: Millis,
     ) -> &'a mut Vec<String> {
         let service = &shard.service;
-        let lot = || self.next_call;
-        let choice = match self.rollouts.choose(service, BATCH_ROUTE, lot) {
+        let sequence = || self.next_call;
+        let choice = match self.rollouts.choose(service, BATCH_ROUTE, sequence) {
             VersionChoice::Candidate if idle.candidate.is_empty() => {
                 let waits_for_candidate = self.rollouts.has_moved(service, BATCH_ROUTE)
                     && self.has_usable_candidate(shard, table, now);
@@ -83,20 +85,20 @@
 
     fn has_usable_candidate(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> bool {
         let candidates = self
-            .makers
+            .backends
             .usable(shard, VersionChoice::Candidate, table, now);
         !candidates.is_empty()
     }
 
-    /// Whether the baseline's makers may have been stopped, as the rollout may have completed
-    /// since this node last heard of it.
+    /// Whether the baseline may have been stopped: the rollout may have completed without this
+    /// node having heard of it.
     fn may_be_stopped(&self, shard: &Shard, table: &InstanceTable) -> bool {
         let is_ready =
             |one: &Instance| one.role() == VersionRole::Baseline && one.accepts_new_work();
         !self.rollouts.is_permitted() && !table.of_shard(shard).any(is_ready)
     }
 
-    /// The versions whose makers take most calls now.
+    /// The versions that get most calls now.
     pub(super) fn main_versions(&self, service: &str) -> VersionChoice {
         match self.rollouts.has_moved(service, BATCH_ROUTE) {
             true => VersionChoice::Candidate,
@@ -104,9 +106,9 @@
         }
     }
 
-    /// Whether a shard has makers that may get calls with pieces restricted to `regions`: a
-    /// candidate that only gets a share is none to wait for.
-    pub(super) fn is_staffed(
+    /// Whether a shard has back ends that may get calls with pieces restricted to `regions`. A
+    /// candidate that only gets a canary share does not count.
+    pub(super) fn has_eligible_backend(
         &self,
         shard: &Shard,
         regions: &RegionFilter,
@@ -122,35 +124,35 @@
         table.of_shard(shard).any(may_get_calls)
     }
 
-    /// Counts a call that leaves.
+    /// Counts a call for the rollout when it is sent.
     pub(super) fn count_call(
         &mut self,
         shard: &Shard,
-        maker: &str,
+        backend: &str,
         table: &InstanceTable,
     ) -> Option<CountedSend> {
-        let role = table.get(maker).map(Instance::role).unwrap_or_default();
+        let role = table.get(backend).map(Instance::role).unwrap_or_default();
         self.rollouts.sent(&shard.service, BATCH_ROUTE, role)
     }
 
-    /// What is under way or still wanted at a service's baseline: its calls, and results that
-    /// nobody released yet, for as long as makers keep them.
+    /// Number of calls in flight at a service's baseline, and of its results that are neither
+    /// released nor expired.
     pub fn in_flight_at_baseline(&self, service: &str, table: &InstanceTable) -> u64 {
-        let is_baseline = |maker: &str| {
-            let maker = table.get(maker);
-            maker.is_some_and(|one| {
+        let is_baseline = |backend: &str| {
+            let backend = table.get(backend);
+            backend.is_some_and(|one| {
                 one.role() == VersionRole::Baseline && one.listed.service == service
             })
         };
         let calls = self.calls.values();
         let calls = calls.filter(|call| is_baseline(&call.instance)).count();
-        (calls + self.room.wanted_at(is_baseline)) as u64
+        (calls + self.result_memory.unreleased_count(is_baseline)) as u64
     }
 }
 
 impl RolloutBook {
-    /// Counts what came of a call to a maker. Calls hold different numbers of pieces: their
-    /// times are told as if each took `usual_ms` by the configuration.
+    /// Counts the outcome of a call for the rollout. As calls differ in size, durations are
+    /// scaled to a call that takes `usual_ms` by the configured cost model.
     pub(super) fn count_call_end(
         &mut self,
         counted: CountedSend,
--- a/crates/serving/tests/batcher.rs
+++ b/crates/serving/tests/batcher.rs
@@ -1,4 +1,4 @@
-//! Which pieces share a call.
+//! Batching of pieces into calls, and the order in which orders run.
 
 mod common;
 
@@ -9,18 +9,18 @@
 use silversail_serving::batcher::{AnnouncedOrder, BatchCall, Batcher, CallOutcome};
 
 #[test]
-fn an_idle_maker_gets_what_waits_at_once_and_a_busy_one_gathers() {
+fn an_idle_backend_gets_waiting_pieces_at_once_and_pieces_accumulate_for_a_busy_one() {
     let (table, mut batcher) = (table(&[("s1", "a")]), batcher());
     batcher
         .submit(key(1), work(1, 2), &table, 0)
-        .expect("taken");
+        .expect("accepted");
     let first = batcher.next_calls(&table, 0);
     assert_eq!(first.len(), 1);
     assert_eq!(first[0].pieces.len(), 2);
     for request in 2..5 {
         batcher
             .submit(key(request), work(request, 2), &table, 10)
-            .expect("taken");
+            .expect("accepted");
         assert!(batcher.next_calls(&table, 10).is_empty());
     }
     let finished = batcher.call_ended(first[0].call, made(&first[0]), 260);
@@ -32,11 +32,11 @@
 }
 
 #[test]
-fn results_come_in_the_order_of_the_pieces_over_several_calls() {
+fn results_of_several_calls_keep_the_order_of_the_pieces() {
     let (table, mut batcher) = (table(&[("s1", "a")]), batcher());
     batcher
         .submit(key(1), work(1, 11), &table, 0)
-        .expect("taken");
+        .expect("accepted");
     let first = batcher.next_calls(&table, 0);
     assert_eq!(first[0].pieces.len(), 8);
     assert!(batcher
@@ -52,20 +52,20 @@
 }
 
 #[test]
-fn the_more_urgent_goes_first_and_is_told_a_shorter_wait() {
+fn more_urgent_orders_run_first_and_get_a_shorter_wait_estimate() {
     let (table, mut batcher) = (table(&[("s1", "a")]), batcher());
     batcher
         .submit(key(1), work(1, 8), &table, 0)
-        .expect("taken");
+        .expect("accepted");
     let first = batcher.next_calls(&table, 0);
     for request in 2..8 {
         batcher
             .submit(key(request), work(request, 8), &table, 0)
-            .expect("taken");
+            .expect("accepted");
     }
     let mut urgent = work(9, 1);
     urgent.priority = 0;
-    batcher.submit(key(9), urgent, &table, 5).expect("taken");
+    batcher.submit(key(9), urgent, &table, 5).expect("accepted");
     let waits = batcher.waits(&whole(), &table, 5);
     assert!(waits.backlog_ms[0] < waits.backlog_ms[1], "{waits:?}");
     batcher.call_ended(first[0].call, made(&first[0]), 300);
@@ -74,11 +74,11 @@
 }
 
 #[test]
-fn a_batch_of_unknown_fate_is_made_again_elsewhere_but_not_for_ever() {
+fn a_batch_with_an_unknown_outcome_is_retried_elsewhere_a_limited_number_of_times() {
     let (mut table, mut batcher) = (table(&[("s1", "a"), ("s2", "a")]), batcher());
     batcher
         .submit(key(1), work(1, 1), &table, 0)
-        .expect("taken");
+        .expect("accepted");
     let mut now = 0;
     for _ in 0..2 {
         let call = batcher.next_calls(&table, now).remove(0);
@@ -95,26 +95,26 @@
 }
 
 #[test]
-fn an_order_given_twice_is_made_once() {
+fn an_order_submitted_twice_runs_once() {
     let (table, mut batcher) = (table(&[("s1", "a")]), batcher());
     batcher
         .submit(key(1), work(1, 2), &table, 0)
-        .expect("taken");
+        .expect("accepted");
     let call = batcher.next_calls(&table, 0).remove(0);
     batcher
         .submit(key(1), work(1, 2), &table, 10)
-        .expect("taken");
+        .expect("accepted");
     assert!(batcher.next_calls(&table, 10).is_empty());
     assert_eq!(batcher.call_ended(call.call, made(&call), 300).len(), 1);
     assert!(batcher.next_calls(&table, 300).is_empty());
 }
 
 #[test]
-fn inputs_are_told_read_once_all_pieces_are_at_work() {
+fn inputs_are_reported_read_once_all_pieces_are_in_calls() {
     let (table, mut batcher) = (table(&[("s1", "a")]), batcher());
     batcher
         .submit(key(1), work(1, 9), &table, 0)
-        .expect("taken");
+        .expect("accepted");
     let first = batcher.next_calls(&table, 0).remove(0);
     assert!(batcher.inputs_read(200).is_empty());
     batcher.call_ended(first.call, made(&first), 300);
@@ -125,14 +125,14 @@
 }
 
 #[test]
-fn an_order_is_made_in_its_zone_where_a_maker_is_idle() {
+fn an_order_runs_in_its_preferred_zone_if_a_backend_there_is_idle() {
     let (table, mut batcher) = (table(&[("s1", "a"), ("s2", "b")]), batcher());
     for (number, zone) in [(1, "b"), (2, "a")] {
         let mut order = work(number, 1);
         order.zone = zone.to_owned();
         batcher
             .submit(key(number), order, &table, 0)
-            .expect("taken");
+            .expect("accepted");
         let call = batcher.next_calls(&table, 0).remove(0);
         let expected = if zone == "a" { "s1" } else { "s2" };
         assert_eq!(call.instance, expected);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn an_order_that_cannot_be_done_in_time_is_refused_and_a_late_one_ended() {
+fn an_order_that_cannot_meet_its_deadline_is_rejected_and_an_expired_one_fails() {
     let (table, mut batcher) = (table(&[("s1", "a")]), batcher());
     let mut hopeless = work(1, 1);
     hopeless.remaining_ms = 100;
@@ -150,35 +150,35 @@
     assert_eq!(nowhere, Err(PieceFailure::NoBackend));
     batcher
         .submit(key(3), work(3, 1), &table, 0)
-        .expect("taken");
+        .expect("accepted");
     let finished = batcher.expire(4_000);
     assert_eq!(finished[0].result, Err(PieceFailure::Late));
 }
 
 #[test]
-fn a_maker_that_fails_at_once_does_not_swallow_what_waits() {
+fn a_backend_that_fails_immediately_does_not_consume_the_waiting_orders() {
     let (table, mut batcher) = (table(&[("s1", "a"), ("s2", "a")]), batcher());
     let mut ended = Vec::new();
     let mut failed_calls = 0;
-    let mut at_work: Vec<(u64, BatchCall)> = Vec::new();
+    let mut running: Vec<(u64, BatchCall)> = Vec::new();
     for now in 0..3_000 {
         if now % 100 == 0 {
             let request = now / 100;
             batcher
                 .submit(key(request), work(request, 2), &table, now)
-                .expect("taken");
+                .expect("accepted");
         }
         for call in batcher.next_calls(&table, now) {
             if call.instance == "s1" {
                 failed_calls += 1;
                 ended.extend(batcher.call_ended(call.call, CallOutcome::Unknown, now));
             } else {
-                at_work.push((now + 260, call));
+                running.push((now + 260, call));
             }
         }
-        let done = at_work.iter().position(|(until, _)| *until <= now);
+        let done = running.iter().position(|(until, _)| *until <= now);
         if let Some(done) = done {
-            let (_, call) = at_work.remove(done);
+            let (_, call) = running.remove(done);
             ended.extend(batcher.call_ended(call.call, made(&call), now));
         }
     }
@@ -188,20 +188,22 @@
 }
 
 #[test]
-fn an_order_too_late_for_its_objective_lets_others_keep_theirs() {
+fn an_order_that_misses_its_objective_runs_after_orders_that_can_meet_theirs() {
     let (table, mut batcher) = (table(&[("s1", "a")]), batcher());
     batcher
         .submit(key(1), work(1, 8), &table, 0)
-        .expect("taken");
+        .expect("accepted");
     let first = batcher.next_calls(&table, 0).remove(0);
     let mut late = work(2, 8);
     late.wanted_in_ms = 500;
-    batcher.submit(key(2), late, &table, 0).expect("taken");
+    batcher.submit(key(2), late, &table, 0).expect("accepted");
     let mut in_time = work(3, 8);
     in_time.wanted_in_ms = 900;
-    batcher.submit(key(3), in_time, &table, 0).expect("taken");
+    batcher
+        .submit(key(3), in_time, &table, 0)
+        .expect("accepted");
     batcher.call_ended(first.call, made(&first), 320);
-    // The second would end at 640, after it is wanted.
+    // The late order would end at 640, after its objective.
     let second = batcher.next_calls(&table, 320).remove(0);
     assert_eq!(second.pieces[0].0.request, "r3");
     batcher.call_ended(second.call, made(&second), 640);
@@ -210,16 +212,16 @@
 }
 
 #[test]
-fn an_order_that_a_call_could_hold_is_not_split() {
+fn an_order_that_fits_into_one_call_is_not_split() {
     let (table, mut batcher) = (table(&[("s1", "a")]), batcher());
     batcher
         .submit(key(1), work(1, 1), &table, 0)
-        .expect("taken");
+        .expect("accepted");
     let first = batcher.next_calls(&table, 0).remove(0);
     for (request, pieces) in [(2, 5), (3, 5), (4, 3)] {
         batcher
             .submit(key(request), work(request, pieces), &table, 10)
-            .expect("taken");
+            .expect("accepted");
     }
     batcher.call_ended(first.call, made(&first), 260);
     let second = batcher.next_calls(&table, 260).remove(0);
@@ -232,18 +234,18 @@
 }
 
 #[test]
-fn a_slow_maker_is_passed_over_for_a_while() {
-    let makers = [("s1", "a"), ("s2", "a"), ("s3", "a")];
-    let (table, mut batcher) = (table(&makers), batcher());
+fn a_slow_backend_gets_no_calls_for_a_while() {
+    let backends = [("s1", "a"), ("s2", "a"), ("s3", "a")];
+    let (table, mut batcher) = (table(&backends), batcher());
     batcher
         .submit(key(1), work(1, 1), &table, 0)
-        .expect("taken");
+        .expect("accepted");
     let slow = batcher.next_calls(&table, 0).remove(0);
     batcher.call_ended(slow.call, made(&slow), 1_000);
     for request in 2..5 {
         batcher
             .submit(key(request), work(request, 1), &table, 1_000)
-            .expect("taken");
+            .expect("accepted");
     }
     let calls = batcher.next_calls(&table, 1_000);
     assert_eq!(calls.len(), 2);
@@ -254,32 +256,33 @@
     for request in 9..12 {
         batcher
             .submit(key(request), work(request, 8), &table, 3_100)
-            .expect("taken");
+            .expect("accepted");
     }
     let calls = batcher.next_calls(&table, 3_100);
     assert!(calls.iter().any(|call| call.instance == slow.instance));
 }
 
 #[test]
-fn announced_orders_count_until_they_come_or_will_not() {
+fn announced_orders_count_until_submitted_cancelled_or_expired() {
     let (table, mut batcher) = (table(&[("s1", "a")]), batcher());
     let order = |pieces| AnnouncedOrder {
         shard: whole(),
         pieces,
         priority: 1,
     };
-    let backlog =
-        |batcher: &Batcher, rank: usize, now| batcher.waits(&whole(), &table, now).backlog_ms[rank];
+    let backlog = |batcher: &Batcher, priority: usize, now| {
+        batcher.waits(&whole(), &table, now).backlog_ms[priority]
+    };
     assert_eq!(backlog(&batcher, 1, 0), 0);
     batcher.announce(key(1), order(8), 0);
     batcher.announce(key(2), order(8), 0);
     let both = backlog(&batcher, 1, 0);
     assert!((600..=680).contains(&both), "{both}");
     assert_eq!(backlog(&batcher, 0, 0), 0);
-    // One comes and is the same order then.
+    // A submitted order replaces its announcement.
     batcher
         .submit(key(1), work(1, 8), &table, 10)
-        .expect("taken");
+        .expect("accepted");
     assert_eq!(backlog(&batcher, 1, 10), both);
     batcher.cancel(&key(2));
     assert_eq!(backlog(&batcher, 1, 10), both / 2);
@@ -289,7 +292,7 @@
 }
 
 #[test]
-fn an_order_with_time_waits_a_little_for_a_maker_in_its_zone() {
+fn an_order_with_spare_time_waits_briefly_for_a_backend_in_its_preferred_zone() {
     let (table, mut batcher) = (table(&[("s1", "a"), ("s2", "b")]), batcher());
     let order = |request, wanted_in_ms| {
         let mut order = work(request, 2);
@@ -299,59 +302,59 @@
     };
     batcher
         .submit(key(1), order(1, 2_000), &table, 0)
-        .expect("taken");
+        .expect("accepted");
     let near = batcher.next_calls(&table, 0).remove(0);
     assert_eq!(near.instance, "s1");
     batcher
         .submit(key(2), order(2, 2_000), &table, 100)
-        .expect("taken");
+        .expect("accepted");
     assert!(batcher.next_calls(&table, 100).is_empty());
-    // One without time to wait goes elsewhere at once.
+    // An order without time to wait goes to another zone at once.
     batcher
         .submit(key(3), order(3, 300), &table, 100)
-        .expect("taken");
+        .expect("accepted");
     let far = batcher.next_calls(&table, 100);
     assert_eq!(far[0].instance, "s2");
     assert!(far[0].pieces.iter().all(|(piece, _)| piece.request == "r3"));
     batcher.call_ended(near.call, made(&near), 260);
     let next = batcher.next_calls(&table, 260).remove(0);
     assert_eq!((next.instance.as_str(), next.pieces.len()), ("s1", 2));
-    // The wait has an end.
+    // The wait for the preferred zone ends.
     batcher
         .submit(key(4), order(4, 2_000), &table, 270)
-        .expect("taken");
+        .expect("accepted");
     batcher.call_ended(far[0].call, made(&far[0]), 360);
     assert!(batcher.next_calls(&table, 360).is_empty());
     assert_eq!(batcher.next_calls(&table, 470).remove(0).instance, "s2");
 }
 
 #[test]
-fn orders_too_late_for_their_objective_do_not_count_in_what_others_wait() {
+fn orders_that_miss_their_objective_do_not_count_in_wait_estimates() {
     let (table, mut batcher) = (table(&[("s1", "a")]), batcher());
     let backlog = |batcher: &Batcher, now| batcher.waits(&whole(), &table, now).backlog_ms[1];
     batcher
         .submit(key(1), work(1, 8), &table, 0)
-        .expect("taken");
-    // It takes 320 ms and is wanted at 1,000.
+        .expect("accepted");
+    // It takes 320 ms and its objective ends at 1,000.
     assert!(backlog(&batcher, 600) > 0);
     assert_eq!(backlog(&batcher, 700), 0);
 }
 
 #[test]
-fn slow_makers_are_used_where_they_are_the_more() {
-    let makers = [("s1", "a"), ("s2", "a"), ("s3", "a")];
-    let (table, mut batcher) = (table(&makers), batcher());
+fn slow_backends_are_used_if_they_are_the_majority() {
+    let backends = [("s1", "a"), ("s2", "a"), ("s3", "a")];
+    let (table, mut batcher) = (table(&backends), batcher());
     let mut request = 0;
     let mut calls_at = |batcher: &mut Batcher, orders: u64, now: u64| {
         for _ in 0..orders {
             request += 1;
             batcher
                 .submit(key(request), work(request, 1), &table, now)
-                .expect("taken");
+                .expect("accepted");
         }
         batcher.next_calls(&table, now)
     };
-    // What calls usually take.
+    // Records the usual duration of calls.
     for round in 0..8 {
         let now = round * 1_000;
         for call in calls_at(&mut batcher, 1, now) {
@@ -368,9 +371,9 @@
 }
 
 #[test]
-fn an_order_of_a_zones_shard_is_made_in_that_zone_only_and_waits_for_its_makers() {
-    let makers = [("s1", "a"), ("s2", "b"), ("s3", "b")];
-    let (table, mut batcher) = (table(&makers), batcher());
+fn an_order_of_a_zone_shard_runs_in_that_zone_only() {
+    let backends = [("s1", "a"), ("s2", "b"), ("s3", "b")];
+    let (table, mut batcher) = (table(&backends), batcher());
     let in_zone = |zone: &str, request| PhaseWork {
         shard: Shard::in_zone("encode", zone),
         ..work(request, 8)
@@ -379,10 +382,10 @@
         let number = number as u64 + 1;
         batcher
             .submit(key(number), in_zone(zone, number), &table, 0)
-            .expect("taken");
+            .expect("accepted");
     }
     let calls = batcher.next_calls(&table, 0);
-    let zone_of = |maker: &str| table.get(maker).map(|one| one.listed.zone.clone());
+    let zone_of = |backend: &str| table.get(backend).map(|one| one.listed.zone.clone());
     let mut made_in: Vec<(Option<String>, &str)> = calls
         .iter()
         .map(|call| (zone_of(&call.instance), call.pieces[0].0.request.as_str()))
@@ -391,7 +394,7 @@
     let zone = |name: &str| Some(name.to_owned());
     let expected = [(zone("a"), "r1"), (zone("b"), "r3"), (zone("b"), "r4")];
     assert_eq!(made_in, expected);
-    // What waits in a zone is told of that zone's shard only.
+    // Only the shard of a zone reports what waits there.
     let backlog = |zone| {
         batcher
             .waits(&Shard::in_zone("encode", zone), &table, 0)
@@ -403,14 +406,16 @@
 }
 
 #[test]
-fn an_order_that_was_sent_to_another_zones_shard_does_not_wait_for_its_own_zone() {
+fn an_order_sent_to_another_zones_shard_does_not_wait_for_its_preferred_zone() {
     let (table, mut batcher) = (table(&[("s1", "a"), ("s2", "b")]), batcher());
     let sent_away = PhaseWork {
         shard: Shard::in_zone("encode", "a"),
         zone: "b".into(),
         ..work(1, 2)
     };
-    batcher.submit(key(1), sent_away, &table, 0).expect("taken");
+    batcher
+        .submit(key(1), sent_away, &table, 0)
+        .expect("accepted");
     let calls = batcher.next_calls(&table, 0);
     assert_eq!(calls.len(), 1);
     assert_eq!(calls[0].instance, "s1");
--- a/crates/serving/tests/batcher_rollouts.rs
+++ b/crates/serving/tests/batcher_rollouts.rs
@@ -1,4 +1,4 @@
-//! Calls of a batched service while its makers move from one version to another.
+//! Calls of a batched service during a rollout of its back ends.
 
 mod common;
 
@@ -12,18 +12,18 @@
 use silversail_serving::batcher::{BatchCall, Batcher, CallOutcome};
 use silversail_serving::instances::InstanceTable;
 
-/// Makers and a batcher that may call candidates.
-struct Owner {
+/// A batcher that may call candidates, with its back ends.
+struct ShardOwner {
     table: InstanceTable,
     batcher: Batcher,
     orders: u64,
 }
 
-impl Owner {
-    /// Owns these makers, each with its version.
-    fn of(makers: &[(&str, &str)]) -> Self {
+impl ShardOwner {
+    /// An owner of these back ends, given with their versions.
+    fn of(backends: &[(&str, &str)]) -> Self {
         let mut table = InstanceTable::new(DecisionLog::off());
-        let listed = makers.iter();
+        let listed = backends.iter();
         let listed = listed.map(|(id, version)| of_version(id, "encode", version));
         table.replace_list(&listed.collect::<Vec<_>>());
         let mut batcher = batcher();
@@ -35,18 +35,18 @@
         }
     }
 
-    fn take(&mut self, rollout: &Rollout) {
+    fn apply_rollout(&mut self, rollout: &Rollout) {
         self.batcher.rollouts.take([rollout]);
         let roles = self.batcher.rollouts.roles().clone();
         self.table.set_version_roles(roles);
     }
 
-    fn obey(&mut self, directive: Directive) {
-        self.take(&in_progress("encode", directive));
+    fn set_directive(&mut self, directive: Directive) {
+        self.apply_rollout(&in_progress("encode", directive));
     }
 
-    /// One more order of `pieces` pieces.
-    fn order(&mut self, pieces: u32, now: u64) -> Result<(), PieceFailure> {
+    /// Submits one more order of `pieces` pieces.
+    fn submit_order(&mut self, pieces: u32, now: u64) -> Result<(), PieceFailure> {
         self.orders += 1;
         let work = work(self.orders, pieces);
         self.batcher
@@ -57,12 +57,12 @@
         self.batcher.next_calls(&self.table, now)
     }
 
-    fn makers_of_calls(&mut self, now: u64) -> Vec<String> {
+    fn backends_of_calls(&mut self, now: u64) -> Vec<String> {
         let calls = self.calls(now);
         calls.into_iter().map(|call| call.instance).collect()
     }
 
-    /// Answers of the baseline and of the candidate.
+    /// Counted answers of the baseline and of the candidate.
     fn answers(&self) -> (Answers, Answers) {
         let told = self.batcher.rollouts.evidence(|_| 0);
         let seen = told[0].routes.get(BATCH_ROUTE).cloned().unwrap_or_default();
@@ -74,15 +74,15 @@
     }
 }
 
-/// Without the bound the candidate, one of two idle makers, would get half of the calls.
+/// Without the canary share, one of two idle back ends would get half of the calls.
 #[test]
-fn a_candidate_makes_its_share_of_the_calls_and_no_more() {
-    let mut owner = Owner::of(&[("s1", "v1"), ("s2", "v2")]);
-    owner.obey(directive(1, 200, &[]));
+fn a_candidate_gets_its_share_of_the_calls_and_no_more() {
+    let mut owner = ShardOwner::of(&[("s1", "v1"), ("s2", "v2")]);
+    owner.set_directive(directive(1, 200, &[]));
     let mut to_candidate = 0;
     for round in 0..500 {
         let now = round * 400;
-        owner.order(2, now).expect("taken");
+        owner.submit_order(2, now).expect("accepted");
         let calls = owner.calls(now);
         assert_eq!(calls.len(), 1);
         to_candidate += u64::from(calls[0].version == "v2");
@@ -104,23 +104,23 @@
 }
 
 #[test]
-fn without_a_permit_a_candidate_makes_nothing() {
-    let mut owner = Owner::of(&[("s1", "v1"), ("s2", "v2")]);
-    owner.obey(directive(1, 1_000, &[BATCH_ROUTE]));
+fn without_a_permit_a_candidate_gets_no_calls() {
+    let mut owner = ShardOwner::of(&[("s1", "v1"), ("s2", "v2")]);
+    owner.set_directive(directive(1, 1_000, &[BATCH_ROUTE]));
     owner.batcher.rollouts.set_permitted(false);
-    owner.order(1, 0).expect("taken");
-    owner.order(1, 0).expect("taken");
-    assert_eq!(owner.makers_of_calls(0), ["s1"]);
+    owner.submit_order(1, 0).expect("accepted");
+    owner.submit_order(1, 0).expect("accepted");
+    assert_eq!(owner.backends_of_calls(0), ["s1"]);
 }
 
-/// Else the baseline would get every call for which the candidate is just busy, and never come
-/// to rest.
+/// Otherwise the baseline would get every call for which the candidate is busy, and never become
+/// idle.
 #[test]
-fn once_calls_moved_they_wait_for_a_candidate_that_is_busy() {
-    let mut owner = Owner::of(&[("s1", "v1"), ("s2", "v2")]);
-    owner.obey(directive(2, 0, &[BATCH_ROUTE]));
+fn once_calls_moved_they_wait_for_a_busy_candidate() {
+    let mut owner = ShardOwner::of(&[("s1", "v1"), ("s2", "v2")]);
+    owner.set_directive(directive(2, 0, &[BATCH_ROUTE]));
     for _ in 0..3 {
-        owner.order(8, 0).expect("taken");
+        owner.submit_order(8, 0).expect("accepted");
     }
     let first = owner.calls(0);
     assert_eq!(first.len(), 1);
@@ -128,81 +128,84 @@
     owner
         .batcher
         .call_ended(first[0].call, made(&first[0]), 320);
-    assert_eq!(owner.makers_of_calls(320), ["s2"]);
+    assert_eq!(owner.backends_of_calls(320), ["s2"]);
 }
 
 #[rstest]
 #[case::refuses(CallOutcome::NotRun)]
 #[case::is_not_reached(CallOutcome::Unreachable)]
 #[case::breaks_off(CallOutcome::Unknown)]
-fn once_calls_moved_the_baseline_makes_what_no_candidate_can(#[case] outcome: CallOutcome) {
-    let mut owner = Owner::of(&[("s1", "v1"), ("s2", "v2")]);
-    owner.obey(directive(2, 0, &[BATCH_ROUTE]));
-    owner.order(2, 0).expect("taken");
+fn once_calls_moved_the_baseline_gets_calls_that_no_candidate_can_run(
+    #[case] outcome: CallOutcome,
+) {
+    let mut owner = ShardOwner::of(&[("s1", "v1"), ("s2", "v2")]);
+    owner.set_directive(directive(2, 0, &[BATCH_ROUTE]));
+    owner.submit_order(2, 0).expect("accepted");
     let first = owner.calls(0);
     assert_eq!(first[0].version, "v2");
     owner.batcher.call_ended(first[0].call, outcome, 10);
-    assert_eq!(owner.makers_of_calls(11), ["s1"]);
+    assert_eq!(owner.backends_of_calls(11), ["s1"]);
 }
 
 #[rstest]
 #[case::rolled_back(rolled_back(), "s1")]
 #[case::completed(completed(&["v1"]), "s2")]
-fn a_retired_maker_makes_nothing(#[case] end: RolloutState, #[case] serving: &str) {
-    let mut owner = Owner::of(&[("s1", "v1"), ("s2", "v2")]);
-    owner.obey(directive(1, 500, &[]));
-    owner.take(&rollout(1, "encode", "v2", end));
+fn a_retired_backend_gets_no_calls(#[case] end: RolloutState, #[case] serving: &str) {
+    let mut owner = ShardOwner::of(&[("s1", "v1"), ("s2", "v2")]);
+    owner.set_directive(directive(1, 500, &[]));
+    owner.apply_rollout(&rollout(1, "encode", "v2", end));
     for _ in 0..4 {
-        owner.order(8, 0).expect("taken");
+        owner.submit_order(8, 0).expect("accepted");
     }
-    assert_eq!(owner.makers_of_calls(0), [serving]);
+    assert_eq!(owner.backends_of_calls(0), [serving]);
 }
 
 #[test]
-fn orders_end_at_once_where_all_makers_are_retired() {
-    let mut owner = Owner::of(&[("s2", "v2")]);
-    owner.obey(directive(1, 0, &[BATCH_ROUTE]));
-    owner.order(1, 0).expect("taken");
-    owner.take(&rollout(1, "encode", "v2", rolled_back()));
+fn orders_fail_at_once_if_all_backends_are_retired() {
+    let mut owner = ShardOwner::of(&[("s2", "v2")]);
+    owner.set_directive(directive(1, 0, &[BATCH_ROUTE]));
+    owner.submit_order(1, 0).expect("accepted");
+    owner.apply_rollout(&rollout(1, "encode", "v2", rolled_back()));
     let ended = owner.batcher.reject_orders_without_backend(&owner.table);
     assert_eq!(ended[0].result, Err(PieceFailure::NoBackend));
-    assert_eq!(owner.order(1, 0), Err(PieceFailure::NoBackend));
+    assert_eq!(owner.submit_order(1, 0), Err(PieceFailure::NoBackend));
 }
 
-/// An order that waited for a share of a candidate's calls could wait for ever.
+/// An order that waited for a canary share could wait forever.
 #[test]
-fn a_shard_with_candidates_only_has_makers_once_calls_moved_there() {
-    let mut owner = Owner::of(&[("s2", "v2")]);
-    owner.obey(directive(1, 100, &[]));
-    assert_eq!(owner.order(1, 0), Err(PieceFailure::NoBackend));
-    owner.obey(directive(2, 100, &[BATCH_ROUTE]));
-    assert_eq!(owner.order(1, 0), Ok(()));
-    assert_eq!(owner.makers_of_calls(0), ["s2"]);
+fn a_shard_with_only_candidates_accepts_orders_once_calls_moved() {
+    let mut owner = ShardOwner::of(&[("s2", "v2")]);
+    owner.set_directive(directive(1, 100, &[]));
+    assert_eq!(owner.submit_order(1, 0), Err(PieceFailure::NoBackend));
+    owner.set_directive(directive(2, 100, &[BATCH_ROUTE]));
+    assert_eq!(owner.submit_order(1, 0), Ok(()));
+    assert_eq!(owner.backends_of_calls(0), ["s2"]);
 }
 
-/// The baseline may have been stopped, as the rollout completed on the other side of a cut.
+/// The baseline may have been stopped: the rollout may have completed beyond a network
+/// partition.
 #[test]
-fn without_a_permit_a_shard_with_candidates_only_uses_them() {
-    let mut owner = Owner::of(&[("s2", "v2")]);
-    owner.obey(directive(1, 0, &[]));
+fn without_a_permit_a_shard_with_only_candidates_uses_them() {
+    let mut owner = ShardOwner::of(&[("s2", "v2")]);
+    owner.set_directive(directive(1, 0, &[]));
     owner.batcher.rollouts.set_permitted(false);
-    assert_eq!(owner.order(1, 0), Ok(()));
-    assert_eq!(owner.makers_of_calls(0), ["s2"]);
+    assert_eq!(owner.submit_order(1, 0), Ok(()));
+    assert_eq!(owner.backends_of_calls(0), ["s2"]);
 }
 
-/// A call with one piece that failed is bad; pieces without room or input say nothing.
+/// A call with a failed piece counts as bad; a lack of memory or of an input does not.
 #[rstest]
 #[case::made(None, (1, 0))]
 #[case::piece_failed(Some(PieceFailure::Failed), (0, 1))]
 #[case::no_room(Some(PieceFailure::NoRoom), (1, 0))]
 #[case::input_gone(Some(PieceFailure::InputGone), (1, 0))]
-fn an_answered_call_counts_by_its_pieces(
+fn an_answered_call_is_counted_by_its_pieces(
     #[case] failure: Option<PieceFailure>,
     #[case] expected: (u64, u64),
 ) {
-    let mut owner = Owner::of(&[("s1", "v1"), ("s2", "v2")]);
-    owner.obey(directive(2, 0, &[BATCH_ROUTE]));
-    owner.order(2, 0).expect("taken");
+    let mut owner = ShardOwner::of(&[("s1", "v1"), ("s2", "v2")]);
+    owner.set_directive(directive(2, 0, &[BATCH_ROUTE]));
+    owner.submit_order(2, 0).expect("accepted");
     let call = owner.calls(0).remove(0);
     let mut results = vec![
         Ok(ResultHandle("s2:80/a".into())),
@@ -226,23 +229,24 @@
     #[case] outcome: CallOutcome,
     #[case] bad: u64,
 ) {
-    let mut owner = Owner::of(&[("s1", "v1"), ("s2", "v2")]);
-    owner.obey(directive(2, 0, &[BATCH_ROUTE]));
-    owner.order(2, 0).expect("taken");
+    let mut owner = ShardOwner::of(&[("s1", "v1"), ("s2", "v2")]);
+    owner.set_directive(directive(2, 0, &[BATCH_ROUTE]));
+    owner.submit_order(2, 0).expect("accepted");
     let call = owner.calls(0).remove(0);
     owner.batcher.call_ended(call.call, outcome, 10);
     let (_, candidate) = owner.answers();
     assert_eq!((candidate.sent, candidate.good, candidate.bad), (1, 0, bad));
 }
 
-/// A call of 240 ms and 10 ms a piece: one of eight pieces is no slower than one of two.
+/// A call takes 240 ms and 10 ms for each piece, so that calls of different sizes compare as
+/// equal.
 #[rstest]
 #[case(2, 260)]
 #[case(8, 320)]
-fn times_of_calls_are_told_as_if_all_were_of_one_size(#[case] pieces: u32, #[case] took: u64) {
-    let mut owner = Owner::of(&[("s1", "v1"), ("s2", "v2")]);
-    owner.obey(directive(2, 0, &[BATCH_ROUTE]));
-    owner.order(pieces, 0).expect("taken");
+fn call_durations_are_scaled_to_one_call_size(#[case] pieces: u32, #[case] took: u64) {
+    let mut owner = ShardOwner::of(&[("s1", "v1"), ("s2", "v2")]);
+    owner.set_directive(directive(2, 0, &[BATCH_ROUTE]));
+    owner.submit_order(pieces, 0).expect("accepted");
     let call = owner.calls(0).remove(0);
     owner.batcher.call_ended(call.call, made(&call), took);
     let (_, candidate) = owner.answers();
@@ -250,13 +254,13 @@
     assert!((200.0..=290.0).contains(&seen), "{seen} ms");
 }
 
-/// The baseline's makers stop when the rollout completes: what a later phase needs of them must
-/// have been used by then, or be past its time.
+/// The back ends of the baseline stop when the rollout completes; results that later phases need
+/// must be released or expired by then.
 #[test]
-fn results_at_the_baseline_are_under_way_until_they_are_released_or_over() {
-    let mut owner = Owner::of(&[("s1", "v1"), ("s2", "v2")]);
-    owner.obey(directive(1, 0, &[]));
-    owner.order(2, 0).expect("taken");
+fn results_at_the_baseline_count_as_in_flight_until_released_or_expired() {
+    let mut owner = ShardOwner::of(&[("s1", "v1"), ("s2", "v2")]);
+    owner.set_directive(directive(1, 0, &[]));
+    owner.submit_order(2, 0).expect("accepted");
     let call = owner.calls(0).remove(0);
     assert_eq!(owner.in_flight_at_baseline(), 1);
     let finished = owner.batcher.call_ended(call.call, made(&call), 260);
@@ -264,24 +268,24 @@
     assert_eq!(owner.in_flight_at_baseline(), 2);
     owner.batcher.release(&handles[..1]);
     assert_eq!(owner.in_flight_at_baseline(), 1);
-    // Makers keep results for 4 s.
+    // Back ends keep results for 4 s.
     owner.calls(5_000);
     assert_eq!(owner.in_flight_at_baseline(), 0);
 }
 
-/// An order that waits for a maker near its inputs would wait for the candidate's, beside one of
-/// the baseline that is idle where it had better be made.
+/// The order must not wait for the candidate while a back end of the baseline is idle in its
+/// preferred zone.
 #[test]
-fn a_candidate_that_an_order_does_not_go_to_keeps_no_other_maker_from_it() {
-    let mut owner = Owner::of(&[("s1", "v1")]);
+fn a_candidate_in_another_zone_does_not_block_the_baseline_for_an_order() {
+    let mut owner = ShardOwner::of(&[("s1", "v1")]);
     let mut far = of_version("s2", "encode", "v2");
     far.zone = "b".to_owned();
     let near = of_version("s1", "encode", "v1");
     owner.table.replace_list(&[near, far]);
-    owner.obey(directive(1, 1_000, &[]));
+    owner.set_directive(directive(1, 1_000, &[]));
     let mut near_inputs = work(1, 1);
     near_inputs.zone = "a".to_owned();
     let taken = owner.batcher.submit(key(1), near_inputs, &owner.table, 0);
     assert_eq!(taken, Ok(()));
-    assert_eq!(owner.makers_of_calls(0), ["s1"]);
+    assert_eq!(owner.backends_of_calls(0), ["s1"]);
 }
--- a/crates/serving/tests/batcher_room.rs
+++ b/crates/serving/tests/batcher_room.rs
@@ -1,4 +1,4 @@
-//! Room for results at the makers, and orders that end before they are made.
+//! Result memory at back ends, and orders that end before they have run.
 
 mod common;
 
@@ -7,31 +7,31 @@
 use silversail_peer::{PieceFailure, ResultHandle};
 
 #[test]
-fn room_at_the_maker_is_never_overdrawn_and_comes_back() {
+fn result_memory_is_never_overcommitted_and_is_reused_once_freed() {
     let (table, mut batcher) = (table(&[("s1", "a")]), batcher());
     batcher
         .submit(key(1), large_work(1, 4, 300_000), &table, 0)
-        .expect("taken");
+        .expect("accepted");
     let first = batcher.next_calls(&table, 0);
-    // A million bytes of room, of which 85 in 100 are used.
+    // 1,000,000 bytes of result memory, of which 85 % are used.
     assert_eq!(first[0].pieces.len(), 2);
     batcher.call_ended(first[0].call, made(&first[0]), 300);
     assert!(batcher.next_calls(&table, 300).is_empty());
     batcher.release(&[ResultHandle("s1:80/r1-0".into())]);
     let releases = batcher.take_releases();
     assert_eq!(releases.len(), 1);
-    // The maker has not said yet that the room is free: a call that relied on it found none.
+    // The back end has not confirmed yet that it freed the result.
     assert!(batcher.next_calls(&table, 301).is_empty());
     batcher.results_freed(&releases);
     assert_eq!(batcher.next_calls(&table, 305)[0].pieces.len(), 1);
 }
 
 #[test]
-fn a_cancelled_order_frees_what_was_made_and_what_is_still_to_come() {
+fn cancelling_an_order_frees_its_present_and_future_results() {
     let (table, mut batcher) = (table(&[("s1", "a")]), batcher());
     batcher
         .submit(key(1), work(1, 9), &table, 0)
-        .expect("taken");
+        .expect("accepted");
     let first = batcher.next_calls(&table, 0);
     batcher.cancel(&key(1));
     assert!(batcher
@@ -43,12 +43,12 @@
 }
 
 #[test]
-fn after_a_change_of_owner_room_is_left_and_inputs_last() {
+fn a_new_owner_leaves_result_memory_free_and_keeps_inputs() {
     let (table, mut batcher) = (table(&[("s1", "a")]), batcher());
     batcher.take_over_shard(&whole(), &table, 0);
     batcher
         .submit(key(1), large_work(1, 4, 150_000), &table, 0)
-        .expect("taken");
+        .expect("accepted");
     let first = batcher.next_calls(&table, 0).remove(0);
     assert_eq!(first.pieces.len(), 2);
     batcher.call_ended(first.call, made(&first), 300);
@@ -58,19 +58,19 @@
 }
 
 #[test]
-fn orders_of_a_process_that_is_gone_end_and_free_their_room() {
+fn orders_of_an_ended_process_are_cancelled_and_their_results_freed() {
     let (table, mut batcher) = (table(&[("s1", "a")]), batcher());
     batcher
         .submit(key(1), work(1, 2), &table, 0)
-        .expect("taken");
+        .expect("accepted");
     let first = batcher.next_calls(&table, 0).remove(0);
     assert_eq!(batcher.call_ended(first.call, made(&first), 260).len(), 1);
     batcher
         .submit(key(2), work(2, 2), &table, 300)
-        .expect("taken");
+        .expect("accepted");
     batcher
         .submit(key(9), work(9, 2), &table, 300)
-        .expect("taken");
+        .expect("accepted");
     batcher.forget_process(&"n1".into(), 9);
     assert_eq!(batcher.take_releases().len(), 2);
     let next = batcher.next_calls(&table, 310).remove(0);
@@ -78,23 +78,23 @@
 }
 
 #[test]
-fn an_order_waits_a_little_rather_than_hold_room_with_its_first_pieces() {
+fn an_order_waits_briefly_instead_of_storing_results_of_its_first_pieces_only() {
     let (table, mut batcher) = (table(&[("s1", "a")]), batcher());
     let large = |request, pieces| large_work(request, pieces, 200_000);
-    // Room for four of them.
+    // Result memory for four of them.
     batcher
         .submit(key(1), large(1, 3), &table, 0)
-        .expect("taken");
+        .expect("accepted");
     let first = batcher.next_calls(&table, 0).remove(0);
     batcher
         .submit(key(2), large(2, 4), &table, 100)
-        .expect("taken");
+        .expect("accepted");
     batcher.call_ended(first.call, made(&first), 270);
     assert!(batcher.next_calls(&table, 270).is_empty());
-    // A smaller one goes meanwhile.
+    // A smaller order runs meanwhile.
     batcher
         .submit(key(3), large(3, 1), &table, 280)
-        .expect("taken");
+        .expect("accepted");
     let second = batcher.next_calls(&table, 280).remove(0);
     assert_eq!(second.pieces[0].0.request, "r3");
     batcher.call_ended(second.call, made(&second), 490);
@@ -108,28 +108,28 @@
 }
 
 #[test]
-fn makers_of_an_evacuated_zone_get_no_calls() {
+fn backends_of_an_evacuated_zone_get_no_calls() {
     let (mut table, mut batcher) = (table(&[("s1", "a"), ("s2", "b")]), batcher());
     table.set_evacuated(["a".to_owned()].into(), 0);
     for request in 1..5 {
         batcher
             .submit(key(request), work(request, 8), &table, 0)
-            .expect("taken");
+            .expect("accepted");
     }
     let calls = batcher.next_calls(&table, 0);
-    let makers: Vec<&str> = calls.iter().map(|call| call.instance.as_str()).collect();
-    assert_eq!(makers, ["s2"]);
+    let backends: Vec<&str> = calls.iter().map(|call| call.instance.as_str()).collect();
+    assert_eq!(backends, ["s2"]);
 }
 
-/// Orders that wait when the last maker's zone is evacuated are answered at once; calls at
-/// work end and are delivered.
+/// Waiting orders fail at once when the zone of the last back end is evacuated; calls in flight
+/// are delivered.
 #[test]
-fn orders_without_makers_end_at_once_and_calls_at_work_are_delivered() {
+fn orders_without_backends_fail_at_once_and_calls_in_flight_are_delivered() {
     let (mut table, mut batcher) = (table(&[("s1", "a")]), batcher());
     for request in 1..3 {
         batcher
             .submit(key(request), work(request, 8), &table, 0)
-            .expect("taken");
+            .expect("accepted");
     }
     let calls = batcher.next_calls(&table, 0);
     assert_eq!(calls.len(), 1);
@@ -146,13 +146,13 @@
     assert_eq!(refused, Err(PieceFailure::NoBackend));
 }
 
-/// A result that two messages release is freed once.
+/// Releasing a result twice frees it once.
 #[test]
-fn a_result_is_freed_once() {
+fn a_result_released_twice_is_freed_once() {
     let (table, mut batcher) = (table(&[("s1", "a")]), batcher());
     batcher
         .submit(key(1), work(1, 2), &table, 0)
-        .expect("taken");
+        .expect("accepted");
     let call = batcher.next_calls(&table, 0).remove(0);
     let finished = batcher.call_ended(call.call, made(&call), 260);
     let handles = finished[0].result.clone().expect("made");
--- a/crates/serving/tests/common/batches.rs
+++ b/crates/serving/tests/common/batches.rs
@@ -1,4 +1,4 @@
-//! A batcher of one service, with its makers and orders.
+//! Fixtures: a batcher of one service with back ends and orders.
 
 use super::{batch_spec, instance};
 use silversail_decisions::DecisionLog;
@@ -9,9 +9,11 @@
 use silversail_serving::instances::InstanceTable;
 use silversail_serving::policy::Policy;
 
-pub fn table(makers: &[(&str, &str)]) -> InstanceTable {
+pub fn table(backends: &[(&str, &str)]) -> InstanceTable {
     let mut table = InstanceTable::new(DecisionLog::off());
-    let listed = makers.iter().map(|(id, zone)| instance(id, "encode", zone));
+    let listed = backends
+        .iter()
+        .map(|(id, zone)| instance(id, "encode", zone));
     table.replace_list(&listed.collect::<Vec<_>>());
     table
 }
@@ -20,7 +22,7 @@
     Shard::whole("encode")
 }
 
-/// A batcher that fills 85 in 100 of the makers' room.
+/// A batcher that uses 85 % of the result memory of each back end.
 pub fn batcher() -> Batcher {
     let policy = Policy {
         room_share: 0.85,
