--- a/crates/serving/src/dispatcher.rs
+++ b/crates/serving/src/dispatcher.rs
@@ -1,8 +1,8 @@
-//! One request from its arrival to its answer: phases first, then sends to
-//! engines until one answers, the time is over or nothing more may be tried.
+//! The life of a request from its arrival to its answer: phases first, then attempts to send it
+//! to an engine, until one answers, the deadline passes or no further attempt is allowed.
 //!
-//! The dispatcher holds the state of all requests of a node. Its inputs return
-//! [`Action`]s, which the caller carries out.
+//! The dispatcher holds the state of all requests of a node. Its inputs return [`Action`]s,
+//! which the caller carries out.
 
 mod action;
 mod admission;
@@ -38,26 +38,25 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// When a caller is told to come back after a refusal under load, in
-/// milliseconds.
-const RETRY_AFTER_LOAD: u64 = 600;
-/// When a caller is told to come back after anything else, in milliseconds.
+/// `Retry-After` of a rejection because of overload, in milliseconds.
+const RETRY_AFTER_OVERLOAD: u64 = 600;
+/// `Retry-After` of other temporary rejections, in milliseconds.
 const RETRY_AFTER: u64 = 250;
-/// Status of refusals after which a caller may come back.
+/// HTTP status of rejections after which a caller may retry.
 const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// Identifies a request at its node.
+/// Number of a request, unique within this process.
 pub type RequestNumber = u64;
 
-/// All requests of a node.
+/// State machine of all requests of a node.
 pub struct Dispatcher {
     topology: Arc<Topology>,
     routes: Option<RouteTable>,
-    /// The back ends.
+    /// The back ends that requests are sent to.
     pub instances: InstanceTable,
-    /// The rollouts of the services that take requests.
+    /// Rollouts of the services that take requests.
     pub rollouts: RolloutBook,
-    /// Requests that crash back ends.
+    /// Requests that are rejected because they crash back ends.
     pub quarantine: RequestQuarantine,
     budget: RetryBudget,
     nodes: usize,
@@ -71,9 +70,8 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher of a node in `topology` without configuration or back ends. Orders of
-    /// work are numbered from `first_work`, which differs between processes of a
-    /// node.
+    /// Creates a dispatcher without configuration or back ends. Orders are numbered from
+    /// `first_work`, which has to differ between processes of a node.
     pub fn new(
         topology: Arc<Topology>,
         limits: RetryLimits,
@@ -101,22 +99,22 @@
         }
     }
 
-    /// The same dispatcher, without back ends, which obeys what these say by `notices`: whoever
-    /// reads answers writes there.
+    /// Uses `notices` for the self-reports of back ends, and removes all back ends. Threads that
+    /// read answers write to `notices`.
     pub fn with_notices(mut self, notices: BackendNotices) -> Self {
         self.instances = InstanceTable::with_notices(notices, self.log.clone());
         self.instances.set_resume_policy(self.policy.returns);
         self
     }
 
-    /// Takes the nodes that share the retry allowance and what cold back ends bear, and which
-    /// of them this is.
+    /// Sets the nodes that share the retry budget and the limits of cold back ends, and the name
+    /// of this one.
     pub fn set_nodes(&mut self, own: &str, nodes: Vec<String>) {
         self.nodes = nodes.len().max(1);
         self.instances.set_senders(own, nodes);
     }
 
-    /// Takes a version of the list of back ends.
+    /// Applies a version of the list of back ends.
     pub fn apply_backend_list(&mut self, listed: &ListedInstances, now: Millis) {
         if self.instances.apply_list(listed) {
             self.instances.hold_back_new_versions(now);
@@ -124,57 +122,57 @@
         }
     }
 
-    /// Takes the latest rollout of each service.
+    /// Applies the latest rollout of each service.
     pub fn apply_rollouts<'a>(&mut self, rollouts: impl IntoIterator<Item = &'a Rollout>) {
         self.rollouts.take(rollouts);
         let roles = self.rollouts.roles().clone();
         self.instances.set_version_roles(roles);
     }
 
-    /// Takes how long shards of batched services take now.
+    /// Records wait estimates of shards of batched services.
     pub fn set_waits(&mut self, waits: impl IntoIterator<Item = ShardWaits>, now: Millis) {
         for one in waits {
             self.admission.waits.take(one, now);
         }
     }
 
-    /// How long shards of batched services take now.
+    /// Current wait estimates of the shards.
     pub fn waits(&self) -> &WaitBook {
         &self.admission.waits
     }
 
-    /// Whether an order of work belongs to a request under way.
+    /// Whether an order belongs to an open request.
     pub fn has_order(&self, work: WorkId) -> bool {
         self.works.contains_key(&work)
     }
 
-    /// Requests under way.
+    /// Number of open requests.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// What a request under way is.
+    /// Fingerprint of an open request.
     pub fn fingerprint_of(&self, number: RequestNumber) -> Option<RequestFingerprint> {
         let request = self.requests.get(&number);
         request.map(|request| request.fingerprint)
     }
 
-    /// Whether a request is under way.
+    /// Whether a request is open.
     pub fn is_open(&self, number: RequestNumber) -> bool {
         self.requests.contains_key(&number)
     }
 
-    /// Refuses a request that was not taken in.
+    /// Rejects a request before it is admitted.
     pub fn refuse(
         &self,
         number: RequestNumber,
         call: &CallAttributes,
         code: ResultCode,
     ) -> Vec<Action> {
-        vec![self.refuse_unknown(number, call, code)]
+        vec![self.reject_unadmitted(number, call, code)]
     }
 
-    /// A request arrived.
+    /// Routes and admits a request that has just arrived.
     pub fn handle_request(
         &mut self,
         number: RequestNumber,
@@ -184,8 +182,8 @@
         self.handle_delayed_request(number, call, now, now)
     }
 
-    /// The regions where requests of a host may be served, as far as they are known before a
-    /// request is; all before a traffic configuration is in force.
+    /// Regions that may serve requests of a host, as far as the host determines them; all
+    /// regions without a traffic configuration.
     pub fn allowed_regions_of_host(&self, host: &str) -> RegionFilter {
         let routes = self.routes.as_ref();
         routes.map_or_else(RegionFilter::any, |routes| {
@@ -193,12 +191,13 @@
         })
     }
 
-    /// Whether a traffic configuration is in force.
+    /// Whether a traffic configuration is active.
     pub fn has_routes(&self) -> bool {
         self.routes.is_some()
     }
 
-    /// A request that arrived at `since` and waited for a traffic configuration.
+    /// Routes and admits a request that arrived at `since` and waited for a traffic
+    /// configuration.
     pub fn handle_delayed_request(
         &mut self,
         number: RequestNumber,
@@ -208,7 +207,7 @@
     ) -> Vec<Action> {
         let routed = match self.routed(&call) {
             Ok(routed) => routed,
-            Err(code) => return vec![self.refuse_unknown(number, &call, code)],
+            Err(code) => return vec![self.reject_unadmitted(number, &call, code)],
         };
         let timeout = routed.route.timeout_ms;
         let wait = call
@@ -230,19 +229,19 @@
             request.shared_prompt = self.seen_prompts.note(&request.call.prefix, speed, now);
         }
         let is_quarantined = self.quarantine.refuses(&request.fingerprint);
-        let is_served_nowhere = self.is_served_nowhere(&request);
+        let lacks_allowed_backends = self.lacks_allowed_backends(&request);
         let refused = self.admission.refuses(&request, now);
-        let back_at = self.too_late_back_at(&request, now);
-        self.admission.note_forecasts(&mut request, now);
+        let available_at = self.too_late_available_at(&request, now);
+        self.admission.store_forecasts(&mut request, now);
         self.requests.insert(number, request);
         if is_quarantined {
             return self.give_up(number, ResultCode::RequestQuarantined, now);
         }
-        if is_served_nowhere {
+        if lacks_allowed_backends {
             return self.give_up(number, ResultCode::NoAllowedBackend, now);
         }
-        if let Some(back_at) = back_at {
-            return self.refuse_until(number, back_at, now);
+        if let Some(available_at) = available_at {
+            return self.reject_until(number, available_at, now);
         }
         if let Some(come_back_in) = refused {
             return self.end(number, ResultCode::PhaseOverloaded, Some(come_back_in), now);
@@ -252,7 +251,7 @@
         actions
     }
 
-    /// Tells the batching nodes of the phases that an admitted request will need.
+    /// Announces the later phases of an admitted request to their batching nodes.
     fn announce(&mut self, number: RequestNumber) -> Vec<Action> {
         if !self.policy.announced_orders {
             return Vec::new();
@@ -290,7 +289,7 @@
         })
     }
 
-    fn refuse_unknown(
+    fn reject_unadmitted(
         &self,
         number: RequestNumber,
         call: &CallAttributes,
@@ -317,7 +316,7 @@
         });
     }
 
-    /// Starts what a request can do next: phases, or the send.
+    /// Starts the phases of a request that are due, or the send once all are done.
     fn advance(&mut self, number: RequestNumber, now: Millis) -> Vec<Action> {
         let Some(request) = self.requests.get_mut(&number) else {
             return Vec::new();
@@ -325,7 +324,7 @@
         if request.phases.all_done() {
             return self.send(number, now);
         }
-        // Where the engine will probably be: large results are best made there.
+        // Large results are best made near the engine that is likely to be selected.
         let inputs = request.inputs_of_engine(&self.instances);
         let selection = request.selection(&self.topology, &inputs);
         let zone = select(&self.instances, &selection, now)
@@ -347,7 +346,7 @@
         actions
     }
 
-    /// The head of an engine's answer came: it has read what it needs.
+    /// Records the head of an engine's answer. The engine has read its inputs by then.
     pub fn head_received(
         &mut self,
         number: RequestNumber,
@@ -359,21 +358,21 @@
         };
         let is_first = request.head_at.is_none();
         request.head_at.get_or_insert(now);
-        if let Some(present) = &request.present {
+        if let Some(active_send) = &request.active_send {
             if let Some(load) = load {
-                self.instances.record_load(&present.instance, load, now);
+                self.instances.record_load(&active_send.instance, load, now);
             }
-            self.instances.record_answer(&present.instance);
+            self.instances.record_answer(&active_send.instance);
             if is_first && request.sends == 1 {
-                let after = now.saturating_sub(present.began_at);
+                let after = now.saturating_sub(active_send.began_at);
                 let route = &request.routed.route.name;
-                self.admission.saw_first_part(route, after);
+                self.admission.record_first_part(route, after);
             }
         }
         request.drop_phases()
     }
 
-    /// Ends a request with an answer of this node's own.
+    /// Ends a request with an answer of this node.
     fn give_up(&mut self, number: RequestNumber, code: ResultCode, now: Millis) -> Vec<Action> {
         self.end(number, code, retry_after(code), now)
     }
@@ -388,7 +387,7 @@
         let Some(mut request) = self.requests.remove(&number) else {
             return Vec::new();
         };
-        let code = request.truthful(code);
+        let code = request.corrected_code(code);
         let may_come_back = code.http_status() == SERVICE_UNAVAILABLE;
         let refusal = Refusal {
             code,
@@ -402,14 +401,14 @@
         actions
     }
 
-    /// The caller left.
+    /// Ends a request whose caller disconnected.
     pub fn caller_disconnected(&mut self, number: RequestNumber, now: Millis) -> Vec<Action> {
         let Some(mut request) = self.requests.remove(&number) else {
             return Vec::new();
         };
-        if let Some(present) = request.present.take() {
+        if let Some(active_send) = request.active_send.take() {
             let tokens = request.tokens();
-            self.instances.record_ended(&present.instance, tokens);
+            self.instances.record_ended(&active_send.instance, tokens);
         }
         self.log.record(Event::CallerGone {
             request: request.call.id.clone(),
@@ -421,11 +420,11 @@
         actions
     }
 
-    /// Ends the requests that are refused by now, but for those that are at a back end.
+    /// Rejects open requests that are now quarantined, except those sent to a back end.
     pub fn reject_quarantined(&mut self, now: Millis) -> Vec<Action> {
         let requests = self.requests.iter();
         let refused = requests.filter(|(_, request)| {
-            request.present.is_none() && self.quarantine.refuses(&request.fingerprint)
+            request.active_send.is_none() && self.quarantine.refuses(&request.fingerprint)
         });
         let refused: Vec<RequestNumber> = refused.map(|(number, _)| *number).collect();
         let code = ResultCode::RequestQuarantined;
@@ -435,12 +434,12 @@
             .collect()
     }
 
-    /// Ends the requests whose time is over before they were sent.
+    /// Ends the requests whose deadline passed before they were sent.
     pub fn expire(&mut self, now: Millis) -> Vec<Action> {
         let over = self
             .requests
             .iter()
-            .filter(|(_, request)| request.present.is_none() && request.end <= now);
+            .filter(|(_, request)| request.active_send.is_none() && request.end <= now);
         let over: Vec<RequestNumber> = over.map(|(number, _)| *number).collect();
         over.into_iter()
             .flat_map(|number| self.give_up(number, ResultCode::TimeOverBeforeSend, now))
@@ -448,10 +447,10 @@
     }
 }
 
-/// When a caller shall come back; none where that would not help.
+/// `Retry-After` of a rejection in milliseconds; none if a retry would not help.
 fn retry_after(code: ResultCode) -> Option<u64> {
     match code {
-        ResultCode::PhaseOverloaded => Some(RETRY_AFTER_LOAD),
+        ResultCode::PhaseOverloaded => Some(RETRY_AFTER_OVERLOAD),
         code if code.http_status() == SERVICE_UNAVAILABLE => Some(RETRY_AFTER),
         _ => None,
     }
--- a/crates/serving/src/dispatcher/action.rs
+++ b/crates/serving/src/dispatcher/action.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher decides, and what it is told of sends.
+//! Actions that the dispatcher returns, and outcomes of sends that it is given.
 
 use super::RequestNumber;
 use crate::batcher::AnnouncedOrder;
@@ -9,136 +9,136 @@
 use silversail_model::{Distance, ResultCode};
 use silversail_peer::{PhaseWork, ResultHandle, WorkId};
 
-/// A refusal, or a request given up.
+/// A rejection, or a failure answered by this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Numbered code; it tells the status.
+    /// Numbered code, which determines the HTTP status.
     pub code: ResultCode,
-    /// When to come back, in milliseconds.
+    /// `Retry-After` in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
-/// A request to be sent to an engine.
+/// How to send a request to an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SendPlan {
-    /// Identity of the engine.
+    /// Identity of the engine's process.
     pub instance: String,
-    /// Its service.
+    /// Service of the engine.
     pub service: String,
-    /// Version of its software; empty where the list does not tell.
+    /// Software version of the engine; empty if the list does not name one.
     pub version: String,
-    /// Its address.
+    /// Network address of the engine.
     pub address: String,
-    /// How far it is.
+    /// Distance of the engine from this node.
     pub distance: Distance,
-    /// What goes with the request.
+    /// Metadata that is sent with the request.
     pub attributes: SendAttributes,
-    /// When the request ends.
+    /// Deadline of the request.
     pub end: Millis,
-    /// Whether the answer is a stream.
+    /// Whether the answer is streamed.
     pub is_stream: bool,
-    /// Whether a failure of the engine may be kept from the caller, as the request
-    /// can be sent again.
+    /// Whether the request may be sent again, so that a failure of the engine need not reach the
+    /// caller.
     pub may_repeat: bool,
 }
 
-/// What the caller of the dispatcher has to do.
+/// An action that the caller of the dispatcher carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Answer the caller.
+    /// Answer the request.
     Answer {
-        /// The request.
+        /// Number of the request.
         number: RequestNumber,
-        /// The answer.
+        /// The answer to send.
         refusal: Refusal,
     },
     /// Send the request to an engine.
     Send {
         /// The request.
         number: RequestNumber,
-        /// Where and how.
+        /// How to send it.
         plan: SendPlan,
     },
-    /// Have a phase's pieces made.
+    /// Submit the pieces of a phase as an order.
     Submit {
-        /// Identifies the order.
+        /// Number of the order.
         work: WorkId,
-        /// The request's identifier, for the log.
+        /// Identifier of the request, for the log.
         request: String,
-        /// The pieces.
+        /// Content of the order.
         phase: PhaseWork,
     },
-    /// Tell of an order to come.
+    /// Announce a later order to its batching node.
     Announce {
         /// Identifies the order.
         work: WorkId,
-        /// Its service and size.
+        /// Shard, size and priority of the order.
         order: AnnouncedOrder,
-        /// The regions whose back ends may do it.
+        /// Regions whose back ends may process it.
         regions: RegionFilter,
     },
-    /// Drop an order.
+    /// Cancel an order.
     Cancel {
-        /// The order.
+        /// Number of the cancelled order.
         work: WorkId,
     },
-    /// Find out whether the back end at which the request broke off has ended.
+    /// Find out whether a back end crashed when it lost the request's connection.
     Diagnose {
-        /// Where it broke off.
+        /// The lost connection.
         broken: BreakOff,
     },
-    /// Free results.
+    /// Free results that are no longer needed.
     Release {
-        /// The service that made them.
+        /// Service that stores the results.
         service: String,
-        /// The results.
+        /// Handles of the results.
         handles: Vec<ResultHandle>,
     },
 }
 
-/// Why an engine is known not to have run a request.
+/// Why an engine certainly did not run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotRunReason {
-    /// It was not reached: nothing was sent.
+    /// The connection failed before anything was sent.
     Unreachable,
-    /// It rests or leaves, as it said itself after it was chosen: nothing was sent.
+    /// Nothing was sent: after it was selected, the engine reported that it rests or shuts down.
     Withheld,
-    /// It said that it is full.
+    /// The engine reported itself full.
     Full,
-    /// Another engine has its address.
+    /// Another engine answered at its address.
     Misplaced,
-    /// A result that it needs is gone.
+    /// An input of the request no longer exists.
     InputsGone,
-    /// It said so for another reason.
+    /// The engine rejected the request for another reason.
     Refused,
 }
 
-/// Why it is not known whether an engine ran a request.
+/// Why an engine may or may not have run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnknownReason {
-    /// The connection broke before the answer's head.
+    /// The connection was lost before the head of the answer.
     Broken,
-    /// The answer is not in the protocol, or names another request.
+    /// The answer violates the protocol or names another request.
     Garbled,
-    /// The time was over.
+    /// The deadline passed.
     Deadline,
 }
 
-/// What came of a send.
+/// Outcome of a send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// The engine's answer went to the caller, as far as it came.
+    /// The answer was passed on to the caller, completely or in part.
     Delivered {
-        /// Its status.
+        /// HTTP status of the answer.
         status: u16,
-        /// Whether it was whole.
+        /// Whether the answer was complete.
         is_whole: bool,
     },
     /// The engine did not run the request.
     NotRun(NotRunReason),
-    /// It may have run.
+    /// The engine may have run the request.
     Unknown(UnknownReason),
-    /// It ran and failed with this status, and the answer was not passed on.
+    /// The engine ran the request and failed; the answer was not passed on.
     Failed {
         /// Its status.
         status: u16,
--- a/crates/serving/src/dispatcher/admission.rs
+++ b/crates/serving/src/dispatcher/admission.rs
@@ -1,5 +1,5 @@
-//! Whether a request's whole chain of phases can be expected to end in time, by
-//! what the batching nodes last told.
+//! Admission control: whether all phases of a request are expected to finish in time, by the
+//! wait estimates of the batching nodes.
 
 use super::request::ActiveRequest;
 use crate::policy::Policy;
@@ -10,25 +10,23 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What comes between the last phase and the first part of an answer, in
-/// milliseconds, before any answer of a route was seen.
-const FIRST_PART_AT_FIRST: f64 = 150.0;
-/// Weight of an answer in the mean of that time.
+/// Initial estimate of the time from the send to the first part of an answer, in milliseconds.
+const INITIAL_FIRST_PART_MS: f64 = 150.0;
+/// Weight of a new answer in the moving average of that time.
 const FIRST_PART_WEIGHT: f64 = 0.1;
-/// Most that an answer counts in that mean, in milliseconds: one that is stuck says
-/// nothing of others.
-const FIRST_PART_MOST: f64 = 1_000.0;
+/// Cap on the time of one answer in that average, in milliseconds, so that a stuck one does not
+/// distort it.
+const MAX_FIRST_PART_MS: f64 = 1_000.0;
 
-/// Weight of a phase in the mean error of its service's forecasts: about the last seven.
+/// Weight of a phase in the moving average of a service's forecast errors.
 const ERROR_WEIGHT: f64 = 0.15;
-/// Most that one phase counts in that mean, in milliseconds.
-const ERROR_MOST: f64 = 1_000.0;
-/// Time after which half of that mean is forgotten, in milliseconds: where all are refused,
-/// nothing corrects it.
-const ERROR_HALF_LIFE: f64 = 2_000.0;
+/// Cap on the error of one phase in that average, in milliseconds.
+const MAX_ERROR_MS: f64 = 1_000.0;
+/// Half-life of that average in milliseconds. Without it, a service that rejects everything
+/// would never be corrected.
+const ERROR_HALF_LIFE_MS: f64 = 2_000.0;
 
-/// By how much phases of a service lately took longer than was forecast for them when their
-/// requests were admitted, in milliseconds.
+/// Average time in milliseconds by which the phases of a service exceeded their forecasts.
 #[derive(Clone, Copy)]
 struct ForecastError {
     mean: f64,
@@ -38,16 +36,16 @@
 impl ForecastError {
     fn present(&self, now: Millis) -> f64 {
         let age = now.saturating_sub(self.at) as f64;
-        self.mean * 0.5_f64.powf(age / ERROR_HALF_LIFE)
+        self.mean * 0.5_f64.powf(age / ERROR_HALF_LIFE_MS)
     }
 }
 
-/// What the batching nodes told.
+/// Wait estimates and their corrections.
 pub(super) struct Admission {
     policy: Policy,
     errors: BTreeMap<String, ForecastError>,
     pub(super) waits: WaitBook,
-    first_parts: BTreeMap<String, f64>,
+    first_part_averages: BTreeMap<String, f64>,
 }
 
 impl Admission {
@@ -56,29 +54,28 @@
             policy,
             errors: BTreeMap::new(),
             waits: WaitBook::new(topology, policy.near_shards),
-            first_parts: BTreeMap::new(),
+            first_part_averages: BTreeMap::new(),
         }
     }
 
-    /// The first part of an answer of a route came so long after its send.
-    pub(super) fn saw_first_part(&mut self, route: &str, after: Millis) {
-        let mean = self.first_parts.get(route).copied();
-        let mean = mean.unwrap_or(FIRST_PART_AT_FIRST);
-        let seen = (after as f64).min(FIRST_PART_MOST);
+    /// Records the time from a send to the first part of the answer, in milliseconds.
+    pub(super) fn record_first_part(&mut self, route: &str, after: Millis) {
+        let mean = self.first_part_averages.get(route).copied();
+        let mean = mean.unwrap_or(INITIAL_FIRST_PART_MS);
+        let seen = (after as f64).min(MAX_FIRST_PART_MS);
         let next = mean + FIRST_PART_WEIGHT * (seen - mean);
-        self.first_parts.insert(route.to_owned(), next);
+        self.first_part_averages.insert(route.to_owned(), next);
     }
 
-    /// How long a route's answers take from the send to their first part, in
-    /// milliseconds.
+    /// Average time from a send to the first part of an answer of a route, in milliseconds.
     pub(super) fn first_part_ms(&self, route: &str) -> u64 {
-        let mean = self.first_parts.get(route).copied();
-        mean.unwrap_or(FIRST_PART_AT_FIRST) as u64
+        let mean = self.first_part_averages.get(route).copied();
+        mean.unwrap_or(INITIAL_FIRST_PART_MS) as u64
     }
 
-    /// When an order of `rank` that is given in `begin` milliseconds ends. The backlog
-    /// gets smaller until then. Nothing is added where nothing is known, so that the
-    /// first request finds out.
+    /// When an order that is submitted in `begin` milliseconds ends, in milliseconds from now.
+    /// The backlog shrinks until then. Without an estimate nothing is added, so that the first
+    /// request is admitted and yields one.
     fn end_of(&self, service: &str, rank: u8, begin: u64, now: Millis) -> u64 {
         let Some(expected) = self.waits.expected(service, rank, now) else {
             return begin;
@@ -87,7 +84,7 @@
         turn + expected.call_ms + self.error_ms(service, now)
     }
 
-    /// What phases of a service take longer than is forecast, in milliseconds.
+    /// Expected excess of a phase of a service over its forecast, in milliseconds.
     fn error_ms(&self, service: &str, now: Millis) -> u64 {
         if !self.policy.corrected_forecasts {
             return 0;
@@ -96,22 +93,22 @@
         error.unwrap_or_default().max(0.0) as u64
     }
 
-    /// A phase of a service took so long, after `forecast` was expected.
-    pub(super) fn saw_phase(&mut self, service: &str, forecast: u64, took: u64, now: Millis) {
+    /// Records the duration of a phase for which `forecast` was expected, both in milliseconds.
+    pub(super) fn record_phase(&mut self, service: &str, forecast: u64, took: u64, now: Millis) {
         let known = self.errors.get(service).copied();
         let mean = known.map_or(0.0, |error| error.present(now));
-        // The forecast held the error that was known then.
+        // The forecast included the error known at that time.
         let seen = took as f64 - forecast as f64;
-        let seen = seen.clamp(-ERROR_MOST, ERROR_MOST);
+        let seen = seen.clamp(-MAX_ERROR_MS, MAX_ERROR_MS);
         let next = ForecastError {
-            mean: (mean + ERROR_WEIGHT * seen).clamp(0.0, ERROR_MOST),
+            mean: (mean + ERROR_WEIGHT * seen).clamp(0.0, MAX_ERROR_MS),
             at: now,
         };
         self.errors.insert(service.to_owned(), next);
     }
 
-    /// Notes what is expected of each phase of an admitted request.
-    pub(super) fn note_forecasts(&self, request: &mut ActiveRequest, now: Millis) {
+    /// Stores the forecast of each phase in an admitted request.
+    pub(super) fn store_forecasts(&self, request: &mut ActiveRequest, now: Millis) {
         let rank = request.routed.priority;
         let specs = &request.routed.route.phases;
         let end_of =
@@ -119,8 +116,8 @@
         request.phases.set_forecasts(end_of);
     }
 
-    /// When a request shall come back that can't be expected to keep its
-    /// objective; none where it is admitted.
+    /// `Retry-After` in milliseconds of a request that is expected to miss its objective; none
+    /// if it is admitted.
     pub(super) fn refuses(&self, request: &ActiveRequest, now: Millis) -> Option<u64> {
         if !self.policy.chain_admission {
             return None;
--- a/crates/serving/src/dispatcher/limits.rs
+++ b/crates/serving/src/dispatcher/limits.rs
@@ -1,8 +1,8 @@
-//! Requests and engines that have a limit: which permits are wanted, and which requests do not get
+//! Rate-limited engines: which permits this node needs, and which waiting requests will not get
 //! one in time.
 
 use super::request::ActiveRequest;
-use super::sending::lot_of;
+use super::sending::send_hash;
 use super::{Action, Dispatcher, RequestNumber};
 use crate::instances::{Instance, InstanceId};
 use crate::selection::rank;
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 impl Dispatcher {
-    /// How many requests wait for a permit of each limited engine.
+    /// Number of requests that wait for a permit, by rate-limited engine.
     pub fn permits_wanted(&self) -> BTreeMap<InstanceId, u32> {
         let mut wanted = BTreeMap::new();
         if !self.instances.notices().has_limits() {
@@ -26,25 +26,30 @@
         wanted
     }
 
-    /// A request goes to `chosen`: a limited engine that is less busy had got it, if this node had
-    /// a permit. One is asked for, for the next request.
-    pub(super) fn prefer_limited(&self, request: &ActiveRequest, chosen: &Instance, now: Millis) {
+    /// Asks for a permit of a rate-limited engine that is less busy than the `chosen` one, for
+    /// the next request.
+    pub(super) fn request_limited_permit(
+        &self,
+        request: &ActiveRequest,
+        chosen: &Instance,
+        now: Millis,
+    ) {
         if !self.instances.notices().has_limits() {
             return;
         }
         let utilization = chosen.utilization(now);
         let is_less_busy =
             |one: &&Instance| one.needs_only_permit(now) && one.utilization(now) <= utilization;
-        let lot = lot_of(&request.call.id, request.sends);
+        let hash = send_hash(&request.call.id, request.sends);
         let less_busy = self.engines_of(request).filter(is_less_busy);
-        let preferred = less_busy.max_by_key(|one| rank(lot, &one.listed.id));
+        let preferred = less_busy.max_by_key(|one| rank(hash, &one.listed.id));
         if let Some(preferred) = preferred {
             preferred.prefer(now);
         }
     }
 
-    /// Refuses the requests that wait for permits and don't get one in time, by what the issuer
-    /// told: the most urgent ones get the first.
+    /// Rejects the requests that are not expected to get a permit in time. The most urgent ones
+    /// get the first permits.
     pub fn refuse_without_permit(&mut self, engine: &str, now: Millis) -> Vec<Action> {
         let waiting = self.requests.iter();
         let waiting = waiting.filter(|(_, one)| one.waits_for.as_deref() == Some(engine));
@@ -69,7 +74,7 @@
         }
         too_late
             .into_iter()
-            .flat_map(|(number, at)| self.refuse_until(number, at, now))
+            .flat_map(|(number, at)| self.reject_until(number, at, now))
             .collect()
     }
 }
--- a/crates/serving/src/dispatcher/outcomes.rs
+++ b/crates/serving/src/dispatcher/outcomes.rs
@@ -1,6 +1,6 @@
-//! What comes after a send: the answer, another send, or the end.
+//! Continuation after a send: the answer, another send, or a failure.
 
-use super::request::{ActiveRequest, PresentSend};
+use super::request::{ActiveRequest, ActiveSend};
 use super::{Action, Dispatcher, NotRunReason, RequestNumber, SendOutcome, UnknownReason};
 use crate::ports::ReportedLoad;
 use crate::Millis;
@@ -8,7 +8,7 @@
 use silversail_model::ResultCode;
 
 impl Dispatcher {
-    /// A send ended.
+    /// Continues a request with the outcome of its send.
     pub fn send_ended(
         &mut self,
         number: RequestNumber,
@@ -19,36 +19,41 @@
         let Some(request) = self.requests.get_mut(&number) else {
             return Vec::new();
         };
-        let Some(present) = request.present.take() else {
+        let Some(active_send) = request.active_send.take() else {
             return Vec::new();
         };
         let tokens = request.tokens();
-        let broken = broke_off(outcome).then(|| request.break_off(&present));
-        self.instances.record_ended(&present.instance, tokens);
+        let broken = connection_lost(outcome).then(|| request.break_off(&active_send));
+        self.instances.record_ended(&active_send.instance, tokens);
         if let Some(load) = load {
-            self.instances.record_load(&present.instance, load, now);
+            self.instances.record_load(&active_send.instance, load, now);
         }
-        // Of a stream its head said so, seconds before its end.
+        // The head of a streamed answer was recorded when it arrived.
         let is_whole_at_once = is_answer(outcome) && request.head_at.is_none();
-        self.believe(&present.instance, outcome, now);
+        self.update_engine_health(&active_send.instance, outcome, now);
         if is_whole_at_once {
-            self.instances.record_answer(&present.instance);
+            self.instances.record_answer(&active_send.instance);
         }
-        self.count_outcome(number, &present, outcome, now);
+        self.count_for_rollout(number, &active_send, outcome, now);
         let mut actions = match outcome {
             SendOutcome::Delivered { status, is_whole } => {
-                self.delivered(number, &present.instance, status, is_whole, now)
+                self.delivered(number, &active_send.instance, status, is_whole, now)
             }
-            SendOutcome::NotRun(reason) => self.not_run(number, &present, reason, now),
-            SendOutcome::Unknown(reason) => self.unknown(number, &present, reason, now),
-            SendOutcome::Failed { status } => self.failed(number, &present, status, now),
+            SendOutcome::NotRun(reason) => self.not_run(number, &active_send, reason, now),
+            SendOutcome::Unknown(reason) => self.unknown(number, &active_send, reason, now),
+            SendOutcome::Failed { status } => self.failed(number, &active_send, status, now),
         };
         actions.extend(broken.map(|broken| Action::Diagnose { broken }));
         actions
     }
 
-    /// What an outcome says of the engine.
-    pub(super) fn believe(&mut self, instance: &str, outcome: SendOutcome, now: Millis) {
+    /// Updates the health of an engine from an outcome.
+    pub(super) fn update_engine_health(
+        &mut self,
+        instance: &str,
+        outcome: SendOutcome,
+        now: Millis,
+    ) {
         let instances = &mut self.instances;
         match outcome {
             SendOutcome::Delivered { is_whole: true, .. } | SendOutcome::Failed { .. } => {}
@@ -100,19 +105,19 @@
     pub(super) fn not_run(
         &mut self,
         number: RequestNumber,
-        present: &PresentSend,
+        active_send: &ActiveSend,
         reason: NotRunReason,
         now: Millis,
     ) -> Vec<Action> {
         if reason == NotRunReason::InputsGone {
-            self.log_send_failed(number, present, "not_run", "InputsGone", "retry", now);
+            self.log_send_failed(number, active_send, "not_run", "InputsGone", "retry", now);
             return self.restart(number, now);
         }
         if reason == NotRunReason::Withheld {
-            self.log_send_failed(number, present, "not_run", "Withheld", "retry", now);
-            return self.choose_anew(number, now);
+            self.log_send_failed(number, active_send, "not_run", "Withheld", "retry", now);
+            return self.select_again(number, now);
         }
-        // Nothing reached an engine that was not reached, so that costs nothing.
+        // A failed connection reached no engine and does not count against the retry budget.
         let is_free = reason == NotRunReason::Unreachable;
         let next = if is_free {
             None
@@ -122,11 +127,11 @@
         let text = format!("{reason:?}");
         match next {
             None => {
-                self.log_send_failed(number, present, "not_run", &text, "retry", now);
+                self.log_send_failed(number, active_send, "not_run", &text, "retry", now);
                 self.send_again(number, ResultCode::BackendRefused, now)
             }
             Some(code) => {
-                self.log_send_failed(number, present, "not_run", &text, code.reason(), now);
+                self.log_send_failed(number, active_send, "not_run", &text, code.reason(), now);
                 self.give_up(number, code, now)
             }
         }
@@ -135,7 +140,7 @@
     pub(super) fn unknown(
         &mut self,
         number: RequestNumber,
-        present: &PresentSend,
+        active_send: &ActiveSend,
         reason: UnknownReason,
         now: Millis,
     ) -> Vec<Action> {
@@ -148,9 +153,9 @@
             (_, false) => ResultCode::AnswerLost,
         };
         let may_repeat = is_idempotent && reason != UnknownReason::Deadline;
-        self.repeat_or(
+        self.retry_or_give_up(
             number,
-            present,
+            active_send,
             may_repeat,
             "unknown",
             &format!("{reason:?}"),
@@ -162,15 +167,15 @@
     pub(super) fn failed(
         &mut self,
         number: RequestNumber,
-        present: &PresentSend,
+        active_send: &ActiveSend,
         status: u16,
         now: Millis,
     ) -> Vec<Action> {
         let may_repeat = self.is_idempotent(number);
         let text = format!("status_{status}");
-        self.repeat_or(
+        self.retry_or_give_up(
             number,
-            present,
+            active_send,
             may_repeat,
             "failed",
             &text,
@@ -179,12 +184,12 @@
         )
     }
 
-    /// Sends again where that is allowed, else gives up with `code`.
+    /// Sends again if allowed, else ends the request with `code`.
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn repeat_or(
+    pub(super) fn retry_or_give_up(
         &mut self,
         number: RequestNumber,
-        present: &PresentSend,
+        active_send: &ActiveSend,
         may_repeat: bool,
         outcome: &str,
         reason: &str,
@@ -193,17 +198,17 @@
     ) -> Vec<Action> {
         let request = self.requests.get(&number);
         let has_attempts = request.is_some_and(ActiveRequest::has_attempts_left);
-        // It may have run: an end that tells otherwise is not for this attempt.
+        // The attempt may have run, so that a quarantined request keeps its own code.
         let is_quarantined =
             request.is_some_and(|request| self.quarantine.refuses(&request.fingerprint));
         if may_repeat && has_attempts && !is_quarantined && self.take_retry(number, now).is_none() {
-            self.log_send_failed(number, present, outcome, reason, "retry", now);
+            self.log_send_failed(number, active_send, outcome, reason, "retry", now);
             if let Some(request) = self.requests.get_mut(&number) {
                 request.failed_with = Some(code);
             }
             return self.send_again(number, code, now);
         }
-        self.log_send_failed(number, present, outcome, reason, code.reason(), now);
+        self.log_send_failed(number, active_send, outcome, reason, code.reason(), now);
         self.give_up(number, code, now)
     }
 
@@ -212,7 +217,7 @@
         request.is_some_and(|request| request.routed.route.kind.is_idempotent())
     }
 
-    /// Whether one more send may be tried: a code where not.
+    /// Takes a retry from the budget; returns a code if it is exhausted.
     pub(super) fn take_retry(&mut self, number: RequestNumber, now: Millis) -> Option<ResultCode> {
         let request = self.requests.get(&number)?;
         if !self.budget.take(&request.routed.service, self.nodes, now) {
@@ -228,7 +233,7 @@
         now: Millis,
     ) -> Vec<Action> {
         let may_go_on = self.requests.get(&number).is_some_and(|request| {
-            request.sends < request.most_sends() && self.has_untried(request)
+            request.sends < request.max_sends() && self.has_untried(request)
         });
         if may_go_on {
             return self.send(number, now);
@@ -239,7 +244,7 @@
     pub(super) fn log_send_failed(
         &self,
         number: RequestNumber,
-        present: &PresentSend,
+        active_send: &ActiveSend,
         outcome: &str,
         reason: &str,
         why: &str,
@@ -251,17 +256,17 @@
         let next = if why == "retry" { "retry" } else { "give_up" };
         self.log.record(Event::SendFailed {
             request: request.call.id.clone(),
-            backend: present.instance.clone(),
+            backend: active_send.instance.clone(),
             outcome: outcome.to_owned(),
             reason: reason.to_owned(),
-            took_ms: now.saturating_sub(present.began_at),
+            took_ms: now.saturating_sub(active_send.began_at),
             next: next.to_owned(),
             why: why.to_owned(),
         });
     }
 }
 
-/// Whether the back end answered, with anything but a failure of its own.
+/// Whether the back end answered completely and without a server error.
 fn is_answer(outcome: SendOutcome) -> bool {
     matches!(
         outcome,
@@ -272,8 +277,8 @@
     )
 }
 
-/// Whether the connection to the back end may have broken off as the back end ended.
-fn broke_off(outcome: SendOutcome) -> bool {
+/// Whether the connection was lost, possibly because the back end crashed.
+fn connection_lost(outcome: SendOutcome) -> bool {
     matches!(
         outcome,
         SendOutcome::Delivered {
--- a/crates/serving/src/dispatcher/phases.rs
+++ b/crates/serving/src/dispatcher/phases.rs
@@ -1,4 +1,4 @@
-//! The phases of one request: which can start, and what is held of their results.
+//! The phases of one request: which of them can start, and which results they hold.
 
 use crate::Millis;
 use silversail_model::traffic::PhaseSpec;
@@ -6,13 +6,13 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum PhaseState {
-    /// The request has no piece of it.
-    LeftOut,
-    /// Waits for phases before it.
+    /// The request has no pieces for it.
+    Skipped,
+    /// Not submitted yet.
     Waiting,
-    /// Its pieces are being made.
+    /// Submitted as an order.
     Submitted(WorkId),
-    /// Its results, until they are freed.
+    /// Done; the results are kept until they are freed.
     Made(Vec<ResultHandle>),
 }
 
@@ -21,21 +21,21 @@
     pieces: u32,
     state: PhaseState,
     submitted_at: Millis,
-    /// How long the phase was expected to take when its request was admitted.
+    /// Expected duration in milliseconds when the request was admitted.
     forecast_ms: Option<u64>,
-    /// The number that its order will have, once it is announced.
+    /// Number of its order, if it was announced.
     announced: Option<WorkId>,
 }
 
 /// The phases of one request.
-pub(super) struct PhaseBook {
+pub(super) struct PhaseSet {
     phases: Vec<Phase>,
     late_start: bool,
 }
 
-impl PhaseBook {
-    /// The phases of a route with the request's numbers of pieces; with `late_start`
-    /// those off the longest chain wait for it.
+impl PhaseSet {
+    /// Creates the phases of a route with the request's numbers of pieces. With `late_start`,
+    /// phases off the critical path start later.
     pub(super) fn new(specs: &[PhaseSpec], pieces: &[u32], late_start: bool) -> Self {
         let phases = specs
             .iter()
@@ -43,7 +43,7 @@
             .map(|(number, spec)| {
                 let pieces = pieces.get(number).copied().unwrap_or_default();
                 let state = match pieces {
-                    0 => PhaseState::LeftOut,
+                    0 => PhaseState::Skipped,
                     _ => PhaseState::Waiting,
                 };
                 Phase {
@@ -65,16 +65,15 @@
 
     fn is_over(&self, phase: usize) -> bool {
         let state = &self.phases[phase].state;
-        matches!(state, PhaseState::LeftOut | PhaseState::Made(_))
+        matches!(state, PhaseState::Skipped | PhaseState::Made(_))
     }
 
     pub(super) fn all_done(&self) -> bool {
         (0..self.phases.len()).all(|phase| self.is_over(phase))
     }
 
-    /// Phases that wait for nothing and are due. A result takes room at its maker
-    /// until it is used, so a phase off the longest chain starts only when the
-    /// rest of that chain is no longer than its own.
+    /// Phases that can start now. A result uses memory until it is consumed, so a phase off the
+    /// critical path starts only when the rest of that path is no longer than its own.
     pub(super) fn startable(&self) -> Vec<usize> {
         let unfinished = (0..self.phases.len()).filter(|phase| !self.is_over(*phase));
         let longest = unfinished
@@ -92,15 +91,15 @@
             .collect()
     }
 
-    /// When each phase begins and ends, if none is begun yet, in milliseconds from now.
-    /// `end_of` tells when a phase that begins at a time ends.
+    /// Start and end of each phase if none has started yet, in milliseconds from now. `end_of`
+    /// returns the end of a phase that starts at a given time.
     fn expected_times(&self, end_of: impl Fn(usize, u64) -> u64) -> Vec<(u64, u64)> {
         let mut times: Vec<(u64, u64)> = Vec::with_capacity(self.phases.len());
         for (number, phase) in self.phases.iter().enumerate() {
             let before = phase.after.iter().filter_map(|before| times.get(*before));
             let begin = before.map(|(_, end)| *end).max().unwrap_or_default();
             let end = match phase.state {
-                PhaseState::LeftOut => begin,
+                PhaseState::Skipped => begin,
                 _ => end_of(number, begin),
             };
             times.push((begin, end));
@@ -108,17 +107,15 @@
         times
     }
 
-    /// When all phases are done, as [`PhaseBook::expected_times`] tells; none without
-    /// phases.
+    /// End of the last phase by [`PhaseSet::expected_times`]; none without phases.
     pub(super) fn expected_end(&self, end_of: impl Fn(usize, u64) -> u64) -> Option<u64> {
-        let is_present = |phase: &Phase| phase.state != PhaseState::LeftOut;
+        let is_present = |phase: &Phase| phase.state != PhaseState::Skipped;
         let has_phases = self.phases.iter().any(is_present);
         let ends = self.expected_times(end_of).into_iter().map(|(_, end)| end);
         ends.max().filter(|_| has_phases)
     }
 
-    /// Notes how long each phase is expected to take, as [`PhaseBook::expected_times`]
-    /// tells.
+    /// Stores the expected duration of each phase by [`PhaseSet::expected_times`].
     pub(super) fn set_forecasts(&mut self, end_of: impl Fn(usize, u64) -> u64) {
         let times = self.expected_times(end_of);
         for (phase, (begin, end)) in self.phases.iter_mut().zip(times) {
@@ -126,12 +123,12 @@
         }
     }
 
-    /// How long a phase was expected to take; none where nothing was known.
+    /// Expected duration of a phase in milliseconds; none if unknown.
     pub(super) fn forecast_ms(&self, phase: usize) -> Option<u64> {
         self.phases[phase].forecast_ms
     }
 
-    /// Phases that wait for others and are not announced.
+    /// Phases that have neither started nor been announced.
     pub(super) fn to_announce(&self) -> Vec<usize> {
         let phases = self.phases.iter().enumerate();
         phases
@@ -144,7 +141,7 @@
         self.phases[phase].announced = Some(work);
     }
 
-    /// Takes the number that the order of an announced phase has.
+    /// Takes the order number of an announced phase.
     pub(super) fn take_announced(&mut self, phase: usize) -> Option<WorkId> {
         self.phases[phase].announced.take()
     }
@@ -162,7 +159,7 @@
         self.phases[phase].state = PhaseState::Made(handles);
     }
 
-    /// From what the pieces of a phase are made.
+    /// Source of the pieces of a phase.
     pub(super) fn source(&self, phase: usize, key: &str) -> PieceSource {
         let results = self.results_of(self.phases[phase].after.iter().copied());
         if results.is_empty() {
@@ -183,29 +180,29 @@
             .collect()
     }
 
-    /// Phases of this request that need the results of `phase`.
+    /// Phases of this request that use the results of `phase`.
     fn followers(&self, phase: usize) -> impl Iterator<Item = &Phase> {
         let phases = self.phases.iter();
-        phases.filter(move |one| one.after.contains(&phase) && one.state != PhaseState::LeftOut)
+        phases.filter(move |one| one.after.contains(&phase) && one.state != PhaseState::Skipped)
     }
 
-    /// How many phases in a row come after `phase`.
+    /// Length of the longest chain of phases after `phase`.
     pub(super) fn phases_after(&self, phase: usize) -> usize {
         (phase + 1..self.phases.len())
             .filter(|later| self.phases[*later].after.contains(&phase))
-            .filter(|later| self.phases[*later].state != PhaseState::LeftOut)
+            .filter(|later| self.phases[*later].state != PhaseState::Skipped)
             .map(|later| 1 + self.phases_after(later))
             .max()
             .unwrap_or_default()
     }
 
-    /// Results that the engine needs: those of the phases that no other follows.
+    /// Results that the engine needs: those of phases without followers.
     pub(super) fn last_results(&self) -> Vec<ResultHandle> {
         let last = (0..self.phases.len()).filter(|phase| self.followers(*phase).count() == 0);
         self.results_of(last)
     }
 
-    /// The same, by the phase that made them.
+    /// The same, with the phase of each.
     pub(super) fn last_results_by_phase(&self) -> Vec<(usize, &Vec<ResultHandle>)> {
         let last = (0..self.phases.len()).filter(|phase| self.followers(*phase).count() == 0);
         last.filter_map(|phase| match &self.phases[phase].state {
@@ -215,7 +212,7 @@
         .collect()
     }
 
-    /// The results that a phase is made from, by the phase that made them.
+    /// Inputs of a phase, with the phase of each.
     pub(super) fn inputs(&self, phase: usize) -> Vec<(usize, &Vec<ResultHandle>)> {
         let before = self.phases[phase].after.iter();
         before
@@ -226,7 +223,7 @@
             .collect()
     }
 
-    /// Takes the results whose followers are all made.
+    /// Takes the results that all following phases have used.
     pub(super) fn take_used_up(&mut self) -> Vec<(usize, Vec<ResultHandle>)> {
         let is_made = |one: &Phase| matches!(one.state, PhaseState::Made(_));
         let used_up: Vec<usize> = (0..self.phases.len())
@@ -236,7 +233,7 @@
         self.take(used_up)
     }
 
-    /// Takes the results that only `phase` needed, once it has read them.
+    /// Takes the results that no phase but `phase` still needs.
     pub(super) fn take_inputs(&mut self, phase: usize) -> Vec<(usize, Vec<ResultHandle>)> {
         let is_over = |one: &Phase| matches!(one.state, PhaseState::Made(_));
         let inputs: Vec<usize> = self.phases[phase]
@@ -247,7 +244,7 @@
                 let mut others = self.phases.iter().enumerate().filter(|(number, one)| {
                     *number != phase
                         && one.after.contains(before)
-                        && one.state != PhaseState::LeftOut
+                        && one.state != PhaseState::Skipped
                 });
                 others.all(|(_, one)| is_over(one))
             })
@@ -255,7 +252,7 @@
         self.take(inputs)
     }
 
-    /// Takes all results.
+    /// Takes all remaining results.
     pub(super) fn take_results(&mut self) -> Vec<(usize, Vec<ResultHandle>)> {
         self.take((0..self.phases.len()).collect())
     }
@@ -270,7 +267,7 @@
             .collect()
     }
 
-    /// Takes the orders that are under way or announced.
+    /// Takes the numbers of submitted and announced orders.
     pub(super) fn take_orders(&mut self) -> Vec<WorkId> {
         let mut orders = Vec::new();
         for phase in &mut self.phases {
--- a/crates/serving/src/dispatcher/progress.rs
+++ b/crates/serving/src/dispatcher/progress.rs
@@ -1,4 +1,4 @@
-//! What comes after a phase: the next ones, the send, or all phases anew.
+//! Continuation after a phase: further phases, the send, or a restart of all phases.
 
 use super::{Action, Dispatcher, RequestNumber};
 use crate::Millis;
@@ -6,11 +6,11 @@
 use silversail_model::ResultCode;
 use silversail_peer::{PieceFailure, ResultHandle, WorkId};
 
-/// How often the phases of a request may be done anew, after a result was lost.
+/// Maximum number of restarts of a request's phases after a result was lost.
 const MAX_RESTARTS: u32 = 1;
 
 impl Dispatcher {
-    /// A phase ended.
+    /// Continues a request with the result of a phase.
     pub fn phase_done(
         &mut self,
         work: WorkId,
@@ -37,7 +37,7 @@
                 if let Some(forecast) = request.phases.forecast_ms(phase) {
                     let service = &request.routed.route.phases[phase].service;
                     let took = request.phases.took_ms(phase, now);
-                    self.admission.saw_phase(service, forecast, took, now);
+                    self.admission.record_phase(service, forecast, took, now);
                 }
                 let mut actions = request.phase_made(phase, handles);
                 actions.extend(self.advance(number, now));
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The back ends of a phase have read its inputs.
+    /// Frees the inputs of a phase, which its back ends have read.
     pub fn inputs_read(&mut self, work: WorkId) -> Vec<Action> {
         let Some((number, phase)) = self.works.get(&work) else {
             return Vec::new();
@@ -61,7 +61,7 @@
         request.map_or_else(Vec::new, |request| request.inputs_read(*phase))
     }
 
-    /// A result was lost: the phases are done anew, if there is time.
+    /// Restarts the phases of a request after a result was lost.
     pub(super) fn restart(&mut self, number: RequestNumber, now: Millis) -> Vec<Action> {
         let Some(request) = self.requests.get_mut(&number) else {
             return Vec::new();
--- a/crates/serving/src/dispatcher/regions.rs
+++ b/crates/serving/src/dispatcher/regions.rs
@@ -1,5 +1,4 @@
-//! Requests that only some regions may serve: what a configuration allows now, and whether
-//! there is anybody who may.
+//! Requests that are restricted to regions by the traffic configuration.
 
 use super::request::ActiveRequest;
 use super::Dispatcher;
@@ -8,27 +7,27 @@
 use silversail_peer::WorkId;
 
 impl Dispatcher {
-    /// Takes another traffic configuration. What it allows counts for the next send or order
-    /// of requests under way.
+    /// Replaces the traffic configuration. Its restrictions apply to the next send or order of
+    /// open requests.
     pub fn set_routes(&mut self, routes: RouteTable) {
         let restricted_before = self.routes.as_ref().is_some_and(RouteTable::is_restricting);
         if restricted_before || routes.is_restricting() {
             for request in self.requests.values_mut() {
-                request.follow_regions(&routes);
+                request.update_regions(&routes);
             }
         }
         self.routes = Some(routes);
     }
 
-    /// The regions that may do an order of work now; none where its request is over.
+    /// Regions that may process an order now; none if its request has ended.
     pub fn regions_of_work(&self, work: WorkId) -> Option<&RegionFilter> {
         let (number, _) = self.works.get(&work)?;
         Some(&self.requests.get(number)?.routed.regions)
     }
 
-    /// Whether a request is restricted to regions in which a service that it needs has no back
-    /// end that takes work.
-    pub(super) fn is_served_nowhere(&self, request: &ActiveRequest) -> bool {
+    /// Whether a service that the request needs has no available back end in the regions to
+    /// which it is restricted.
+    pub(super) fn lacks_allowed_backends(&self, request: &ActiveRequest) -> bool {
         request.routed.regions.is_restricting() && !self.has_allowed_backends(request)
     }
 
--- a/crates/serving/src/dispatcher/request.rs
+++ b/crates/serving/src/dispatcher/request.rs
@@ -1,6 +1,6 @@
-//! One request under way.
+//! State of one open request.
 
-use super::phases::PhaseBook;
+use super::phases::PhaseSet;
 use super::Action;
 use crate::batcher::AnnouncedOrder;
 use crate::crashes::{BreakOff, BrokenSend};
@@ -17,60 +17,60 @@
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-/// How long a phase and what comes around it takes at least, in milliseconds:
-/// what a phase leaves to each of those after it.
-const TIME_OF_LATER_PHASE: Millis = 350;
-/// Bytes to be moved from which a phase is tied to a zone.
-const MUCH_TO_MOVE: u64 = 200_000;
-/// Most sends of a request, those to engines that were not reached included.
+/// Minimum duration of a phase with its overhead, in milliseconds: the time that a phase leaves
+/// to each later one.
+const MIN_PHASE_DURATION: Millis = 350;
+/// Transfer size in bytes above which a phase prefers a zone.
+const LARGE_TRANSFER_BYTES: u64 = 200_000;
+/// Maximum number of sends of a request, including those that reached no engine.
 const MAX_SENDS: u32 = 5;
 
-/// Where a phase is best done.
+/// Preferred zone of a phase.
 #[derive(Default)]
-struct BestPlace {
+struct PreferredZone {
     /// The zone; empty for any.
     zone: String,
-    /// Bytes that are moved there from elsewhere, or from there else.
+    /// Bytes that are transferred if the phase runs in another zone.
     moved_bytes: u64,
 }
 
-/// The send that is under way.
-pub(super) struct PresentSend {
+/// The send in flight.
+pub(super) struct ActiveSend {
     pub(super) instance: String,
     pub(super) service: String,
     pub(super) address: String,
     pub(super) began_at: Millis,
-    /// Where it counts for a rollout.
+    /// How the send is counted for a rollout.
     pub(super) counted: Option<CountedSend>,
 }
 
-/// A request under way.
+/// An open request.
 pub(super) struct ActiveRequest {
     pub(super) call: CallAttributes,
-    /// What it is, whatever its identifier.
+    /// Identifies the content, independently of the request's identifier.
     pub(super) fingerprint: RequestFingerprint,
     pub(super) routed: Routed,
     policy: Policy,
     pub(super) arrived_at: Millis,
-    /// When the caller's wait or the route's time is over.
+    /// Deadline: the caller's or the route's timeout.
     pub(super) end: Millis,
-    pub(super) phases: PhaseBook,
+    pub(super) phases: PhaseSet,
     pub(super) sends: u32,
     pub(super) tried: Vec<String>,
-    pub(super) present: Option<PresentSend>,
+    pub(super) active_send: Option<ActiveSend>,
     pub(super) head_at: Option<Millis>,
     pub(super) restarts: u32,
-    /// Whether a send to a candidate gave no answer: what comes after goes to the baseline.
+    /// Whether a send to a candidate got no answer; later sends go to the baseline.
     pub(super) failed_at_candidate: bool,
-    /// Back ends that were not reached.
+    /// Number of sends that reached no back end.
     pub(super) unreached: u32,
-    /// Until when it waits for an engine that rests; none where it does not.
+    /// When an engine is expected to be available; none while the request does not wait.
     pub(super) waits_until: Option<Millis>,
-    /// The limited engine for whose permit it waits.
+    /// The rate-limited engine for whose permit it waits.
     pub(super) waits_for: Option<InstanceId>,
-    /// What a send came to that may have run, where it was followed by another.
+    /// Code of an earlier send that may have run.
     pub(super) failed_with: Option<ResultCode>,
-    /// How long engines read what it shares with others.
+    /// Cost of the prompt prefix that it shares with other requests.
     pub(super) shared_prompt: SharedPrompt,
 }
 
@@ -82,7 +82,7 @@
         now: Millis,
         end: Millis,
     ) -> Self {
-        let phases = PhaseBook::new(&routed.route.phases, &call.pieces, policy.late_start);
+        let phases = PhaseSet::new(&routed.route.phases, &call.pieces, policy.late_start);
         Self {
             fingerprint: RequestFingerprint::of(routed.tenant.as_deref(), &call.content),
             call,
@@ -93,7 +93,7 @@
             phases,
             sends: 0,
             tried: Vec::new(),
-            present: None,
+            active_send: None,
             head_at: None,
             restarts: 0,
             failed_at_candidate: false,
@@ -105,17 +105,17 @@
         }
     }
 
-    /// Tokens that the request may take at an engine.
+    /// Maximum number of tokens that the request uses at an engine.
     pub(super) fn tokens(&self) -> u64 {
         u64::from(self.call.prompt_tokens) + u64::from(self.call.answer_tokens)
     }
 
-    /// Where it broke off, where `present` was its send.
-    pub(super) fn break_off(&self, present: &PresentSend) -> BreakOff {
+    /// Describes a lost connection of this request.
+    pub(super) fn break_off(&self, active_send: &ActiveSend) -> BreakOff {
         BreakOff {
-            instance: present.instance.clone(),
-            service: present.service.clone(),
-            address: present.address.clone(),
+            instance: active_send.instance.clone(),
+            service: active_send.service.clone(),
+            address: active_send.address.clone(),
             sends: vec![BrokenSend {
                 request: self.call.id.clone(),
                 fingerprint: self.fingerprint,
@@ -127,21 +127,21 @@
         self.sends < self.routed.route.max_attempts
     }
 
-    /// Takes in the regions that another traffic configuration allows. A request whose route
-    /// or key is gone keeps those that it had.
-    pub(super) fn follow_regions(&mut self, routes: &RouteTable) {
+    /// Updates the allowed regions from a new traffic configuration. A request whose route or
+    /// key no longer exists keeps its regions.
+    pub(super) fn update_regions(&mut self, routes: &RouteTable) {
         if let Ok(routed) = routes.route(&self.call) {
             self.routed.regions = routed.regions;
         }
     }
 
-    /// Whether a back end lies where it may be served.
+    /// Whether a back end is in an allowed region.
     pub(super) fn allows(&self, instance: &Instance, topology: &Topology) -> bool {
         let region = topology.region_of(&instance.listed.zone);
         self.routed.regions.allows(region)
     }
 
-    /// The services that it needs.
+    /// Services that the request needs.
     pub(super) fn needed_services(&self) -> impl Iterator<Item = &String> {
         let phases = self.routed.route.phases.iter().enumerate();
         let has_pieces = |(phase, _): &(usize, _)| self.phases.pieces(*phase) > 0;
@@ -149,15 +149,16 @@
         of_phases.chain([&self.routed.service])
     }
 
-    /// The code that is true of it: none that says that it did not run once it may have run.
-    pub(super) fn truthful(&self, code: ResultCode) -> ResultCode {
+    /// Corrects a code that claims that the request did not run, if an earlier send may have
+    /// run.
+    pub(super) fn corrected_code(&self, code: ResultCode) -> ResultCode {
         match self.failed_with {
             Some(failed_with) if code.outcome() == Outcome::NotRun => failed_with,
             _ => code,
         }
     }
 
-    /// Why it can't be served where no back end can have it.
+    /// Code for the lack of a usable back end.
     pub(super) fn no_backend_code(&self) -> ResultCode {
         match self.routed.regions.is_restricting() {
             true => ResultCode::NoAllowedBackend,
@@ -165,24 +166,28 @@
         }
     }
 
-    pub(super) fn most_sends(&self) -> u32 {
+    pub(super) fn max_sends(&self) -> u32 {
         MAX_SENDS
     }
 
     pub(super) fn reset_phases(&mut self) {
-        self.phases = PhaseBook::new(
+        self.phases = PhaseSet::new(
             &self.routed.route.phases,
             &self.call.pieces,
             self.policy.late_start,
         );
     }
 
-    /// The place where a phase is best done: where its inputs are, if each piece
-    /// has much to fetch, else where the engine probably is, if its results are
-    /// large and no other phase needs them.
-    fn best_place(&self, phase: usize, engine_zone: &str, instances: &InstanceTable) -> BestPlace {
+    /// Preferred zone of a phase: that of its inputs if each piece fetches much, else that of
+    /// the likely engine if the phase is the last one and its results are large.
+    fn preferred_zone(
+        &self,
+        phase: usize,
+        engine_zone: &str,
+        instances: &InstanceTable,
+    ) -> PreferredZone {
         if !self.policy.zone_of_results {
-            return BestPlace::default();
+            return PreferredZone::default();
         }
         let spec = &self.routed.route.phases[phase];
         let pieces = u64::from(self.phases.pieces(phase));
@@ -194,31 +199,31 @@
             })
             .sum();
         let fetched = fetched * pieces;
-        if fetched >= MUCH_TO_MOVE {
+        if fetched >= LARGE_TRANSFER_BYTES {
             let holder = inputs
                 .iter()
                 .flat_map(|(_, handles)| handles.iter())
                 .find_map(|handle| instances.holder(handle));
-            return BestPlace {
+            return PreferredZone {
                 zone: holder.map_or_else(String::new, |one| one.listed.zone.clone()),
                 moved_bytes: fetched,
             };
         }
         let is_last = self.phases.phases_after(phase) == 0;
         let made = spec.result_bytes * pieces;
-        if is_last && made >= MUCH_TO_MOVE {
-            return BestPlace {
+        if is_last && made >= LARGE_TRANSFER_BYTES {
+            return PreferredZone {
                 zone: engine_zone.to_owned(),
                 moved_bytes: made,
             };
         }
-        BestPlace {
+        PreferredZone {
             zone: String::new(),
             moved_bytes: fetched,
         }
     }
 
-    /// The pieces of a phase, for any of its back ends. The engine will probably be in `engine_zone`, and take
+    /// Creates the order of a phase. The engine is expected in `engine_zone`, and to take
     /// `first_part` milliseconds until the first part of its answer.
     pub(super) fn phase_work(
         &self,
@@ -241,9 +246,9 @@
             .collect();
         let later = self.phases.phases_after(phase) as Millis;
         let objective = self.arrived_at + self.routed.route.objective_ms;
-        let after_phase = TIME_OF_LATER_PHASE * later + first_part;
+        let after_phase = MIN_PHASE_DURATION * later + first_part;
         let wanted_at = objective.saturating_sub(after_phase);
-        let place = self.best_place(phase, engine_zone, instances);
+        let place = self.preferred_zone(phase, engine_zone, instances);
         PhaseWork {
             shard: Shard::whole(&spec.service),
             pieces,
@@ -257,7 +262,7 @@
         }
     }
 
-    /// What a batching node is told of a phase to come.
+    /// Creates the announcement of a phase.
     pub(super) fn announced_order(&self, phase: usize) -> AnnouncedOrder {
         AnnouncedOrder {
             shard: Shard::whole(&self.routed.route.phases[phase].service),
@@ -266,20 +271,20 @@
         }
     }
 
-    /// A phase's results came. Results that nothing needs any more are freed.
+    /// Stores the results of a phase and releases results that are no longer needed.
     pub(super) fn phase_made(&mut self, phase: usize, handles: Vec<ResultHandle>) -> Vec<Action> {
         self.phases.made(phase, handles);
         let used_up = self.phases.take_used_up();
         self.releases(used_up)
     }
 
-    /// A phase's back ends have read their inputs, which are freed.
+    /// Releases the inputs of a phase, which its back ends have read.
     pub(super) fn inputs_read(&mut self, phase: usize) -> Vec<Action> {
         let inputs = self.phases.take_inputs(phase);
         self.releases(inputs)
     }
 
-    /// Drops orders that are under way and frees all results.
+    /// Cancels all orders and releases all results.
     pub(super) fn drop_phases(&mut self) -> Vec<Action> {
         let mut actions: Vec<Action> = self
             .phases
@@ -303,7 +308,7 @@
             .collect()
     }
 
-    /// Where the inputs of the engine lie, as far as phases have made them.
+    /// Zones and sizes of the engine's inputs that exist so far.
     pub(super) fn inputs_of_engine(&self, instances: &InstanceTable) -> Vec<InputsAt> {
         let last = self.phases.last_results_by_phase();
         let of_phase = |(phase, handles): (usize, &Vec<ResultHandle>)| {
@@ -317,7 +322,7 @@
         last.into_iter().filter_map(of_phase).collect()
     }
 
-    /// What the choice of an engine takes into account, beside `inputs`.
+    /// Criteria for the selection of an engine.
     pub(super) fn selection<'a>(
         &'a self,
         topology: &'a Topology,
@@ -348,7 +353,7 @@
         hasher.finish()
     }
 
-    /// What goes with a send to the back end that calls itself `instance`.
+    /// Metadata for a send to the back end named `instance`.
     pub(super) fn send_attributes(&self, instance: &str, now: Millis) -> SendAttributes {
         SendAttributes {
             instance: instance.to_owned(),
--- a/crates/serving/src/dispatcher/sending.rs
+++ b/crates/serving/src/dispatcher/sending.rs
@@ -1,6 +1,6 @@
-//! A send: which engine gets the request, of which version, and what is counted of it.
+//! Sends: selection of an engine and its version, and counting for rollouts.
 
-use super::request::{ActiveRequest, PresentSend};
+use super::request::{ActiveRequest, ActiveSend};
 use super::{Action, Dispatcher, NotRunReason, RequestNumber, SendOutcome, SendPlan};
 use crate::instances::Instance;
 use crate::rollouts::{CountedAnswer, VersionChoice, VersionRole};
@@ -11,9 +11,9 @@
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-/// Back ends of the baseline that a request did not reach before the whole baseline counts as
-/// stopped, on a node whose permit has lapsed: one may have crashed.
-const UNREACHED_OF_STOPPED: u32 = 2;
+/// Number of unreachable baseline back ends after which a request treats the whole baseline as
+/// stopped, on a node whose permit has lapsed. A single one may have crashed.
+const UNREACHED_UNTIL_STOPPED: u32 = 2;
 
 impl Dispatcher {
     pub(super) fn send(&mut self, number: RequestNumber, now: Millis) -> Vec<Action> {
@@ -24,9 +24,9 @@
             return self.give_up(number, ResultCode::RequestQuarantined, now);
         }
         let Some(instance) = self.engine_for(request, now) else {
-            return self.without_engine(number, now);
+            return self.wait_or_reject(number, now);
         };
-        self.prefer_limited(request, instance, now);
+        self.request_limited_permit(request, instance, now);
         let plan = plan_of(request, instance, &self.topology, now);
         self.log_sent(request, instance, plan.distance, now);
         let role = instance.role();
@@ -39,7 +39,7 @@
             request.waits_until = None;
             request.waits_for = None;
             request.tried.push(plan.instance.clone());
-            request.present = Some(PresentSend {
+            request.active_send = Some(ActiveSend {
                 instance: plan.instance.clone(),
                 service: plan.service.clone(),
                 address: plan.address.clone(),
@@ -71,8 +71,8 @@
         });
     }
 
-    /// The engine that gets a request now. Where no engine of the candidate can be used, as
-    /// all are cold, full or not there yet, the baseline gets what the candidate might.
+    /// Selects the engine for a request. If no engine of the candidate is usable, the baseline
+    /// gets the request.
     pub(super) fn engine_for(&self, request: &ActiveRequest, now: Millis) -> Option<&Instance> {
         let inputs = request.inputs_of_engine(&self.instances);
         let of_versions = |versions| {
@@ -96,21 +96,21 @@
         }
     }
 
-    /// Each send asks the budget anew, so that sends again keep the bound too.
+    /// Selects the versions for one send; each retry counts against the canary share again.
     fn versions_for(&self, request: &ActiveRequest) -> VersionChoice {
         let routed = &request.routed;
-        let lot = || lot_of(&request.call.id, request.sends);
+        let hash = || send_hash(&request.call.id, request.sends);
         match self
             .rollouts
-            .choose(&routed.service, &routed.route.name, lot)
+            .choose(&routed.service, &routed.route.name, hash)
         {
             VersionChoice::Candidate if request.failed_at_candidate => VersionChoice::Baseline,
             choice => choice,
         }
     }
 
-    /// Whether the engines of the baseline may have been stopped, as the rollout may have
-    /// completed since this node last heard of it.
+    /// Whether the baseline may have been stopped: the rollout may have completed without this
+    /// node having heard of it.
     fn may_be_stopped(&self, request: &ActiveRequest, now: Millis) -> bool {
         if self.rollouts.is_permitted() {
             return false;
@@ -121,10 +121,10 @@
             is_baseline && is_allowed && one.accepts_new_work() && !one.is_suspect(now)
         };
         let mut engines = self.instances.of_service(&request.routed.service);
-        request.unreached >= UNREACHED_OF_STOPPED || !engines.any(is_ready)
+        request.unreached >= UNREACHED_UNTIL_STOPPED || !engines.any(is_ready)
     }
 
-    /// Whether a request has another engine to go to, also one that failed lately.
+    /// Whether there is an engine that the request has not tried, including ejected ones.
     pub(super) fn has_untried(&self, request: &ActiveRequest) -> bool {
         let is_admitted =
             |one: &Instance| !request.failed_at_candidate || one.role() != VersionRole::Candidate;
@@ -137,11 +137,11 @@
         })
     }
 
-    /// Counts what came of a request's send for the rollout that it belongs to.
-    pub(super) fn count_outcome(
+    /// Counts the outcome of a send for its rollout.
+    pub(super) fn count_for_rollout(
         &mut self,
         number: RequestNumber,
-        present: &PresentSend,
+        active_send: &ActiveSend,
         outcome: SendOutcome,
         now: Millis,
     ) {
@@ -151,13 +151,13 @@
         if outcome == SendOutcome::NotRun(NotRunReason::Unreachable) {
             request.unreached += 1;
         }
-        let Some(counted) = present.counted else {
+        let Some(counted) = active_send.counted else {
             return;
         };
         let is_delivered = matches!(outcome, SendOutcome::Delivered { .. });
         request.failed_at_candidate |= counted.is_to_candidate() && !is_delivered;
         let first_part_at = request.head_at.unwrap_or(now);
-        let Some(answer) = counted_answer(outcome, present.began_at, first_part_at, now) else {
+        let Some(answer) = counted_answer(outcome, active_send.began_at, first_part_at, now) else {
             return;
         };
         let service = &request.routed.service;
@@ -187,8 +187,8 @@
     }
 }
 
-/// What an outcome says of a version. An engine that is full, or was not reached, says nothing:
-/// load and crashes meet good versions too, and each node would tell of the same crash.
+/// How an outcome counts for a version. Full or unreachable engines do not count: load and
+/// crashes affect good versions too, and every node would count the same crash.
 fn counted_answer(
     outcome: SendOutcome,
     began_at: Millis,
@@ -210,8 +210,8 @@
     }
 }
 
-/// Draws for one send of a request.
-pub(super) fn lot_of(request: &str, sends: u32) -> u64 {
+/// Hash of one send of a request, for random choices.
+pub(super) fn send_hash(request: &str, sends: u32) -> u64 {
     let mut hasher = DefaultHasher::new();
     (request, sends).hash(&mut hasher);
     hasher.finish()
--- a/crates/serving/src/instances.rs
+++ b/crates/serving/src/instances.rs
@@ -1,8 +1,8 @@
-//! The back ends and what this node believes of each.
+//! The table of back ends, with their load and health as this node sees them.
 
 mod hashed_index;
 mod instance;
-mod list_news;
+mod list_changes;
 mod listing;
 mod lookup;
 mod resume;
@@ -20,41 +20,39 @@
 use silversail_model::traffic::ColdSpec;
 use silversail_peer::ListedInstances;
 use std::collections::{BTreeMap, BTreeSet};
-use store::{InstanceStore, Place};
+use store::{InstanceStore, SlotIndex};
 use versions::KnownVersions;
 
-/// How long a back end that could not be reached, or broke off, is passed over
-/// after the first failure, in milliseconds; each further one doubles it.
+/// How long a back end is ejected after its first connection failure, in milliseconds; doubles
+/// with each further failure.
 const SUSPECT_FOR: Millis = 500;
-/// Most doublings of it.
+/// Maximum number of times that `SUSPECT_FOR` doubles.
 const MAX_DOUBLINGS: u32 = 4;
-/// How long a back end that said it is full is passed over, in milliseconds.
+/// How long a back end that reported itself full gets no requests, in milliseconds.
 const FULL_FOR: Millis = 150;
 
-/// How long the back ends of a zone that was evacuated count as cold when it is used again, in
-/// milliseconds: the list that says whether they are is 0.8 s old, is read each 0.7 to 0.9 s
-/// and spreads within a heartbeat.
-const PRESUMED_COLD_FOR: Millis = 2_500;
+/// How long the back ends of a zone count as cold after its evacuation ends, in milliseconds.
+/// Covers the delay until the list tells whether they are cold.
+const ASSUMED_COLD_FOR: Millis = 2_500;
 
-/// For how long a back end counts as gone after another one answered at its address, in
-/// milliseconds. Lists lag by 0.8 s and go on to name a crashed back end for some seconds; a back
-/// end that is there all the same costs one request in that time.
-const MISPLACED_FOR: Millis = 10_000;
+/// How long a back end counts as gone after another one answered at its address, in
+/// milliseconds. Covers the time for which the list still names a crashed back end.
+const ADDRESS_MISMATCH_FOR: Millis = 10_000;
 
-/// Identity of one start of a back end.
+/// Identity of one process of a back end; a restart gets a new one.
 pub type InstanceId = String;
 
-/// All back ends that the list names.
+/// The back ends that the list names, with their load and health.
 pub struct InstanceTable {
     instances: InstanceStore,
-    /// The list that was taken in last.
-    followed: ListedInstances,
-    /// Starts that the list names and that are no back ends any more, as the back end of that
-    /// name has started again since: the earlier start, and the later one.
+    /// The list that was applied last.
+    applied: ListedInstances,
+    /// Listed processes of back ends that have restarted since: the earlier process, and the
+    /// later one.
     hidden: BTreeMap<InstanceId, InstanceId>,
-    /// Back ends that came or changed since versions were last held back.
-    changed: Vec<Place>,
-    /// Back ends that went since what they said was last looked at.
+    /// Back ends added or changed since new versions were last held back.
+    changed: Vec<SlotIndex>,
+    /// Back ends removed since their notices were last marked as unlisted.
     gone: Vec<InstanceId>,
     evacuated: BTreeSet<String>,
     roles: VersionRoles,
@@ -67,20 +65,20 @@
 }
 
 impl InstanceTable {
-    /// A table without back ends.
+    /// Creates an empty table with notices of its own.
     pub fn new(log: DecisionLog) -> Self {
         let notices = BackendNotices::new(log.clone());
         Self::with_notices(notices, log)
     }
 
-    /// A table without back ends, which obeys what they say by `notices`.
+    /// Creates an empty table that follows the self-reports of back ends in `notices`.
     pub fn with_notices(notices: BackendNotices, log: DecisionLog) -> Self {
         Self {
             notices,
             returns: ResumePolicy::default(),
             own_node: String::new(),
             instances: InstanceStore::default(),
-            followed: ListedInstances::default(),
+            applied: ListedInstances::default(),
             hidden: BTreeMap::new(),
             changed: Vec::new(),
             gone: Vec::new(),
@@ -92,12 +90,12 @@
         }
     }
 
-    /// What the back ends said of themselves.
+    /// The self-reports of the back ends.
     pub fn notices(&self) -> &BackendNotices {
         &self.notices
     }
 
-    /// Forgets what back ends said that no list has named for long.
+    /// Removes the self-reports of back ends that have been unlisted for long.
     pub fn forget_removed(&mut self, now: Millis) {
         for id in self.gone.drain(..) {
             self.notices.unlisted(&id, now);
@@ -105,52 +103,52 @@
         self.notices.forget_unlisted(now);
     }
 
-    /// Takes which zones are evacuated from now on.
+    /// Replaces the set of evacuated zones.
     pub fn set_evacuated(&mut self, zones: BTreeSet<String>, now: Millis) {
         self.evacuated = zones;
         for instance in self.instances.iter_mut() {
             let is_evacuated = self.evacuated.contains(&instance.listed.zone);
             if instance.is_evacuated && !is_evacuated {
-                instance.presumed_cold_until = now + PRESUMED_COLD_FOR;
+                instance.assumed_cold_until = now + ASSUMED_COLD_FOR;
             }
             instance.is_evacuated = is_evacuated;
         }
     }
 
-    /// Takes what the back ends of each service bear while they are cold.
+    /// Replaces the limits for cold back ends, by service.
     pub fn set_cold_specs(&mut self, specs: BTreeMap<String, ColdSpec>) {
         self.cold_senders.set_specs(specs);
     }
 
-    /// Takes the nodes that send requests, and which of them this is.
+    /// Sets the nodes that send requests, and the name of this one.
     pub fn set_senders(&mut self, own: &str, nodes: Vec<String>) {
         self.cold_senders.set_nodes(own, nodes);
         if self.own_node != own {
             self.own_node = own.to_owned();
-            self.plan_returns();
+            self.plan_resumption();
         }
     }
 
-    /// Takes how this node comes back to back ends after rests.
+    /// Sets how this node resumes sending to back ends after rests.
     pub fn set_resume_policy(&mut self, returns: ResumePolicy) {
         self.returns = returns;
-        self.plan_returns();
+        self.plan_resumption();
     }
 
-    fn plan_returns(&mut self) {
+    fn plan_resumption(&mut self) {
         for instance in self.instances.iter_mut() {
             let id = &instance.listed.id;
-            instance.return_plan = self.returns.plan_for(&self.own_node, id);
+            instance.resume_plan = self.returns.plan_for(&self.own_node, id);
         }
     }
 
-    /// Whether a back end is cold and its service has limits for that.
+    /// Whether a back end is cold and its service limits requests to cold ones.
     pub fn is_limited(&self, instance: &Instance, now: Millis) -> bool {
         instance.is_cold(now) && self.cold_senders.applies_to(&instance.listed.service)
     }
 
-    /// Whether this node may send to a back end by what it bears: to a cold one within this
-    /// node's part of it.
+    /// Whether this node may send one more request to a back end: always to a warm one, to a
+    /// cold one within this node's share of its limit.
     pub fn cold_limit_allows(&self, instance: &Instance, now: Millis) -> bool {
         let listed = &instance.listed;
         let sent_at = instance.sent_cold_at;
@@ -158,10 +156,10 @@
         !instance.is_cold(now) || senders.may_send(&listed.service, &listed.id, sent_at, now)
     }
 
-    /// How many back ends get no work as their zone is evacuated.
+    /// Number of back ends in evacuated zones.
     pub fn evacuated_count(&self) -> usize {
         let all = self.instances.iter();
-        all.filter(|one| one.is_evacuated).count()
+        all.filter(|instance| instance.is_evacuated).count()
     }
 
     fn record(&self, listed: &ListedInstance, state: &str, source: &str) {
@@ -174,14 +172,14 @@
         });
     }
 
-    /// A request of `tokens` tokens leaves for a back end.
+    /// Records that a request of `tokens` tokens is sent to a back end.
     pub fn record_sent(&mut self, id: &str, tokens: u64, now: Millis) {
         if let Some(instance) = self.instances.get_mut(id) {
             if instance.is_cold(now) {
                 instance.sent_cold_at = Some(now);
             }
             if instance.notice.is_unproven(now) {
-                instance.first_sent_after_rest_at = Some(now);
+                instance.probe_sent_at = Some(now);
             }
             instance.choose_permit(now);
             instance.in_flight += 1;
@@ -190,7 +188,7 @@
         }
     }
 
-    /// A request that was sent has ended.
+    /// Records that a request has ended.
     pub fn record_ended(&mut self, id: &str, tokens: u64) {
         if let Some(instance) = self.instances.get_mut(id) {
             instance.in_flight = instance.in_flight.saturating_sub(1);
@@ -198,7 +196,7 @@
         }
     }
 
-    /// A back end told its load.
+    /// Records a load report.
     pub fn record_load(&mut self, id: &str, load: ReportedLoad, now: Millis) {
         if let Some(instance) = self.instances.get_mut(id) {
             instance.load = Some((load, now));
@@ -206,7 +204,7 @@
         }
     }
 
-    /// A back end answered a request.
+    /// Records an answer, which ends an ejection.
     pub fn record_answer(&mut self, id: &str) {
         let Some(instance) = self.instances.get_mut(id) else {
             return;
@@ -218,7 +216,8 @@
         }
     }
 
-    /// A back end could not be reached or broke off.
+    /// Records that a back end was unreachable or that a connection to it was lost, and ejects
+    /// it for a while.
     pub fn record_failure(&mut self, id: &str, now: Millis, why: &str) {
         let Some(instance) = self.instances.get_mut(id) else {
             return;
@@ -230,7 +229,7 @@
         self.record(&listed, "suspect", why);
     }
 
-    /// A back end said that it is full.
+    /// Records that a back end reported itself full.
     pub fn record_full(&mut self, id: &str, now: Millis) {
         let Some(instance) = self.instances.get_mut(id) else {
             return;
@@ -240,10 +239,11 @@
         self.record(&listed, "full", "answer");
     }
 
-    /// Another back end answered at a back end's address. A list that lags does not take it back.
+    /// Records that another back end answered at a back end's address. A stale list does not
+    /// undo this.
     pub fn record_address_mismatch(&mut self, id: &str, now: Millis) {
         if let Some(instance) = self.instances.get_mut(id) {
-            instance.misplaced_until = now + MISPLACED_FOR;
+            instance.address_mismatch_until = now + ADDRESS_MISMATCH_FOR;
             let listed = instance.listed.clone();
             self.record(&listed, "gone", "answer");
         }
--- a/crates/serving/src/instances/hashed_index.rs
+++ b/crates/serving/src/instances/hashed_index.rs
@@ -1,27 +1,27 @@
-//! An index by a hash of a name, which keeps no copy of the names.
+//! An index by the hash of a name, which stores no copies of the names.
 
-use super::store::Place;
+use super::store::SlotIndex;
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Places by hash of a name. Two names may have the same hash: whoever looks compares.
+/// Slots by the hash of a name. Hashes may collide: callers compare the names.
 #[derive(Default)]
-pub(super) struct HashedIndex(BTreeSet<(u64, Place)>);
+pub(super) struct HashedIndex(BTreeSet<(u64, SlotIndex)>);
 
 impl HashedIndex {
-    pub(super) fn insert(&mut self, name: &str, place: Place) {
-        self.0.insert((hash_of(name), place));
+    pub(super) fn insert(&mut self, name: &str, slot: SlotIndex) {
+        self.0.insert((hash_of(name), slot));
     }
 
-    pub(super) fn remove(&mut self, name: &str, place: Place) {
-        self.0.remove(&(hash_of(name), place));
+    pub(super) fn remove(&mut self, name: &str, slot: SlotIndex) {
+        self.0.remove(&(hash_of(name), slot));
     }
 
-    /// The places of what may have that name.
-    pub(super) fn find(&self, name: &str) -> impl Iterator<Item = Place> + '_ {
+    /// Slots whose name has the same hash.
+    pub(super) fn find(&self, name: &str) -> impl Iterator<Item = SlotIndex> + '_ {
         let hash = hash_of(name);
-        let found = self.0.range((hash, 0)..=(hash, Place::MAX));
-        found.map(|(_, place)| *place)
+        let found = self.0.range((hash, 0)..=(hash, SlotIndex::MAX));
+        found.map(|(_, slot)| *slot)
     }
 }
 
--- a/crates/serving/src/instances/instance.rs
+++ b/crates/serving/src/instances/instance.rs
@@ -1,4 +1,4 @@
-//! One back end, with what this node believes of it.
+//! One back end with its load and health as this node sees it.
 
 use super::resume::ResumePlan;
 use crate::notices::Notice;
@@ -8,66 +8,66 @@
 use silversail_model::RequestRate;
 use std::sync::Arc;
 
-/// How long a load report counts, in milliseconds.
+/// How long a load report is valid, in milliseconds.
 const REPORT_LIFETIME: Millis = 4_000;
-/// How long a told pace counts, in milliseconds: it changes many times a second.
+/// How long a reported pace is valid, in milliseconds; it changes many times per second.
 const PACE_LIFETIME: Millis = 300;
-/// How long the first request after a back end's rest keeps this node's others from it, in
-/// milliseconds, while nothing is heard of it: engines that take work begin to answer within it.
-const FIRST_AFTER_REST_FOR: Millis = 1_000;
+/// How long the probe after a rest keeps other requests of this node away while it is
+/// unanswered, in milliseconds.
+const PROBE_TIMEOUT: Millis = 1_000;
 
-/// A back end with what is believed of it.
+/// A listed back end with its load and health.
 #[derive(Clone, Debug)]
 pub struct Instance {
-    /// What the list says.
+    /// The entry in the list.
     pub listed: Arc<ListedInstance>,
     /// Whether its zone is evacuated.
     pub(super) is_evacuated: bool,
-    /// The part of its version.
+    /// Role of its version in a rollout.
     pub(super) role: VersionRole,
-    /// Until when it gets nothing unless an order names its version.
+    /// Until when it gets no requests unless a rollout order names its version.
     pub(super) held_back_until: Millis,
-    /// Until when it counts as cold, whatever the list says.
-    pub(super) presumed_cold_until: Millis,
-    /// When this node last sent to it while it was cold.
+    /// Until when it counts as cold even if the list does not say so.
+    pub(super) assumed_cold_until: Millis,
+    /// When this node last sent a request to it while it was cold.
     pub(super) sent_cold_at: Option<Millis>,
-    /// Requests of this node under way there.
+    /// Number of this node's requests in flight there.
     pub in_flight: u32,
     /// Tokens of those requests.
     pub tokens_in_flight: u64,
-    /// The latest load report and when it came.
+    /// The latest load report with its arrival time.
     pub(super) load: Option<(ReportedLoad, Millis)>,
-    /// Requests of this node sent since that report.
+    /// Number of this node's requests sent since that report.
     pub(super) sent_since_report: u32,
     pub(super) failures: u32,
     pub(super) suspect_until: Millis,
     pub(super) full_until: Millis,
-    /// Until when it counts as gone, as another one answered at its address.
-    pub(super) misplaced_until: Millis,
-    /// What it said of itself.
+    /// Until when it counts as gone because another one answered at its address.
+    pub(super) address_mismatch_until: Millis,
+    /// Its self-reports.
     pub(super) notice: Arc<Notice>,
-    /// How this node comes back to it after a rest.
-    pub(super) return_plan: ResumePlan,
-    /// When this node last sent to it after a rest, before anything was heard of it.
-    pub(super) first_sent_after_rest_at: Option<Millis>,
+    /// How this node resumes sending to it after a rest.
+    pub(super) resume_plan: ResumePlan,
+    /// When this node sent the probe after a rest; none if none was sent.
+    pub(super) probe_sent_at: Option<Millis>,
 }
 
 impl Instance {
     pub(super) fn new(
         listed: Arc<ListedInstance>,
         notice: Arc<Notice>,
-        return_plan: ResumePlan,
+        resume_plan: ResumePlan,
     ) -> Self {
         Self {
-            misplaced_until: 0,
+            address_mismatch_until: 0,
             notice,
-            return_plan,
-            first_sent_after_rest_at: None,
+            resume_plan,
+            probe_sent_at: None,
             listed,
             is_evacuated: false,
             role: VersionRole::Ordinary,
             held_back_until: 0,
-            presumed_cold_until: 0,
+            assumed_cold_until: 0,
             sent_cold_at: None,
             in_flight: 0,
             tokens_in_flight: 0,
@@ -79,59 +79,60 @@
         }
     }
 
-    /// Whether it may get new work at all: it is not leaving, by the list or by its own word, its
-    /// zone is not evacuated, and its version is not retired. One that rests does, later.
+    /// Whether it may get new work in principle: it is not shutting down, by the list or its own
+    /// report, its zone is not evacuated and its version is not retired. A resting back end may,
+    /// later.
     pub fn accepts_new_work(&self) -> bool {
         let is_leaving = self.listed.draining || self.notice.is_leaving();
         !is_leaving && !self.is_evacuated && self.role != VersionRole::Retired
     }
 
-    /// Whether it said itself that it leaves.
+    /// Whether it has reported that it shuts down.
     pub fn announced_shutdown(&self) -> bool {
         self.notice.is_leaving()
     }
 
-    /// Whether it asked for a rest that is not over.
+    /// Whether it has asked for a rest that has not ended.
     pub fn is_resting(&self, now: Millis) -> bool {
         self.notice.is_resting(now)
     }
 
-    /// Milliseconds until its rest is over; 0 where it is.
+    /// Milliseconds until its rest ends; 0 if it does not rest.
     pub fn rest_ms_left(&self, now: Millis) -> Millis {
         self.notice.rest_until().saturating_sub(now)
     }
 
-    /// When it may be chosen again by what it said of its load; none where it may be now.
-    /// After a rest one request goes first: if it is turned away, the others were spared.
+    /// When it can be selected again, by its own reports; none if it can be now. After a rest a
+    /// probe goes first, so that a rejection costs one request only.
     pub fn available_at(&self, now: Millis) -> Option<Millis> {
-        let rest_until = self.notice.rest_until().max(self.first_awaited_until(now));
+        let rest_until = self.notice.rest_until().max(self.probe_pending_until(now));
         let permit_at = self.notice.permit_at(now).unwrap_or(0);
         let until = rest_until.max(self.full_until).max(permit_at);
         Some(until).filter(|until| now < *until)
     }
 
-    /// Whether it takes only so many requests from all nodes together.
+    /// Whether it limits the rate of requests from all nodes together.
     pub fn is_limited(&self) -> bool {
         self.notice.is_limited()
     }
 
-    /// How many requests it takes from all nodes together; none where it has no limit.
+    /// Its limit on the rate of requests from all nodes together.
     pub fn limit(&self) -> Option<RequestRate> {
         self.notice.limit()
     }
 
-    /// Milliseconds until its rest is over and this node has a permit for it; 0 where both is so.
+    /// Milliseconds until its rest has ended and this node has a permit for it; 0 if both hold.
     pub fn wait_ms(&self, now: Millis) -> Millis {
         let permit_at = self.notice.permit_at(now).unwrap_or(0);
         self.rest_ms_left(now).max(permit_at.saturating_sub(now))
     }
 
-    /// A request of this node was decided that goes there.
+    /// Reserves a permit for a request that will be sent there.
     pub(crate) fn choose_permit(&self, now: Millis) {
         self.notice.choose_permit(now);
     }
 
-    /// Whether it would get a request if this node had a permit for it.
+    /// Whether a permit of this node is all that is missing to send a request there.
     pub(crate) fn needs_only_permit(&self, now: Millis) -> bool {
         self.is_limited()
             && self.accepts_new_work()
@@ -140,101 +141,102 @@
             && self.notice.permit_at(now).is_some()
     }
 
-    /// A request would rather have gone there.
+    /// Records that a request would have gone there with a permit.
     pub(crate) fn prefer(&self, now: Millis) {
         self.notice.prefer(now);
     }
 
-    /// When the `place`-th request of this node that waits for it gets a permit.
+    /// When the `place`-th waiting request of this node is expected to get a permit.
     pub(crate) fn permit_expected_at(&self, place: u32, now: Millis) -> Option<Millis> {
         self.notice.permit_expected_at(place, now)
     }
 
-    /// Whether its rest is over and this node comes back to it a little later, as others do now:
-    /// it may be chosen where no other can.
+    /// Whether its rest has ended but this node still delays its resumption, to spread the
+    /// nodes. It may then be used as a last resort.
     pub fn is_return_delayed(&self, now: Millis) -> bool {
-        let delay = self.return_plan.delay(self.notice.rest_ms());
+        let delay = self.resume_plan.delay(self.notice.rest_ms());
         let returns_at = self.notice.rest_until().saturating_add(delay);
         self.notice.is_unproven(now) && now < returns_at
     }
 
-    /// Until when others wait for the answer to the first request after a rest; 0 where none do.
-    fn first_awaited_until(&self, now: Millis) -> Millis {
-        let first_at = self.first_sent_after_rest_at;
-        let awaits = self.return_plan.first_alone && self.notice.is_unproven(now);
+    /// Until when other requests wait for the answer to the probe; 0 if no probe is pending.
+    fn probe_pending_until(&self, now: Millis) -> Millis {
+        let first_at = self.probe_sent_at;
+        let awaits = self.resume_plan.first_alone && self.notice.is_unproven(now);
         let awaited = first_at.filter(|_| awaits);
-        awaited.map_or(0, |at| at + FIRST_AFTER_REST_FOR)
+        awaited.map_or(0, |at| at + PROBE_TIMEOUT)
     }
 
-    /// The part of its version.
+    /// The role of its version in a rollout.
     pub fn role(&self) -> VersionRole {
         self.role
     }
 
-    /// Whether the first request after its rest is under way and nothing was heard of it.
+    /// Whether a probe after a rest is unanswered.
     pub fn is_probe_pending(&self, now: Millis) -> bool {
-        now < self.first_awaited_until(now)
+        now < self.probe_pending_until(now)
     }
 
-    /// Whether it may be chosen at `now`.
+    /// Whether it can be selected at `now`.
     pub fn is_usable(&self, now: Millis) -> bool {
-        self.is_sound(now) && !self.is_held_back(now) && !self.is_return_delayed(now)
+        self.is_healthy(now) && !self.is_held_back(now) && !self.is_return_delayed(now)
     }
 
-    /// Whether it may be chosen at `now` where no other can.
+    /// Whether it can be selected at `now` if no other back end can.
     pub fn is_usable_as_last_resort(&self, now: Millis) -> bool {
-        self.is_sound(now) && (self.is_held_back(now) || self.is_return_delayed(now))
+        self.is_healthy(now) && (self.is_held_back(now) || self.is_return_delayed(now))
     }
 
-    fn is_sound(&self, now: Millis) -> bool {
+    fn is_healthy(&self, now: Millis) -> bool {
         self.accepts_new_work() && !self.is_ejected(now) && self.available_at(now).is_none()
     }
 
-    /// Whether its version is new and no order names it yet.
+    /// Whether its version is new and no rollout order names it yet.
     fn is_held_back(&self, now: Millis) -> bool {
         self.role == VersionRole::Ordinary && now < self.held_back_until
     }
 
-    /// Whether it bears few requests only, by what is known.
+    /// Whether it is cold, by the list or by assumption.
     pub fn is_cold(&self, now: Millis) -> bool {
-        self.listed.cold || now < self.presumed_cold_until
+        self.listed.cold || now < self.assumed_cold_until
     }
 
-    /// Whether it failed lately and is passed over.
+    /// Whether it is ejected because of recent failures.
     pub fn is_suspect(&self, now: Millis) -> bool {
         now < self.suspect_until
     }
 
-    /// Whether it failed lately, or another one answered at its address.
+    /// Whether it is ejected because of recent failures, or because another one answered at its
+    /// address.
     pub fn is_ejected(&self, now: Millis) -> bool {
-        self.is_suspect(now) || now < self.misplaced_until
+        self.is_suspect(now) || now < self.address_mismatch_until
     }
 
-    /// Whether it may be tried where all failed: it failed lately itself, but did not ask to be
-    /// left alone and is not gone.
+    /// Whether it may be retried when all back ends have failed: it is ejected only because of
+    /// its failures, and did not ask to be left alone.
     pub fn may_be_retried(&self, now: Millis) -> bool {
         self.accepts_new_work()
             && self.is_suspect(now)
-            && now >= self.misplaced_until
+            && now >= self.address_mismatch_until
             && self.available_at(now).is_none()
     }
 
-    /// The latest report with its age; none when it is too old to count.
+    /// The latest load report with its age in milliseconds; none if it has expired.
     pub fn report(&self, now: Millis) -> Option<(ReportedLoad, Millis)> {
         let (load, at) = self.load?;
         let age = now.saturating_sub(at);
         (age < REPORT_LIFETIME).then_some((load, age))
     }
 
-    /// How much longer than usual work takes there, as a share of the usual time; 0 where that was
-    /// not told just now.
+    /// By how much work takes longer there than normal, relative to the normal duration; 0
+    /// without a recent report.
     pub fn slowness(&self, now: Millis) -> f64 {
         let told = self.report(now).filter(|(_, age)| *age <= PACE_LIFETIME);
         told.map_or(0.0, |(load, _)| load.pace.beyond_usual())
     }
 
-    /// Requests running and waiting there: what it reported and what this node
-    /// sent since, or at least what this node has under way.
+    /// Estimated number of requests running and waiting there: the reported number plus requests
+    /// of this node sent since, but at least this node's requests in flight.
     pub fn expected_load(&self, now: Millis) -> u32 {
         let reported = self
             .report(now)
@@ -242,7 +244,7 @@
         (reported + self.sent_since_report).max(self.in_flight)
     }
 
-    /// Expected load as a share of the slots.
+    /// Expected load relative to the number of slots.
     pub fn utilization(&self, now: Millis) -> f64 {
         f64::from(self.expected_load(now)) / f64::from(self.listed.slots.max(1))
     }
--- a/crates/serving/src/instances/list_news.rs
+++ b/crates/serving/src/instances/list_changes.rs
@@ -1,14 +1,14 @@
-//! What a new list changed, for the decision log.
+//! Changes between two lists, for the decision log.
 
 use crate::ports::ListedInstance;
 use silversail_decisions::{DecisionLog, Event};
 use std::collections::BTreeMap;
 
-/// Changes of one list that are told one by one. Of more, as of the first list after a start, the
-/// log tells numbers: a line for each of thousands of back ends would push out all else.
-const TOLD_ONE_BY_ONE: usize = 64;
+/// Maximum number of changes of one list that are logged one by one. For more, as after a start,
+/// only counts are logged, so that they do not displace other entries.
+const MAX_LOGGED_CHANGES: usize = 64;
 
-/// What a list says of a back end.
+/// State of a back end in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ListedState {
     Ready,
@@ -18,7 +18,7 @@
 }
 
 impl ListedState {
-    /// The state of a back end that the list names.
+    /// The state of a listed back end.
     pub(super) fn of(listed: &ListedInstance) -> Self {
         match (listed.draining, listed.cold) {
             (true, _) => Self::Draining,
@@ -37,26 +37,26 @@
     }
 }
 
-/// Collects what one list changed.
+/// Collects the changes of one list.
 #[derive(Default)]
-pub(super) struct ListNews {
+pub(super) struct ListChanges {
     events: Vec<Event>,
     counts: BTreeMap<(String, ListedState), usize>,
     has_changes: bool,
 }
 
-impl ListNews {
-    /// Something changed that the log is not told of.
+impl ListChanges {
+    /// Records a change that is not logged.
     pub(super) fn note_change(&mut self) {
         self.has_changes = true;
     }
 
-    /// A back end came, went or is in another state.
+    /// Records that a back end was added or removed, or changed its state.
     pub(super) fn note(&mut self, listed: &ListedInstance, state: ListedState) {
         self.has_changes = true;
         let counted = (listed.service.clone(), state);
         *self.counts.entry(counted).or_default() += 1;
-        if self.events.len() <= TOLD_ONE_BY_ONE {
+        if self.events.len() <= MAX_LOGGED_CHANGES {
             self.events.push(Event::Backend {
                 backend: listed.id.clone(),
                 service: listed.service.clone(),
@@ -67,9 +67,9 @@
         }
     }
 
-    /// Tells the log; true where something changed.
-    pub(super) fn tell(self, log: &DecisionLog) -> bool {
-        if self.events.len() <= TOLD_ONE_BY_ONE {
+    /// Writes the changes to the log; true if anything changed.
+    pub(super) fn write_to(self, log: &DecisionLog) -> bool {
+        if self.events.len() <= MAX_LOGGED_CHANGES {
             for event in self.events {
                 log.record(event);
             }
--- a/crates/serving/src/instances/listing.rs
+++ b/crates/serving/src/instances/listing.rs
@@ -1,69 +1,75 @@
-//! How a new version of the list is taken in: what differs from the one before, and nothing else.
+//! Application of a new version of the list: only the differences from the previous one.
 
-use super::list_news::{ListNews, ListedState};
+use super::list_changes::{ListChanges, ListedState};
 use super::{Instance, InstanceId, InstanceTable};
 use crate::ports::ListedInstance;
 use silversail_peer::{ListChange, ListedInstances};
 use std::sync::Arc;
 
 impl InstanceTable {
-    /// Takes in a whole list. True when something changed.
+    /// Applies a complete list. True if anything changed.
     pub fn replace_list(&mut self, listed: &[ListedInstance]) -> bool {
         self.apply_list(&listed.iter().cloned().collect())
     }
 
-    /// Takes in a version of the list. True when something changed. Costs as much as it has not
-    /// in common with the version before.
+    /// Applies a version of the list. True if anything changed. Takes time proportional to the
+    /// differences from the previous version.
     pub fn apply_list(&mut self, listed: &ListedInstances) -> bool {
-        let before = std::mem::replace(&mut self.followed, listed.clone());
-        let mut news = ListNews::default();
+        let before = std::mem::replace(&mut self.applied, listed.clone());
+        let mut changes = ListChanges::default();
         let mut gone = Vec::new();
         for change in before.changes_to(listed) {
             match change {
-                ListChange::Present(entry) => self.take_entry(entry, &mut news),
+                ListChange::Present(entry) => self.apply_entry(entry, &mut changes),
                 ListChange::Gone(id) => gone.push(id),
             }
         }
-        // Later, as a start that the list lacks may hide one that it names.
+        // Removals come last: a removed process may be the earlier one of a back end that is
+        // still listed.
         for id in gone {
-            self.drop_entry(id, &mut news);
+            self.remove_entry(id, &mut changes);
         }
-        news.tell(&self.log)
+        changes.write_to(&self.log)
     }
 
-    /// The version of the list that was taken in last.
+    /// The version of the list that was applied last.
     pub fn applied_list(&self) -> &ListedInstances {
-        &self.followed
+        &self.applied
     }
 
-    fn take_entry(&mut self, entry: &Arc<ListedInstance>, news: &mut ListNews) {
+    fn apply_entry(&mut self, entry: &Arc<ListedInstance>, changes: &mut ListChanges) {
         if let Some(later) = self.later_start(entry) {
-            // Another node read a list that lags: the back end has started again since.
+            // The list is stale: the back end has restarted since.
             self.hidden.insert(entry.id.clone(), later);
             return;
         }
         self.hidden.remove(&entry.id);
         match self.instances.remove(&entry.id) {
-            Some(known) => self.update(known, entry, news),
-            None => self.add(entry, news),
+            Some(known) => self.update(known, entry, changes),
+            None => self.add(entry, changes),
         }
     }
 
-    fn update(&mut self, mut known: Instance, entry: &Arc<ListedInstance>, news: &mut ListNews) {
+    fn update(
+        &mut self,
+        mut known: Instance,
+        entry: &Arc<ListedInstance>,
+        changes: &mut ListChanges,
+    ) {
         if is_in_other_state(&known.listed, entry) {
-            news.note(entry, ListedState::of(entry));
+            changes.note(entry, ListedState::of(entry));
         }
         if known.listed.address != entry.address {
-            news.note_change();
-            known.misplaced_until = 0;
+            changes.note_change();
+            known.address_mismatch_until = 0;
         }
         known.listed = entry.clone();
         self.put(known);
     }
 
-    fn add(&mut self, entry: &Arc<ListedInstance>, news: &mut ListNews) {
-        news.note(entry, ListedState::of(entry));
-        self.hide_earlier_start(entry, news);
+    fn add(&mut self, entry: &Arc<ListedInstance>, changes: &mut ListChanges) {
+        changes.note(entry, ListedState::of(entry));
+        self.hide_earlier_start(entry, changes);
         self.gone.retain(|id| *id != entry.id);
         let notice = self.notices.listed(&entry.id);
         let plan = self.returns.plan_for(&self.own_node, &entry.id);
@@ -74,65 +80,66 @@
         let listed = &instance.listed;
         instance.is_evacuated = self.evacuated.contains(&listed.zone);
         instance.role = self.roles.of(&listed.service, &listed.version);
-        let place = self.instances.insert(instance);
-        self.changed.push(place);
+        let slot = self.instances.insert(instance);
+        self.changed.push(slot);
     }
 
-    /// The back end that started later under an entry's name, where one is known.
+    /// The later process of the same back end, if one is known.
     fn later_start(&self, entry: &ListedInstance) -> Option<InstanceId> {
-        if entry.born.is_none() || self.instances.place_of(&entry.id).is_some() {
+        if entry.born.is_none() || self.instances.slot_of(&entry.id).is_some() {
             return None;
         }
-        let present = &self.instances.named(&entry.name)?.listed;
+        let present = &self.instances.process_with_name(&entry.name)?.listed;
         (present.born > entry.born).then(|| present.id.clone())
     }
 
-    /// Of two starts under one name, as a list tells both while its pages are read, the earlier
-    /// is gone.
-    fn hide_earlier_start(&mut self, entry: &ListedInstance, news: &mut ListNews) {
+    /// Hides the earlier of two processes of a back end. A list that is read page by page may
+    /// name both.
+    fn hide_earlier_start(&mut self, entry: &ListedInstance, changes: &mut ListChanges) {
         if entry.born.is_none() {
             return;
         }
-        let earlier = self.instances.named(&entry.name);
+        let earlier = self.instances.process_with_name(&entry.name);
         let Some(earlier) = earlier.map(|one| one.listed.clone()) else {
             return;
         };
-        self.remove_instance(&earlier, news);
+        self.remove_instance(&earlier, changes);
         for later in self.hidden.values_mut().filter(|id| **id == earlier.id) {
             *later = entry.id.clone();
         }
-        if self.followed.get(&earlier.id).is_some() {
+        if self.applied.get(&earlier.id).is_some() {
             self.hidden.insert(earlier.id.clone(), entry.id.clone());
         }
     }
 
-    fn drop_entry(&mut self, id: &str, news: &mut ListNews) {
+    fn remove_entry(&mut self, id: &str, changes: &mut ListChanges) {
         let Some(later) = self.hidden.remove(id) else {
-            self.remove_unless_hiding(id, news);
+            self.remove_if_unlisted(id, changes);
             return;
         };
-        if self.followed.get(&later).is_none() {
-            self.remove_unless_hiding(&later, news);
+        if self.applied.get(&later).is_none() {
+            self.remove_if_unlisted(&later, changes);
         }
     }
 
-    /// Takes out a back end that the list does not name, unless it names an earlier start of it.
-    fn remove_unless_hiding(&mut self, id: &str, news: &mut ListNews) {
-        let is_hiding = self.hidden.values().any(|later| later == id);
+    /// Removes a back end that the list does not name, unless the list names an earlier process
+    /// of it.
+    fn remove_if_unlisted(&mut self, id: &str, changes: &mut ListChanges) {
+        let hides_listed_entry = self.hidden.values().any(|later| later == id);
         let listed = self.instances.get(id).map(|one| one.listed.clone());
-        if let Some(listed) = listed.filter(|_| !is_hiding) {
-            self.remove_instance(&listed, news);
+        if let Some(listed) = listed.filter(|_| !hides_listed_entry) {
+            self.remove_instance(&listed, changes);
         }
     }
 
-    fn remove_instance(&mut self, listed: &ListedInstance, news: &mut ListNews) {
+    fn remove_instance(&mut self, listed: &ListedInstance, changes: &mut ListChanges) {
         self.instances.remove(&listed.id);
         self.gone.push(listed.id.clone());
-        news.note(listed, ListedState::Gone);
+        changes.note(listed, ListedState::Gone);
     }
 }
 
-/// Whether a list tells another state, or another version, of a back end than one before.
+/// Whether the state or version of a back end differs between two lists.
 fn is_in_other_state(before: &ListedInstance, after: &ListedInstance) -> bool {
     before.draining != after.draining
         || before.cold != after.cold
--- a/crates/serving/src/instances/resume.rs
+++ b/crates/serving/src/instances/resume.rs
@@ -1,18 +1,19 @@
-//! How a node comes back to a back end that asked for rest: all nodes were told alike, and would
-//! come back together.
+//! How a node resumes sending after a back end asked for a rest. All nodes hear the same end of
+//! the rest, and would resume at the same time.
 
 use crate::Millis;
 use serde::Deserialize;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-/// How nodes come back to back ends after rests.
+/// Resumption of requests to back ends after rests.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ResumePolicy {
-    /// Whether one request goes first, and the others once its answer says no more of rest.
+    /// Whether one request goes first as a probe, and the others once its answer asks for no
+    /// further rest.
     pub first_alone: bool,
-    /// Nodes come back spread over this share of the rest after its end.
+    /// Share of the length of a rest over which the nodes spread their resumption after its end.
     pub spread: f64,
 }
 
@@ -25,17 +26,17 @@
     }
 }
 
-/// How one node comes back to one back end.
+/// When one node resumes sending to one back end.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ResumePlan {
-    /// Whether one request goes first.
+    /// Whether a probe request goes first.
     pub(super) first_alone: bool,
-    /// How long after the end of a rest, as a share of it.
+    /// Delay after the end of a rest, as a share of its length.
     delay_share: f64,
 }
 
 impl ResumePlan {
-    /// How long after the end of a rest of this length it comes back, both in milliseconds.
+    /// Delay in milliseconds after the end of a rest that lasted `rest` milliseconds.
     pub(super) fn delay(&self, rest: Millis) -> Millis {
         (rest as f64 * self.delay_share) as Millis
     }
--- a/crates/serving/src/instances/store.rs
+++ b/crates/serving/src/instances/store.rs
@@ -1,5 +1,5 @@
-//! Where back ends are kept, and found: by identity, by address, by name, and those of a service by
-//! zone and by hash group. Taking one in or out costs the same whatever their number.
+//! Storage of the back ends with indexes by identity, address, name, and by service with zone
+//! and hash group, so that additions and removals do not scan all back ends.
 
 use super::hashed_index::HashedIndex;
 use super::instance::Instance;
@@ -7,52 +7,52 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Where a back end is kept.
-pub(super) type Place = u32;
+/// Index of a back end's slot in the store.
+pub(super) type SlotIndex = u32;
 
-/// Groups into which the back ends of a service fall by a hash of their identity: what a choice by
-/// rank looks at is the groups and the members of one, and both are few for 10,000 back ends.
+/// Number of hash groups of the back ends of a service: a selection by rendezvous hashing scans
+/// the groups and the members of one.
 pub(super) const GROUPS: usize = 128;
 
-/// The back ends of one service.
+/// Indexes of the back ends of one service.
 #[derive(Default)]
 pub(super) struct ServiceIndex {
-    /// Places by zone, in the order of identities.
-    by_zone: BTreeMap<String, Vec<Place>>,
-    /// Places by group, in the order of identities.
-    groups: Vec<Vec<Place>>,
-    /// How many back ends have each version.
+    /// Slots by zone, ordered by identity.
+    by_zone: BTreeMap<String, Vec<SlotIndex>>,
+    /// Slots by hash group, ordered by identity.
+    groups: Vec<Vec<SlotIndex>>,
+    /// Number of back ends of each version.
     versions: BTreeMap<String, usize>,
     count: usize,
 }
 
 impl ServiceIndex {
-    /// How many there are.
+    /// Number of back ends.
     pub(super) fn len(&self) -> usize {
         self.count
     }
 
-    /// Zones in which there are some.
+    /// Zones with back ends.
     pub(super) fn zones(&self) -> impl Iterator<Item = &str> {
         self.by_zone.keys().map(String::as_str)
     }
 
-    /// Those in a zone.
-    pub(super) fn in_zone(&self, zone: &str) -> &[Place] {
+    /// Slots of a zone.
+    pub(super) fn in_zone(&self, zone: &str) -> &[SlotIndex] {
         self.by_zone.get(zone).map_or(&[], Vec::as_slice)
     }
 
-    /// Those of all zones.
-    pub(super) fn all(&self) -> impl Iterator<Item = Place> + '_ {
+    /// Slots of all zones.
+    pub(super) fn all(&self) -> impl Iterator<Item = SlotIndex> + '_ {
         self.by_zone.values().flatten().copied()
     }
 
-    /// The groups.
-    pub(super) fn groups(&self) -> &[Vec<Place>] {
+    /// Slots by hash group.
+    pub(super) fn groups(&self) -> &[Vec<SlotIndex>] {
         &self.groups
     }
 
-    /// Versions that some of them have.
+    /// Versions of the back ends.
     pub(super) fn versions(&self) -> impl Iterator<Item = &str> {
         self.versions.keys().map(String::as_str)
     }
@@ -61,9 +61,9 @@
 /// All back ends with their indexes.
 #[derive(Default)]
 pub(super) struct InstanceStore {
-    places: Vec<Option<Instance>>,
-    looks: Cell<u64>,
-    free: Vec<Place>,
+    slots: Vec<Option<Instance>>,
+    lookups: Cell<u64>,
+    free_slots: Vec<SlotIndex>,
     by_id: HashedIndex,
     by_address: HashedIndex,
     by_name: HashedIndex,
@@ -71,136 +71,139 @@
 }
 
 impl InstanceStore {
-    /// The back end at a place.
-    pub(super) fn at(&self, place: Place) -> Option<&Instance> {
-        self.looks.set(self.looks.get() + 1);
-        self.places.get(place as usize)?.as_ref()
+    /// The back end in a slot; counts as a lookup.
+    pub(super) fn at(&self, slot: SlotIndex) -> Option<&Instance> {
+        self.lookups.set(self.lookups.get() + 1);
+        self.slots.get(slot as usize)?.as_ref()
     }
 
-    /// How often a back end was looked at by its place.
-    pub(super) fn looks(&self) -> u64 {
-        self.looks.get()
+    /// Number of lookups by slot.
+    pub(super) fn lookup_count(&self) -> u64 {
+        self.lookups.get()
     }
 
-    /// The same, to be changed. What the indexes go by is not.
-    pub(super) fn at_mut(&mut self, place: Place) -> Option<&mut Instance> {
-        self.places.get_mut(place as usize)?.as_mut()
+    /// Mutable access to a slot. Fields that are indexed must not be changed.
+    pub(super) fn at_mut(&mut self, slot: SlotIndex) -> Option<&mut Instance> {
+        self.slots.get_mut(slot as usize)?.as_mut()
     }
 
-    /// The place of a back end.
-    pub(super) fn place_of(&self, id: &str) -> Option<Place> {
+    /// The slot of a back end.
+    pub(super) fn slot_of(&self, id: &str) -> Option<SlotIndex> {
         let mut found = self.by_id.find(id);
-        found.find(|place| self.at(*place).is_some_and(|one| one.listed.id == id))
+        found.find(|slot| self.at(*slot).is_some_and(|one| one.listed.id == id))
     }
 
-    /// A back end.
+    /// The back end with an identity.
     pub(super) fn get(&self, id: &str) -> Option<&Instance> {
-        self.at(self.place_of(id)?)
+        self.at(self.slot_of(id)?)
     }
 
-    /// A back end, to be changed.
+    /// Mutable access to the back end with an identity.
     pub(super) fn get_mut(&mut self, id: &str) -> Option<&mut Instance> {
-        let place = self.place_of(id)?;
-        self.at_mut(place)
+        let slot = self.slot_of(id)?;
+        self.at_mut(slot)
     }
 
-    /// The first back end at an address, in the order of identities.
+    /// The back end at an address; of several, the first by identity.
     pub(super) fn at_address(&self, address: &str) -> Option<&Instance> {
         let found = self.by_address.find(address);
-        let found = found.filter_map(|place| self.at(place));
+        let found = found.filter_map(|slot| self.at(slot));
         let there = found.filter(|one| one.listed.address == address);
         there.min_by(|left, right| left.listed.id.cmp(&right.listed.id))
     }
 
-    /// The back end that calls itself so and tells when it started.
-    pub(super) fn named(&self, name: &str) -> Option<&Instance> {
+    /// The back end with this name, if it tells when it started.
+    pub(super) fn process_with_name(&self, name: &str) -> Option<&Instance> {
         let found = self.by_name.find(name);
-        let mut found = found.filter_map(|place| self.at(place));
+        let mut found = found.filter_map(|slot| self.at(slot));
         found.find(|one| one.listed.name == name && one.listed.born.is_some())
     }
 
     /// All back ends.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Instance> {
-        self.places.iter().flatten()
+        self.slots.iter().flatten()
     }
 
-    /// All back ends, to be changed.
+    /// Mutable access to all back ends.
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Instance> {
-        self.places.iter_mut().flatten()
+        self.slots.iter_mut().flatten()
     }
 
-    /// The services that have back ends.
+    /// Services with back ends.
     pub(super) fn services(&self) -> impl Iterator<Item = &String> {
         self.by_service.keys()
     }
 
-    /// The back ends of a service.
+    /// The indexes of a service.
     pub(super) fn service(&self, service: &str) -> Option<&ServiceIndex> {
         self.by_service.get(service)
     }
 
-    /// Takes in a back end that is not there.
-    pub(super) fn insert(&mut self, instance: Instance) -> Place {
-        let place = self.free.pop().unwrap_or(self.places.len() as Place);
-        if place as usize == self.places.len() {
-            self.places.push(None);
+    /// Adds a back end that is not in the store.
+    pub(super) fn insert(&mut self, instance: Instance) -> SlotIndex {
+        let slot = self
+            .free_slots
+            .pop()
+            .unwrap_or(self.slots.len() as SlotIndex);
+        if slot as usize == self.slots.len() {
+            self.slots.push(None);
         }
-        self.places[place as usize] = Some(instance);
-        self.index(place);
-        place
+        self.slots[slot as usize] = Some(instance);
+        self.index(slot);
+        slot
     }
 
-    /// Takes out a back end.
+    /// Removes a back end.
     pub(super) fn remove(&mut self, id: &str) -> Option<Instance> {
-        let place = self.place_of(id)?;
-        self.unindex(place);
-        self.free.push(place);
-        self.places[place as usize].take()
+        let slot = self.slot_of(id)?;
+        self.unindex(slot);
+        self.free_slots.push(slot);
+        self.slots[slot as usize].take()
     }
 
-    fn index(&mut self, place: Place) {
-        let Some(listed) = self.at(place).map(|one| one.listed.clone()) else {
+    fn index(&mut self, slot: SlotIndex) {
+        let Some(listed) = self.at(slot).map(|one| one.listed.clone()) else {
             return;
         };
-        self.by_id.insert(&listed.id, place);
-        self.by_address.insert(&listed.address, place);
+        self.by_id.insert(&listed.id, slot);
+        self.by_address.insert(&listed.address, slot);
         if listed.born.is_some() {
-            self.by_name.insert(&listed.name, place);
+            self.by_name.insert(&listed.name, slot);
         }
         let Self {
-            places, by_service, ..
+            slots, by_service, ..
         } = self;
-        let is_before = |other: &Place| {
-            let other = places[*other as usize].as_ref();
+        let is_before = |other: &SlotIndex| {
+            let other = slots[*other as usize].as_ref();
             other.is_some_and(|one| one.listed.id < listed.id)
         };
         let service = by_service.entry(listed.service.clone()).or_default();
         if service.groups.is_empty() {
             service.groups.resize(GROUPS, Vec::new());
         }
-        let of_zone = service.by_zone.entry(listed.zone.clone()).or_default();
-        for list in [of_zone, &mut service.groups[group_of(&listed.id)]] {
+        let slots_of_zone = service.by_zone.entry(listed.zone.clone()).or_default();
+        for list in [slots_of_zone, &mut service.groups[group_of(&listed.id)]] {
             let position = list.partition_point(is_before);
-            list.insert(position, place);
+            list.insert(position, slot);
         }
         *service.versions.entry(listed.version.clone()).or_default() += 1;
         service.count += 1;
     }
 
-    fn unindex(&mut self, place: Place) {
-        let Some(listed) = self.at(place).map(|one| one.listed.clone()) else {
+    fn unindex(&mut self, slot: SlotIndex) {
+        let Some(listed) = self.at(slot).map(|one| one.listed.clone()) else {
             return;
         };
-        self.by_id.remove(&listed.id, place);
-        self.by_address.remove(&listed.address, place);
-        self.by_name.remove(&listed.name, place);
+        self.by_id.remove(&listed.id, slot);
+        self.by_address.remove(&listed.address, slot);
+        self.by_name.remove(&listed.name, slot);
         let Some(service) = self.by_service.get_mut(&listed.service) else {
             return;
         };
-        service.groups[group_of(&listed.id)].retain(|one| *one != place);
-        if let Some(of_zone) = service.by_zone.get_mut(&listed.zone) {
-            of_zone.retain(|one| *one != place);
-            if of_zone.is_empty() {
+        service.groups[group_of(&listed.id)].retain(|one| *one != slot);
+        if let Some(slots_of_zone) = service.by_zone.get_mut(&listed.zone) {
+            slots_of_zone.retain(|one| *one != slot);
+            if slots_of_zone.is_empty() {
                 service.by_zone.remove(&listed.zone);
             }
         }
@@ -217,7 +220,7 @@
     }
 }
 
-/// The group of a back end, the same at every node.
+/// The hash group of a back end, which is the same on every node.
 fn group_of(id: &str) -> usize {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
--- a/crates/serving/src/instances/versions.rs
+++ b/crates/serving/src/instances/versions.rs
@@ -1,30 +1,28 @@
-//! Versions of the back ends: the part of each in a rollout, and ones that no order names yet.
+//! Versions of back ends: their role in a rollout, and new versions that no rollout order names
+//! yet.
 
-use super::store::Place;
+use super::store::SlotIndex;
 use super::InstanceTable;
 use crate::rollouts::{VersionRole, VersionRoles};
 use crate::Millis;
 use silversail_decisions::Event;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a version that appears beside others gets nothing while no order names it, in
-/// milliseconds: within this time an order is acknowledged, or refused, and told to all nodes.
-/// Back ends of a version may start before the order that names it is known here, and an even
-/// share of the traffic could go to a bad version until then. Back ends that are replaced one
-/// after the other have mostly the version of the others, and lose nothing by this; else the
-/// first ones serve so much later, and where no other can be used they do at once.
-const HELD_BACK_FOR: Millis = 5_000;
+/// How long a new version beside known ones gets no requests while no rollout order names it, in
+/// milliseconds. Its back ends may start before the order is known here, and would get an even
+/// share of the traffic until then. Where no other back end is usable they get requests at once.
+const HOLD_BACK_DURATION: Millis = 5_000;
 
-/// Versions that were listed, by service, and from when on each may get requests without an
-/// order.
+/// Known versions by service, each with the time from which it may get requests without a
+/// rollout order.
 #[derive(Default)]
 pub(super) struct KnownVersions {
     by_service: BTreeMap<String, BTreeMap<String, Millis>>,
 }
 
 impl KnownVersions {
-    /// Takes the versions of a service that are listed now; tells those that are held back from
-    /// now on: new ones beside one that was known.
+    /// Adds the listed versions of a service. Returns the new ones that are held back because
+    /// another version was already known.
     fn take<'a>(&mut self, service: &str, listed: &BTreeSet<&'a str>, now: Millis) -> Vec<&'a str> {
         if !self.by_service.contains_key(service) {
             self.by_service.insert(service.to_owned(), BTreeMap::new());
@@ -35,13 +33,13 @@
         let is_beside_known = listed.iter().any(|version| known.contains_key(*version));
         let new = listed.iter().copied();
         let new: Vec<&str> = new.filter(|one| !known.contains_key(*one)).collect();
-        let free_from = if is_beside_known {
-            now + HELD_BACK_FOR
+        let allowed_from = if is_beside_known {
+            now + HOLD_BACK_DURATION
         } else {
             now
         };
         for version in &new {
-            known.insert((*version).to_owned(), free_from);
+            known.insert((*version).to_owned(), allowed_from);
         }
         if is_beside_known {
             new
@@ -50,16 +48,15 @@
         }
     }
 
-    fn free_from(&self, service: &str, version: &str) -> Millis {
+    fn allowed_from(&self, service: &str, version: &str) -> Millis {
         let known = self.by_service.get(service);
-        let free_from = known.and_then(|versions| versions.get(version));
-        free_from.copied().unwrap_or_default()
+        let allowed_from = known.and_then(|versions| versions.get(version));
+        allowed_from.copied().unwrap_or_default()
     }
 }
 
 impl InstanceTable {
-    /// Takes the part of each version from now on. Versions on the list whose part is another
-    /// now stand in the decision log.
+    /// Sets the role of each version. Role changes of listed versions go into the decision log.
     pub fn set_version_roles(&mut self, roles: VersionRoles) {
         self.roles = roles;
         let mut changed = BTreeSet::new();
@@ -75,21 +72,21 @@
         }
     }
 
-    /// Holds versions back that appeared since the last list beside others, and that no order
-    /// names. Comes after each list.
+    /// Holds back versions that have appeared since the last list and that no rollout order
+    /// names. Has to be called after each list.
     pub fn hold_back_new_versions(&mut self, now: Millis) {
         let changed = std::mem::take(&mut self.changed);
-        let of_place = |place: &Place| self.instances.at(*place);
-        let services = changed.iter().filter_map(of_place);
+        let instance_at = |slot: &SlotIndex| self.instances.at(*slot);
+        let services = changed.iter().filter_map(instance_at);
         let services: BTreeSet<String> = services.map(|one| one.listed.service.clone()).collect();
         for service in services {
             self.hold_back_new_versions_of(&service, now);
         }
-        for place in changed {
-            if let Some(instance) = self.instances.at_mut(place) {
+        for slot in changed {
+            if let Some(instance) = self.instances.at_mut(slot) {
                 let listed = &instance.listed;
                 let known = &self.known_versions;
-                instance.held_back_until = known.free_from(&listed.service, &listed.version);
+                instance.held_back_until = known.allowed_from(&listed.service, &listed.version);
             }
         }
     }
@@ -101,15 +98,15 @@
         let listed = index.versions().collect();
         let new = self.known_versions.take(service, &listed, now);
         let roles = &self.roles;
-        let unordered = new
+        let without_order = new
             .into_iter()
             .filter(|version| roles.of(service, version) == VersionRole::Ordinary);
-        for version in unordered {
+        for version in without_order {
             self.record_role(service, version, "held_back");
         }
     }
 
-    /// Requests of this node under way at a service's baseline.
+    /// Number of this node's requests in flight at a service's baseline.
     pub fn in_flight_at_baseline(&self, service: &str) -> u64 {
         let of_service = self.of_service(service);
         let baseline = of_service.filter(|one| one.role == VersionRole::Baseline);
--- a/crates/serving/tests/back_end_count.rs
+++ b/crates/serving/tests/back_end_count.rs
@@ -1,5 +1,5 @@
-//! What choices and changes of the list cost with thousands of back ends, as looks at single ones,
-//! and how choices spread over them.
+//! Cost of selections and list changes with thousands of back ends, as a number of lookups, and
+//! the distribution of selections over them.
 
 mod common;
 
@@ -15,10 +15,10 @@
 use std::collections::BTreeMap;
 
 const ZONES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
-/// Looks that one choice may take, at any number of back ends: 20 us of a whole core.
-const MOST_LOOKS_OF_CHOICE: u64 = 400;
-/// Looks that one change of the list may take.
-const MOST_LOOKS_OF_CHANGE: u64 = 10;
+/// Maximum lookups of one selection, for any number of back ends.
+const MAX_LOOKUPS_PER_SELECTION: u64 = 400;
+/// Maximum lookups of one list change.
+const MAX_LOOKUPS_PER_CHANGE: u64 = 10;
 
 fn entries(count: usize) -> Vec<ListedInstance> {
     let numbers = 0..count;
@@ -61,7 +61,7 @@
 }
 
 #[rstest]
-fn a_choice_looks_at_few_of_thousands(
+fn a_selection_looks_up_few_of_thousands(
     #[values(1_000, 10_000, 20_000)] count: usize,
     #[values(None, Some(77))] affinity: Option<u64>,
 ) {
@@ -71,12 +71,12 @@
         let affinity = affinity.map(|key| key + lot);
         chosen(&table, &request(affinity, lot));
     }
-    let looks = (table.lookup_count() - before) / 50;
-    assert!(looks <= MOST_LOOKS_OF_CHOICE, "{looks}");
+    let lookups = (table.lookup_count() - before) / 50;
+    assert!(lookups <= MAX_LOOKUPS_PER_SELECTION, "{lookups}");
 }
 
 #[rstest]
-fn a_change_of_the_list_looks_at_what_changed(#[values(1_000, 10_000, 20_000)] count: usize) {
+fn a_list_change_looks_up_only_what_changed(#[values(1_000, 10_000, 20_000)] count: usize) {
     let all = list_of(&entries(count));
     let mut table = InstanceTable::new(DecisionLog::off());
     table.apply_list(&all);
@@ -91,25 +91,25 @@
         assert!(table.apply_list(&next));
         table.hold_back_new_versions(0);
         table.forget_removed(0);
-        let looks = table.lookup_count() - before;
-        assert!(looks <= MOST_LOOKS_OF_CHANGE, "{looks}");
+        let lookups = table.lookup_count() - before;
+        assert!(lookups <= MAX_LOOKUPS_PER_CHANGE, "{lookups}");
     }
 }
 
-/// A line for each of thousands would push all else out of a bounded log.
+/// One entry per back end would displace all others from a bounded log.
 #[test]
-fn the_first_list_of_thousands_takes_few_lines_of_the_log() {
+fn the_first_list_of_thousands_takes_few_log_entries() {
     let log = DecisionLog::start("n1", LogLimits::default(), std::io::sink()).expect("a thread");
     let mut table = InstanceTable::new(log.clone());
     table.replace_list(&entries(10_000));
     assert_eq!(log.counts().taken, 1);
     table.replace_list(&entries(9_990));
-    assert_eq!(log.counts().taken, 11, "a few are told one by one");
+    assert_eq!(log.counts().taken, 11, "few changes are logged one by one");
 }
 
-/// Each back end has as many shared prompts as the others, whichever group it is in.
+/// Each back end gets about the same number of prompts, whatever the size of its hash group.
 #[rstest]
-fn prompts_spread_evenly(#[values(7, 70, 700)] count: usize) {
+fn prompts_are_distributed_evenly(#[values(7, 70, 700)] count: usize) {
     const PROMPTS_EACH: usize = 100;
     let table = table(count);
     let mut prompts: BTreeMap<String, usize> = BTreeMap::new();
@@ -121,14 +121,14 @@
     assert_eq!(prompts.len(), count);
     let most = prompts.values().max().copied().unwrap_or_default();
     let least = prompts.values().min().copied().unwrap_or_default();
-    // Five deviations of as many lots.
+    // Five standard deviations of a uniform distribution.
     assert!(most <= PROMPTS_EACH * 3 / 2, "{most}");
     assert!(least >= PROMPTS_EACH / 2, "{least}");
 }
 
-/// Nodes hold lists that differ by one back end for a second after each change.
+/// The lists of two nodes differ by one back end for about a second after each change.
 #[rstest]
-fn a_back_end_that_goes_moves_few_prompts_but_its_own(#[values(20, 1_000)] count: usize) {
+fn removing_a_backend_moves_few_prompts_of_others(#[values(20, 1_000)] count: usize) {
     const PROMPTS: u64 = 4_000;
     let whole = table(count);
     let mut without_one = table(count);
@@ -142,10 +142,10 @@
     assert!(moved <= 1.0 / count as f64, "{moved}");
 }
 
-/// A node of a thousand meets a back end every few hours, and knows nothing of their loads: if
-/// ties went by name, all nodes of a zone would send to one back end of it.
+/// A node that knows no loads must not break ties by name, or all nodes of a zone would send to
+/// the same back end.
 #[rstest]
-fn plain_requests_of_nodes_that_know_no_loads_spread(#[values(18, 162)] count: usize) {
+fn requests_are_distributed_without_known_loads(#[values(18, 162)] count: usize) {
     const REQUESTS_EACH: u64 = 60;
     let near = count / ZONES.len();
     let table = table(count);
--- a/crates/serving/tests/burst.rs
+++ b/crates/serving/tests/burst.rs
@@ -1,5 +1,5 @@
-//! Requests with three phases in a row, taken in by several nodes, in a burst of twice
-//! what the makers can do: what is admitted keeps its objective.
+//! A burst of requests with three consecutive phases, at several nodes and at twice the capacity
+//! of the back ends: admitted requests must meet their objective.
 
 mod common;
 
@@ -14,23 +14,23 @@
 use std::collections::{BTreeMap, VecDeque};
 
 const SERVICES: [&str; 3] = ["one", "two", "three"];
-const MAKERS: usize = 4;
+const BACKENDS_PER_SERVICE: usize = 4;
 const NODES: usize = 8;
 const OBJECTIVE: u64 = 2_000;
 
-/// Nodes that take requests in, and one that batches for all.
-struct Fleet {
+/// Nodes that accept requests, and one batcher for all of them.
+struct SimulatedNodes {
     nodes: Vec<Dispatcher>,
     batcher: Batcher,
     now: u64,
-    at_work: Vec<(u64, BatchCall)>,
+    running: Vec<(u64, BatchCall)>,
     arrived_at: BTreeMap<u64, u64>,
     in_time: usize,
     late: usize,
     refused: usize,
 }
 
-impl Fleet {
+impl SimulatedNodes {
     fn new() -> Self {
         let mut configuration = traffic();
         let mut chain = route("chain", "/chain/", "pool", RouteKind::Repeatable);
@@ -54,9 +54,9 @@
         }
         let mut listed = vec![instance("e1", "pool", "a")];
         for service in SERVICES {
-            let makers =
-                (0..MAKERS).map(|number| instance(&format!("{service}{number}"), service, "a"));
-            listed.extend(makers);
+            let backends = (0..BACKENDS_PER_SERVICE)
+                .map(|number| instance(&format!("{service}{number}"), service, "a"));
+            listed.extend(backends);
         }
         let node = || {
             let mut node = Dispatcher::new(
@@ -78,7 +78,7 @@
             nodes,
             batcher,
             now: 0,
-            at_work: Vec::new(),
+            running: Vec::new(),
             arrived_at: BTreeMap::new(),
             in_time: 0,
             late: 0,
@@ -86,7 +86,7 @@
         }
     }
 
-    fn arrive(&mut self, number: u64) {
+    fn submit_request(&mut self, number: u64) {
         let mut call = call_of(&format!("r{number}"), "/chain/x");
         call.pieces = vec![1, 4, 4];
         call.piece_key = "k".into();
@@ -122,12 +122,12 @@
                     self.batcher
                         .submit(key(node, work), phase, table, self.now)
                         .expect("taken");
-                    self.tell_waits(node, &shard);
+                    self.update_wait_estimates(node, &shard);
                 }
                 Action::Announce { work, order, .. } => {
                     let shard = order.shard.clone();
                     self.batcher.announce(key(node, work), order, self.now);
-                    self.tell_waits(node, &shard);
+                    self.update_wait_estimates(node, &shard);
                 }
                 Action::Cancel { work } => self.batcher.cancel(&key(node, work)),
                 Action::Diagnose { .. } => unreachable!("nothing breaks off"),
@@ -136,7 +136,7 @@
         }
     }
 
-    fn tell_waits(&mut self, node: usize, shard: &Shard) {
+    fn update_wait_estimates(&mut self, node: usize, shard: &Shard) {
         let table = &self.nodes[node].instances;
         let waits = self.batcher.waits(shard, table, self.now);
         self.nodes[node].set_waits([waits], self.now);
@@ -145,14 +145,14 @@
     fn step(&mut self) {
         self.now += 1;
         let now = self.now;
-        let (ended, at_work) = std::mem::take(&mut self.at_work)
+        let (ended, running) = std::mem::take(&mut self.running)
             .into_iter()
             .partition(|(until, _)| *until <= now);
-        self.at_work = at_work;
+        self.running = running;
         for (_, call) in ended {
             for order in self.batcher.call_ended(call.call, made(&call), now) {
                 let node: usize = order.key.node.as_str().parse().expect("a number");
-                self.tell_waits(node, &order.shard);
+                self.update_wait_estimates(node, &order.shard);
                 let actions = self.nodes[node].phase_done(order.key.work, order.result, now);
                 self.carry_out(node, actions);
             }
@@ -160,7 +160,7 @@
         let table = &self.nodes[0].instances;
         for call in self.batcher.next_calls(table, now) {
             let takes = 240 + 10 * call.pieces.len() as u64;
-            self.at_work.push((now + takes, call));
+            self.running.push((now + takes, call));
         }
     }
 }
@@ -173,21 +173,21 @@
 }
 
 #[test]
-fn what_is_admitted_in_a_burst_keeps_its_objective() {
-    let mut fleet = Fleet::new();
+fn requests_admitted_during_a_burst_meet_their_objective() {
+    let mut simulation = SimulatedNodes::new();
     let mut number = 0;
-    // Four makers take 25 requests a second; 50 arrive for 5 seconds.
-    while fleet.now < 8_000 {
-        if fleet.now < 5_000 && fleet.now.is_multiple_of(20) {
-            fleet.arrive(number);
+    // Four back ends can process 25 requests per second; 50 arrive per second for 5 seconds.
+    while simulation.now < 8_000 {
+        if simulation.now < 5_000 && simulation.now.is_multiple_of(20) {
+            simulation.submit_request(number);
             number += 1;
         }
-        fleet.step();
+        simulation.step();
     }
-    let (in_time, late, refused) = (fleet.in_time, fleet.late, fleet.refused);
+    let (in_time, late, refused) = (simulation.in_time, simulation.late, simulation.refused);
     let figures = format!("in time {in_time}, late {late}, refused {refused}");
     assert_eq!(in_time + late + refused, 250, "{figures}");
     assert!(late * 20 <= in_time, "{figures}");
-    // The makers are not left idle.
+    // The back ends are not left idle.
     assert!(in_time >= 120, "{figures}");
 }
--- a/crates/serving/tests/common/mod.rs
+++ b/crates/serving/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small traffic configuration and its back ends.
+//! Fixtures: a small traffic configuration and its back ends.
 #![allow(dead_code)]
 
 pub mod batches;
@@ -78,9 +78,9 @@
     }
 }
 
-/// Routes: `chat` (a stream, not resumable), `deep` (a resumable stream), `gate`
-/// (at most once), `lookup` (repeatable), `staged` (a stream after phases 0 and
-/// 1 in a row and phase 2 beside them).
+/// Routes: `chat` (a stream, not resumable), `deep` (a resumable stream), `gate` (at most once),
+/// `lookup` (repeatable), `staged` (a stream after phases 0 and 1 in sequence and phase 2 in
+/// parallel).
 pub fn traffic() -> TrafficConfiguration {
     let stream = |resumable| RouteKind::Stream { resumable };
     let mut staged = route("staged", "/staged/", "pool", stream(false));
@@ -153,12 +153,12 @@
     }
 }
 
-/// A version of the list with these entries.
+/// A list with these entries.
 pub fn list_of(entries: &[ListedInstance]) -> ListedInstances {
     entries.iter().cloned().collect()
 }
 
-/// Three engines, two gates and two encoders over zones `a` and `b`.
+/// Three engines, two gates and two encoders in zones `a` and `b`.
 pub fn instances() -> Vec<ListedInstance> {
     vec![
         instance("e1", "pool", "a"),
@@ -171,9 +171,9 @@
     ]
 }
 
-/// What a node in zone `a` sees of a deployment that names no regions.
+/// Topology of a node in zone `a`, without regions.
 pub static NO_REGIONS: LazyLock<Topology> = LazyLock::new(|| (*in_zone("a")).clone());
-/// Two zones in each of two regions, seen from zone `a`.
+/// Topology of a node in zone `a`, with two zones in each of two regions.
 pub static TWO_REGIONS: LazyLock<Topology> = LazyLock::new(|| {
     let zones = [
         ("a", "north"),
@@ -183,21 +183,21 @@
     ];
     (*in_regions("a", &zones)).clone()
 });
-/// No restriction to regions.
+/// A filter that allows every region.
 pub static ANY_REGION: LazyLock<RegionFilter> = LazyLock::new(RegionFilter::any);
 
-/// Only these regions.
+/// A filter that allows these regions only.
 pub fn only(regions: &[&str]) -> RegionFilter {
     let allowed = regions.iter().map(|region| (*region).to_owned()).collect();
     RegionFilter::of_both(Some(&allowed), None)
 }
 
-/// A node in a zone of a deployment that names no regions.
+/// Topology of a node in a zone, without regions.
 pub fn in_zone(zone: &str) -> Arc<Topology> {
     in_regions(zone, &[])
 }
 
-/// A node in a zone, where each of `zones` has a region.
+/// Topology of a node in a zone, with the region of each of `zones`.
 pub fn in_regions(own_zone: &str, zones: &[(&str, &str)]) -> Arc<Topology> {
     let regions = zones.iter();
     let regions = regions.map(|(zone, region)| ((*zone).to_owned(), (*region).to_owned()));
@@ -218,7 +218,7 @@
     dispatcher
 }
 
-/// The answer to a batch call whose pieces are all made.
+/// A successful answer to a batch call.
 pub fn made(call: &BatchCall) -> CallOutcome {
     let handle = |(piece, _): &(Piece, u64)| {
         let name = format!("{}/{}-{}", call.address, piece.request, piece.index);
--- a/crates/serving/tests/dispatcher.rs
+++ b/crates/serving/tests/dispatcher.rs
@@ -1,4 +1,4 @@
-//! One request from its arrival to its answer.
+//! Requests from arrival to answer: sends, retries, phases and admission.
 
 mod common;
 
@@ -55,7 +55,7 @@
 const FULL: SendOutcome = SendOutcome::NotRun(NotRunReason::Full);
 const UNREACHABLE: SendOutcome = SendOutcome::NotRun(NotRunReason::Unreachable);
 
-/// A policy that admits on this share of an objective, whatever the rank.
+/// A policy that admits within this share of an objective, for every priority.
 fn admitting(share: f64) -> Policy {
     Policy {
         admitted_shares: [share; RANKS],
@@ -63,7 +63,7 @@
     }
 }
 
-/// Waits by which a chain of two phases ends after 1,650 of 2,000 ms.
+/// Wait estimates by which a chain of two phases ends after 1,650 of 2,000 ms.
 fn waits_of_encode() -> ShardWaits {
     ShardWaits {
         shard: Shard::whole("encode"),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn without_a_configuration_a_request_is_told_to_come_back() {
+fn without_a_configuration_requests_are_rejected_with_retry_after() {
     let mut dispatcher = Dispatcher::new(
         in_zone("a"),
         LIMITS,
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_route_without_back_ends_refuses_at_once() {
+fn a_route_without_backends_rejects_at_once() {
     let mut dispatcher = dispatcher();
     dispatcher.instances.replace_list(&[]);
     let refusal = answered(&dispatcher.handle_request(1, call("r"), 0));
@@ -98,8 +98,8 @@
     assert_eq!(dispatcher.open_requests(), 0);
 }
 
-/// A request that may not be repeated is sent again only when the engine is known
-/// not to have run it; else the answer makes no promise.
+/// A request that is not idempotent is sent again only if the engine certainly has not run it;
+/// otherwise the answer leaves open whether it ran.
 #[rstest]
 #[case(FULL, true, None)]
 #[case(UNREACHABLE, true, None)]
@@ -107,15 +107,15 @@
 #[case(BROKEN, false, Some(502))]
 #[case(SendOutcome::Unknown(UnknownReason::Garbled), false, Some(502))]
 #[case(SendOutcome::Unknown(UnknownReason::Deadline), false, Some(504))]
-fn a_request_that_may_not_be_repeated_runs_at_most_once(
+fn a_request_that_is_not_idempotent_runs_at_most_once(
     #[case] outcome: SendOutcome,
-    #[case] is_sent_again: bool,
+    #[case] is_retried: bool,
     #[case] status: Option<u16>,
 ) {
     let mut dispatcher = dispatcher();
     let first = sent(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 0)).clone();
     let actions = dispatcher.send_ended(1, outcome, None, 10);
-    if is_sent_again {
+    if is_retried {
         assert_ne!(sent(&actions).instance, first.instance);
     } else {
         let refusal = answered(&actions);
@@ -126,21 +126,21 @@
 }
 
 #[test]
-fn a_repeatable_request_is_sent_again_as_often_as_its_route_allows() {
+fn an_idempotent_request_is_retried_up_to_the_attempts_of_its_route() {
     let mut dispatcher = dispatcher();
     let first = sent(&dispatcher.handle_request(1, call_of("r", "/lookup/x"), 0)).clone();
     assert!(first.may_repeat);
     let again = dispatcher.send_ended(1, SendOutcome::Failed { status: 500 }, None, 10);
     let second = sent(&again).clone();
     assert_ne!(second.instance, first.instance);
-    // The last attempt's failure goes to the caller as the engine gave it.
+    // The failure of the last attempt is passed on to the caller.
     assert!(!second.may_repeat);
     let refusal = answered(&dispatcher.send_ended(1, BROKEN, None, 20));
     assert_eq!(refusal.code, ResultCode::BackendFailed);
 }
 
 #[test]
-fn when_all_engines_refuse_the_caller_hears_that_nothing_ran() {
+fn if_all_engines_reject_the_answer_says_that_the_request_did_not_run() {
     let mut dispatcher = dispatcher();
     dispatcher.handle_request(1, call_of("r", "/gate/x"), 0);
     sent(&dispatcher.send_ended(1, FULL, None, 5));
@@ -150,11 +150,11 @@
 }
 
 #[test]
-fn second_sends_stay_within_the_budget() {
+fn retries_stay_within_the_budget() {
     let mut dispatcher = dispatcher();
     let nodes = (0..10).map(|node| format!("n{node}"));
     dispatcher.set_nodes("n0", nodes.collect());
-    let mut repeats = 0;
+    let mut retries = 0;
     for number in 0..200 {
         dispatcher.handle_request(number, call_of(&format!("r{number}"), "/lookup/x"), 0);
         let failed = SendOutcome::Failed { status: 500 };
@@ -162,14 +162,14 @@
         let is_sent = actions
             .iter()
             .any(|action| matches!(action, Action::Send { .. }));
-        repeats += usize::from(is_sent);
+        retries += usize::from(is_sent);
     }
-    // Of 200 requests a fifth, and a tenth of the allowance of 60.
-    assert!((20..=46).contains(&repeats), "{repeats} repeats");
+    // A fifth of 200 requests, and a tenth of the allowance of 60.
+    assert!((20..=46).contains(&retries), "{retries} retries");
 }
 
 #[test]
-fn a_leaving_back_end_gets_nothing() {
+fn a_draining_backend_gets_no_requests() {
     let mut dispatcher = dispatcher();
     let mut listed = instances();
     listed
@@ -184,13 +184,13 @@
 }
 
 #[test]
-fn phases_run_in_order_and_one_off_the_chain_starts_when_it_is_due() {
+fn phases_run_in_order_and_one_off_the_critical_path_starts_late() {
     let mut dispatcher = dispatcher();
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![1, 2, 1];
     request.piece_key = "k".into();
     let first = submitted(&dispatcher.handle_request(1, request, 0));
-    // Phase 2 holds much room and is as long as the last of the chain.
+    // Phase 2 has large results and is no longer than the last phase of the chain.
     assert_eq!(first.len(), 1);
     assert_eq!(first[0].1, 0);
     assert_eq!(first[0].2, PieceSource::Key("k".into()));
@@ -201,13 +201,13 @@
     assert_eq!(next[0].2, PieceSource::Results(vec![handle("p0")]));
     let two = vec![handle("p1"), handle("p2")];
     let actions = dispatcher.phase_done(next[0].0, Ok(two.clone()), 600);
-    // The first phase's result is used up.
+    // The result of the first phase is no longer needed.
     assert!(actions.contains(&Action::Release {
         service: "encode".into(),
         handles: vec![handle("p0")],
     }));
     let actions = dispatcher.phase_done(next[1].0, Ok(vec![handle("q")]), 700);
-    // The engine gets the results of the phases that no other follows.
+    // The engine gets the results of the phases without followers.
     let mut inputs = two;
     inputs.push(handle("q"));
     assert_eq!(sent(&actions).attributes.inputs, inputs);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_phase_left_out_is_not_waited_for() {
+fn a_phase_without_pieces_is_skipped() {
     let mut dispatcher = dispatcher();
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![0, 0, 0];
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn inputs_are_freed_once_read_and_not_twice() {
+fn inputs_are_freed_exactly_once_when_read() {
     let mut dispatcher = dispatcher();
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![1, 1, 0];
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_lost_result_lets_the_phases_run_once_more_and_no_more() {
+fn a_lost_result_restarts_the_phases_at_most_once() {
     let mut dispatcher = dispatcher();
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![1, 0, 0];
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn a_chain_that_cannot_keep_the_objective_is_refused_at_entry() {
+fn a_request_that_would_miss_its_objective_is_rejected_on_arrival() {
     let mut dispatcher = dispatcher_with(admitting(0.8));
     dispatcher.set_waits([waits_of_encode()], 0);
     let mut request = call_of("r", "/staged/x");
@@ -259,7 +259,7 @@
     let refusal = answered(&dispatcher.handle_request(1, request.clone(), 10));
     assert_eq!(refusal.code, ResultCode::PhaseOverloaded);
     assert!(refusal.retry_after_ms.is_some_and(|wait| wait >= 300));
-    // What was told lately is forgotten later.
+    // Old wait estimates expire.
     assert_eq!(
         submitted(&dispatcher.handle_request(2, request, 5_000)).len(),
         1
@@ -271,7 +271,7 @@
 #[case::a_small_share([1.0, 0.8, 1.0, 1.0], true, false)]
 #[case::a_large_share([0.1, 0.9, 0.1, 0.1], true, true)]
 #[case::without_admission([0.1; RANKS], false, true)]
-fn the_share_of_the_requests_rank_decides(
+fn admission_uses_the_share_of_the_requests_priority(
     #[case] admitted_shares: [f64; RANKS],
     #[case] chain_admission: bool,
     #[case] is_admitted: bool,
@@ -288,8 +288,8 @@
     assert_eq!(!submitted(&actions).is_empty(), is_admitted);
 }
 
-/// Admits a request at 10 ms, whose first phase takes until `made_at`, and tells whether
-/// the next one, a little later, is admitted by the same waits.
+/// Admits a request at 10 ms whose first phase ends at `made_at`, and returns whether a later
+/// one is admitted with the same wait estimates.
 fn is_admitted_after(made_at: u64, policy: Policy) -> bool {
     let mut dispatcher = dispatcher_with(policy);
     let mut request = call_of("r", "/staged/x");
@@ -305,7 +305,7 @@
 #[rstest]
 #[case::as_forecast(1_210, true)]
 #[case::longer_than_forecast(2_900, false)]
-fn phases_that_take_longer_than_forecast_make_their_service_admit_less(
+fn phases_that_exceed_their_forecast_tighten_admission(
     #[case] made_at: u64,
     #[case] is_admitted: bool,
 ) {
@@ -317,9 +317,9 @@
     assert!(is_admitted_after(made_at, uncorrected));
 }
 
-/// Where all are refused nothing would correct the error.
+/// Without this, a service that rejects all requests would never be corrected.
 #[test]
-fn what_is_known_of_a_forecasts_error_is_forgotten() {
+fn forecast_errors_decay() {
     let mut dispatcher = dispatcher_with(admitting(0.95));
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![1, 1, 0];
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn a_request_that_was_not_sent_in_time_is_refused_and_its_work_dropped() {
+fn a_request_that_expires_before_its_send_is_rejected_and_its_orders_cancelled() {
     let mut dispatcher = dispatcher();
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![1, 1, 0];
@@ -345,7 +345,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_frees_its_engine_and_its_work() {
+fn a_disconnected_caller_frees_its_engine_and_its_orders() {
     let mut dispatcher = dispatcher();
     let plan = sent(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 0)).clone();
     assert_eq!(
@@ -363,12 +363,12 @@
             .map(|one| one.in_flight),
         Some(0)
     );
-    // What the task tells later changes nothing.
+    // A later outcome of the send is ignored.
     assert!(dispatcher.send_ended(1, BROKEN, None, 6).is_empty());
 }
 
 #[test]
-fn an_engine_that_breaks_off_is_passed_over_for_a_while() {
+fn an_engine_that_loses_a_connection_is_ejected_for_a_while() {
     let mut dispatcher = dispatcher();
     let broken = sent(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 0))
         .instance
@@ -395,20 +395,22 @@
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![1, 2, 0];
     let actions = dispatcher.handle_request(1, request.clone(), 0);
-    let told = announced(&actions);
-    assert_eq!(told.len(), 1, "{actions:?}");
+    let announced_works = announced(&actions);
+    assert_eq!(announced_works.len(), 1, "{actions:?}");
     let first = submitted(&actions)[0].0;
     let second = submitted(&dispatcher.phase_done(first, Ok(vec![handle("p0")]), 300));
-    assert_eq!(second[0].0, told[0]);
-    // A caller that leaves takes back what was announced for it.
-    let told = announced(&dispatcher.handle_request(2, request, 400));
+    assert_eq!(second[0].0, announced_works[0]);
+    // Announced orders of a disconnected caller are cancelled.
+    let announced_works = announced(&dispatcher.handle_request(2, request, 400));
     let actions = dispatcher.caller_disconnected(2, 410);
-    let taken_back = Action::Cancel { work: told[0] };
-    assert!(actions.contains(&taken_back), "{actions:?}");
+    let cancellation = Action::Cancel {
+        work: announced_works[0],
+    };
+    assert!(actions.contains(&cancellation), "{actions:?}");
 }
 
 #[test]
-fn a_request_that_is_refused_announces_nothing() {
+fn a_rejected_request_announces_nothing() {
     let mut dispatcher = dispatcher();
     let waits = ShardWaits {
         shard: Shard::whole("encode"),
@@ -424,7 +426,7 @@
 }
 
 #[test]
-fn answers_that_begin_late_make_their_route_admit_less() {
+fn slow_first_parts_of_answers_tighten_admission_of_their_route() {
     let mut dispatcher = dispatcher_with(admitting(0.8));
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![0, 0, 0];
@@ -438,8 +440,8 @@
         };
         dispatcher.send_ended(number, whole, None, now + 950);
     }
-    // Two calls of 400 ms fit into 80 in 100 of 2 s before an answer that begins after
-    // 150 ms, and not before one that begins after 900.
+    // Two calls of 400 ms fit into 80 % of 2 s before an answer that starts after 150 ms, but
+    // not before one that starts after 900 ms.
     let waits = ShardWaits {
         shard: Shard::whole("encode"),
         age_ms: 0,
--- a/crates/serving/tests/owner_cost.rs
+++ b/crates/serving/tests/owner_cost.rs
@@ -1,5 +1,5 @@
-//! What the owner of a shard looks at for each message: a service has thousands of makers, the
-//! shard hundreds, and most messages leave nothing to be given to them.
+//! Number of back-end lookups of a shard owner per message. Services have thousands of back
+//! ends, shards hundreds, and most messages schedule nothing.
 
 mod common;
 
@@ -10,22 +10,22 @@
 use silversail_peer::PhaseWork;
 use silversail_serving::instances::InstanceTable;
 
-/// Looks at makers for an order from its coming to its end, for each maker of the shard: when it
-/// comes, when a maker is chosen, and when waits are told.
-const LOOKS_FOR_EACH_MAKER: u64 = 8;
-/// Looks at the maker that is chosen.
-const LOOKS_AT_THE_CHOSEN: u64 = 10;
+/// Maximum lookups per back end of the shard from the submission of an order to its end,
+/// including selection and wait estimates.
+const LOOKUPS_PER_BACKEND: u64 = 8;
+/// Additional lookups of the selected back end.
+const LOOKUPS_OF_SELECTED_BACKEND: u64 = 10;
 
-fn makers(zones: usize, in_zone: usize) -> InstanceTable {
+fn backends(zones: usize, in_zone: usize) -> InstanceTable {
     let named = (0..zones).flat_map(|zone| {
         (0..in_zone).map(move |one| (format!("m{zone}-{one}"), format!("z{zone}")))
     });
     let named: Vec<(String, String)> = named.collect();
-    let makers: Vec<(&str, &str)> = named
+    let backends: Vec<(&str, &str)> = named
         .iter()
         .map(|(id, zone)| (id.as_str(), zone.as_str()))
         .collect();
-    table(&makers)
+    table(&backends)
 }
 
 fn of_shard(shard: &Shard, request: u64) -> PhaseWork {
@@ -36,11 +36,11 @@
 }
 
 #[rstest]
-fn an_order_costs_what_its_shard_has_and_not_what_the_service_has(
+fn an_order_looks_up_backends_of_its_shard_only(
     #[values(1, 6, 30)] zones: usize,
     #[values(12, 192)] in_zone: usize,
 ) {
-    let table = makers(zones, in_zone);
+    let table = backends(zones, in_zone);
     let mut batcher = batcher();
     let shard = Shard::in_zone("encode", "z0");
     let before = table.lookup_count();
@@ -52,14 +52,14 @@
     assert_eq!(calls.len(), 1);
     let finished = batcher.call_ended(calls[0].call, made(&calls[0]), 300);
     assert_eq!(finished.len(), 1);
-    let looks = table.lookup_count() - before;
-    let most = LOOKS_FOR_EACH_MAKER * in_zone as u64 + LOOKS_AT_THE_CHOSEN;
-    assert!(looks <= most, "{looks}");
+    let lookups = table.lookup_count() - before;
+    let most = LOOKUPS_PER_BACKEND * in_zone as u64 + LOOKUPS_OF_SELECTED_BACKEND;
+    assert!(lookups <= most, "{lookups}");
 }
 
 #[test]
-fn a_message_that_leaves_nothing_waiting_looks_at_no_maker() {
-    let table = makers(6, 192);
+fn a_message_that_leaves_nothing_waiting_looks_up_no_backend() {
+    let table = backends(6, 192);
     let mut batcher = batcher();
     let shard = Shard::in_zone("encode", "z0");
     for request in 0..50 {
--- a/crates/serving/tests/request_regions.rs
+++ b/crates/serving/tests/request_regions.rs
@@ -1,4 +1,4 @@
-//! How the phases of a request and its engine follow each other over regions.
+//! Placement of the phases of a request and its engine over regions.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use silversail_serving::ports::{Pace, ReportedLoad};
 use silversail_serving::routes::RouteTable;
 
-/// A node in zone `a` in the north; engines `e2` and `e3` lie in `b` in the south.
+/// A node in zone `a` in the north; engines `e2` and `e3` are in `b` in the south.
 fn dispatcher() -> Dispatcher {
     let topology = in_regions("a", &[("a", "north"), ("b", "south")]);
     let mut dispatcher =
@@ -22,8 +22,8 @@
     dispatcher
 }
 
-/// A request whose only phase makes two results of 500 KB for the engine.
-fn arrive(dispatcher: &mut Dispatcher) -> (WorkId, PhaseWork) {
+/// Starts a request whose only phase has two results of 500 KB for the engine.
+fn start_request(dispatcher: &mut Dispatcher) -> (WorkId, PhaseWork) {
     let mut request = call_of("r1", "/staged/x");
     request.pieces = vec![0, 0, 2];
     let actions = dispatcher.handle_request(1, request, 0);
@@ -42,28 +42,31 @@
     plan.expect("sent")
 }
 
-/// Large results stay in the region where they were made.
+/// Large results are not transferred to another region.
 #[rstest]
 #[case::near("s1", &["e1"], Distance::SameZone)]
 #[case::far("s2", &["e2", "e3"], Distance::OtherRegion)]
-fn the_engine_lies_in_the_region_of_its_inputs(
-    #[case] maker: &str,
+fn the_engine_is_in_the_region_of_its_inputs(
+    #[case] backend: &str,
     #[case] engines: &[&str],
     #[case] distance: Distance,
 ) {
     let mut dispatcher = dispatcher();
-    let (work, _) = arrive(&mut dispatcher);
-    let made = (0..2).map(|index| ResultHandle(format!("{maker}:80/{index}")));
+    let (work, _) = start_request(&mut dispatcher);
+    let made = (0..2).map(|index| ResultHandle(format!("{backend}:80/{index}")));
     let plan = plan(dispatcher.phase_done(work, Ok(made.collect()), 300));
     assert!(engines.contains(&plan.instance.as_str()), "{plan:?}");
     assert_eq!(plan.distance, distance);
 }
 
-/// Much to move is made where the engine will be, also in another region.
+/// A phase with large results runs near the expected engine, even in another region.
 #[rstest]
 #[case::calm(0, "a")]
 #[case::engines_here_are_busy(64, "b")]
-fn large_results_are_made_where_the_engine_will_be(#[case] running: u32, #[case] zone: &str) {
+fn large_results_are_made_in_the_region_of_the_expected_engine(
+    #[case] running: u32,
+    #[case] zone: &str,
+) {
     let mut dispatcher = dispatcher();
     let load = ReportedLoad {
         running,
@@ -72,6 +75,6 @@
         pace: Pace::USUAL,
     };
     dispatcher.instances.record_load("e1", load, 0);
-    let (_, phase) = arrive(&mut dispatcher);
+    let (_, phase) = start_request(&mut dispatcher);
     assert_eq!((phase.zone.as_str(), phase.moved_bytes), (zone, 1_000_000));
 }
