--- a/crates/serving/src/batcher.rs
+++ b/crates/serving/src/batcher.rs
@@ -121,7 +121,7 @@
     pub rollouts: RolloutBook,
     policy: Policy,
     topology: Arc<Topology>,
-    housekeeping_at: Millis,
+    next_housekeeping_at: Millis,
     next_call: CallId,
     log: DecisionLog,
 }
@@ -141,7 +141,7 @@
             rollouts: RolloutBook::default(),
             policy,
             topology: Arc::default(),
-            housekeeping_at: 0,
+            next_housekeeping_at: 0,
             next_call: 1,
             log,
         }
@@ -397,7 +397,10 @@
 }
 
 fn distinct_requests(pieces: &[(Piece, u64)]) -> Vec<String> {
-    let mut requests: Vec<String> = pieces.iter().map(|(one, _)| one.request.clone()).collect();
+    let mut requests: Vec<String> = pieces
+        .iter()
+        .map(|(piece, _)| piece.request.clone())
+        .collect();
     requests.dedup();
     requests
 }
--- a/crates/serving/src/batcher/backend_health.rs
+++ b/crates/serving/src/batcher/backend_health.rs
@@ -169,9 +169,11 @@
 
     /// Milliseconds until the first back end of a shard may get calls again; 0 if one may now.
     pub(super) fn refusing_ms(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> u32 {
-        let staying = table.of_shard(shard).filter(|one| one.accepts_new_work());
-        let until = staying.map(|one| {
-            let backend = self.backends.get(&one.listed.id);
+        let staying = table
+            .of_shard(shard)
+            .filter(|instance| instance.accepts_new_work());
+        let until = staying.map(|instance| {
+            let backend = self.backends.get(&instance.listed.id);
             backend.map_or(0, |backend| backend.refused_until.saturating_sub(now))
         });
         until.min().unwrap_or_default() as u32
@@ -181,7 +183,10 @@
     /// permit for it; 0 if one is available.
     pub(super) fn rest_ms(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> Millis {
         let mut first_back = None;
-        for backend in table.of_shard(shard).filter(|one| one.accepts_new_work()) {
+        for backend in table
+            .of_shard(shard)
+            .filter(|instance| instance.accepts_new_work())
+        {
             match backend.wait_ms(now) {
                 0 => return 0,
                 left => first_back = Some(first_back.map_or(left, |known: Millis| known.min(left))),
@@ -217,13 +222,13 @@
     ) -> Vec<&'a str> {
         let admitted = || {
             let of_shard = table.of_shard(shard);
-            of_shard.filter(|one| versions.admits(one.role()))
+            of_shard.filter(|instance| versions.admits(instance.role()))
         };
-        let usable = admitted().filter(|one| one.is_usable(now));
-        let mut all: Vec<&str> = usable.map(|one| one.listed.id.as_str()).collect();
+        let usable = admitted().filter(|instance| instance.is_usable(now));
+        let mut all: Vec<&str> = usable.map(|instance| instance.listed.id.as_str()).collect();
         if all.is_empty() {
-            let at_last = admitted().filter(|one| one.is_usable_as_last_resort(now));
-            all.extend(at_last.map(|one| one.listed.id.as_str()));
+            let at_last = admitted().filter(|instance| instance.is_usable_as_last_resort(now));
+            all.extend(at_last.map(|instance| instance.listed.id.as_str()));
         }
         let quick = all.iter().copied().filter(|id| !self.is_slow(id, now));
         let quick: Vec<&str> = quick.collect();
@@ -245,8 +250,8 @@
         now: Millis,
     ) -> impl Iterator<Item = &'a str> {
         let lacking = table.of_shard(shard);
-        let lacking = lacking.filter(move |one| one.needs_only_permit(now));
-        lacking.map(|one| one.listed.id.as_str())
+        let lacking = lacking.filter(move |instance| instance.needs_only_permit(now));
+        lacking.map(|instance| instance.listed.id.as_str())
     }
 
     /// Calls per millisecond that the rate-limited back ends of a shard accept, if a call takes
@@ -261,7 +266,9 @@
         if !table.notices().has_limits() {
             return 0.0;
         }
-        let limited = table.of_shard(shard).filter(|one| one.accepts_new_work());
+        let limited = table
+            .of_shard(shard)
+            .filter(|instance| instance.accepts_new_work());
         let rates = limited.filter_map(Instance::limit);
         let per_ms = rates.map(|rate| rate.requests_per_second() / 1_000.0);
         per_ms.map(|rate| rate.min(1.0 / call)).sum()
@@ -275,12 +282,12 @@
         table: &InstanceTable,
         now: Millis,
     ) -> usize {
-        let usable = table.of_shard(shard).filter(|one| {
-            let id = &one.listed.id;
-            versions.admits(one.role())
-                && one.accepts_new_work()
-                && !one.is_resting(now)
-                && !one.is_limited()
+        let usable = table.of_shard(shard).filter(|instance| {
+            let id = &instance.listed.id;
+            versions.admits(instance.role())
+                && instance.accepts_new_work()
+                && !instance.is_resting(now)
+                && !instance.is_limited()
                 && !self.has_failed(id)
                 && !self.is_slow(id, now)
         });
--- a/crates/serving/src/batcher/estimate.rs
+++ b/crates/serving/src/batcher/estimate.rs
@@ -112,7 +112,7 @@
         let versions = self.main_versions(&shard.service);
         let working_count = self.backends.working_count(shard, versions, table, now);
         let backends = working_count.max(1);
-        let busy = self.calls.values().filter(|one| one.shard == *shard);
+        let busy = self.calls.values().filter(|call| call.shard == *shard);
         let until_free = match busy.count() >= backends {
             true => call_ms(spec, spec.pieces) / (backends + 1) as f64,
             false => 0.0,
--- a/crates/serving/src/batcher/schedule.rs
+++ b/crates/serving/src/batcher/schedule.rs
@@ -18,8 +18,8 @@
 impl Batcher {
     /// Schedules calls for the waiting orders; the caller sends them.
     pub fn next_calls(&mut self, table: &InstanceTable, now: Millis) -> Vec<BatchCall> {
-        if now >= self.housekeeping_at {
-            self.housekeeping_at = now + HOUSEKEEPING_EVERY;
+        if now >= self.next_housekeeping_at {
+            self.next_housekeeping_at = now + HOUSEKEEPING_EVERY;
             self.result_memory.expire(now);
             self.backends.forget_healthy(table, now);
         }
@@ -200,5 +200,5 @@
 fn zone_of<'a>(backend: &str, table: &'a InstanceTable) -> &'a str {
     table
         .get(backend)
-        .map_or("", |one| one.listed.zone.as_str())
+        .map_or("", |instance| instance.listed.zone.as_str())
 }
--- a/crates/serving/src/batcher/versions.rs
+++ b/crates/serving/src/batcher/versions.rs
@@ -93,8 +93,9 @@
     /// Whether the baseline may have been stopped: the rollout may have completed without this
     /// node having heard of it.
     fn may_be_stopped(&self, shard: &Shard, table: &InstanceTable) -> bool {
-        let is_ready =
-            |one: &Instance| one.role() == VersionRole::Baseline && one.accepts_new_work();
+        let is_ready = |instance: &Instance| {
+            instance.role() == VersionRole::Baseline && instance.accepts_new_work()
+        };
         !self.rollouts.is_permitted() && !table.of_shard(shard).any(is_ready)
     }
 
@@ -116,10 +117,10 @@
     ) -> bool {
         let has_moved = self.rollouts.has_moved(&shard.service, BATCH_ROUTE);
         let takes_candidate = has_moved || self.may_be_stopped(shard, table);
-        let may_get_calls = |one: &Instance| {
-            one.accepts_new_work()
-                && (takes_candidate || one.role() != VersionRole::Candidate)
-                && self.allows(regions, &one.listed.zone)
+        let may_get_calls = |instance: &Instance| {
+            instance.accepts_new_work()
+                && (takes_candidate || instance.role() != VersionRole::Candidate)
+                && self.allows(regions, &instance.listed.zone)
         };
         table.of_shard(shard).any(may_get_calls)
     }
@@ -140,8 +141,8 @@
     pub fn in_flight_at_baseline(&self, service: &str, table: &InstanceTable) -> u64 {
         let is_baseline = |backend: &str| {
             let backend = table.get(backend);
-            backend.is_some_and(|one| {
-                one.role() == VersionRole::Baseline && one.listed.service == service
+            backend.is_some_and(|instance| {
+                instance.role() == VersionRole::Baseline && instance.listed.service == service
             })
         };
         let calls = self.calls.values();
--- a/crates/serving/src/dispatcher.rs
+++ b/crates/serving/src/dispatcher.rs
@@ -131,8 +131,8 @@
 
     /// Records wait estimates of shards of batched services.
     pub fn set_waits(&mut self, waits: impl IntoIterator<Item = ShardWaits>, now: Millis) {
-        for one in waits {
-            self.admission.waits.take(one, now);
+        for estimate in waits {
+            self.admission.waits.take(estimate, now);
         }
     }
 
--- a/crates/serving/src/dispatcher/limits.rs
+++ b/crates/serving/src/dispatcher/limits.rs
@@ -19,7 +19,7 @@
         let engines = self
             .requests
             .values()
-            .filter_map(|one| one.waits_for.as_ref());
+            .filter_map(|request| request.waits_for.as_ref());
         for engine in engines {
             *wanted.entry(engine.clone()).or_default() += 1;
         }
@@ -38,11 +38,12 @@
             return;
         }
         let utilization = chosen.utilization(now);
-        let is_less_busy =
-            |one: &&Instance| one.needs_only_permit(now) && one.utilization(now) <= utilization;
+        let is_less_busy = |engine: &&Instance| {
+            engine.needs_only_permit(now) && engine.utilization(now) <= utilization
+        };
         let hash = send_hash(&request.call.id, request.sends);
         let less_busy = self.engines_of(request).filter(is_less_busy);
-        let preferred = less_busy.max_by_key(|one| rank(hash, &one.listed.id));
+        let preferred = less_busy.max_by_key(|engine| rank(hash, &engine.listed.id));
         if let Some(preferred) = preferred {
             preferred.prefer(now);
         }
@@ -52,9 +53,9 @@
     /// get the first permits.
     pub fn refuse_without_permit(&mut self, engine: &str, now: Millis) -> Vec<Action> {
         let waiting = self.requests.iter();
-        let waiting = waiting.filter(|(_, one)| one.waits_for.as_deref() == Some(engine));
+        let waiting = waiting.filter(|(_, request)| request.waits_for.as_deref() == Some(engine));
         let mut waiting: Vec<(u8, Millis, RequestNumber)> = waiting
-            .map(|(number, one)| (one.routed.priority, one.end, *number))
+            .map(|(number, request)| (request.routed.priority, request.end, *number))
             .collect();
         waiting.sort_unstable();
         let Some(instance) = self.instances.get(engine) else {
--- a/crates/serving/src/dispatcher/phases.rs
+++ b/crates/serving/src/dispatcher/phases.rs
@@ -183,7 +183,9 @@
     /// Phases of this request that use the results of `phase`.
     fn followers(&self, phase: usize) -> impl Iterator<Item = &Phase> {
         let phases = self.phases.iter();
-        phases.filter(move |one| one.after.contains(&phase) && one.state != PhaseState::Skipped)
+        phases.filter(move |follower| {
+            follower.after.contains(&phase) && follower.state != PhaseState::Skipped
+        })
     }
 
     /// Length of the longest chain of phases after `phase`.
@@ -225,7 +227,7 @@
 
     /// Takes the results that all following phases have used.
     pub(super) fn take_used_up(&mut self) -> Vec<(usize, Vec<ResultHandle>)> {
-        let is_made = |one: &Phase| matches!(one.state, PhaseState::Made(_));
+        let is_made = |phase: &Phase| matches!(phase.state, PhaseState::Made(_));
         let used_up: Vec<usize> = (0..self.phases.len())
             .filter(|phase| self.followers(*phase).count() > 0)
             .filter(|phase| self.followers(*phase).all(is_made))
@@ -235,18 +237,18 @@
 
     /// Takes the results that no phase but `phase` still needs.
     pub(super) fn take_inputs(&mut self, phase: usize) -> Vec<(usize, Vec<ResultHandle>)> {
-        let is_over = |one: &Phase| matches!(one.state, PhaseState::Made(_));
+        let is_over = |phase: &Phase| matches!(phase.state, PhaseState::Made(_));
         let inputs: Vec<usize> = self.phases[phase]
             .after
             .iter()
             .copied()
             .filter(|before| {
-                let mut others = self.phases.iter().enumerate().filter(|(number, one)| {
+                let mut others = self.phases.iter().enumerate().filter(|(number, follower)| {
                     *number != phase
-                        && one.after.contains(before)
-                        && one.state != PhaseState::Skipped
+                        && follower.after.contains(before)
+                        && follower.state != PhaseState::Skipped
                 });
-                others.all(|(_, one)| is_over(one))
+                others.all(|(_, follower)| is_over(follower))
             })
             .collect();
         self.take(inputs)
--- a/crates/serving/src/dispatcher/regions.rs
+++ b/crates/serving/src/dispatcher/regions.rs
@@ -34,7 +34,9 @@
     fn has_allowed_backends(&self, request: &ActiveRequest) -> bool {
         let has_any = |service: &String| {
             let mut all = self.instances.of_service(service);
-            all.any(|one| one.accepts_new_work() && request.allows(one, &self.topology))
+            all.any(|instance| {
+                instance.accepts_new_work() && request.allows(instance, &self.topology)
+            })
         };
         request.needed_services().all(has_any)
     }
--- a/crates/serving/src/dispatcher/request.rs
+++ b/crates/serving/src/dispatcher/request.rs
@@ -205,7 +205,7 @@
                 .flat_map(|(_, handles)| handles.iter())
                 .find_map(|handle| instances.holder(handle));
             return PreferredZone {
-                zone: holder.map_or_else(String::new, |one| one.listed.zone.clone()),
+                zone: holder.map_or_else(String::new, |instance| instance.listed.zone.clone()),
                 moved_bytes: fetched,
             };
         }
@@ -312,7 +312,7 @@
     pub(super) fn inputs_of_engine(&self, instances: &InstanceTable) -> Vec<InputsAt> {
         let last = self.phases.last_results_by_phase();
         let of_phase = |(phase, handles): (usize, &Vec<ResultHandle>)| {
-            let holder = handles.iter().find_map(|one| instances.holder(one))?;
+            let holder = handles.iter().find_map(|handle| instances.holder(handle))?;
             let bytes = self.routed.route.phases[phase].result_bytes * handles.len() as u64;
             Some(InputsAt {
                 zone: holder.listed.zone.clone(),
--- a/crates/serving/src/dispatcher/rests.rs
+++ b/crates/serving/src/dispatcher/rests.rs
@@ -31,7 +31,7 @@
         let Some(request) = self.requests.get(&number) else {
             return Vec::new();
         };
-        let not_ejected = |one: &Instance| !one.is_ejected(now);
+        let not_ejected = |engine: &Instance| !engine.is_ejected(now);
         let Some(first) = self.first_available(request, not_ejected, now) else {
             let code = request.no_backend_code();
             return self.give_up(number, code, now);
@@ -80,7 +80,7 @@
         let back_in = available_at.saturating_sub(now);
         let retry_after = (back_in <= MAX_RETRY_AFTER).then_some(back_in);
         let request = self.requests.get(&number);
-        let rests = |one: &Instance| one.is_resting(now) || one.is_probe_pending(now);
+        let rests = |engine: &Instance| engine.is_resting(now) || engine.is_probe_pending(now);
         let code = match request.is_some_and(|request| self.engines_of(request).any(rests)) {
             true => ResultCode::BackendsResting,
             false => ResultCode::BackendsLimited,
@@ -110,7 +110,7 @@
         request: &'a ActiveRequest,
     ) -> impl Iterator<Item = &'a Instance> {
         let engines = self.instances.of_service(&request.routed.service);
-        engines.filter(|one| one.accepts_new_work() && request.allows(one, &self.topology))
+        engines.filter(|engine| engine.accepts_new_work() && request.allows(engine, &self.topology))
     }
 
     /// When the first matching engine becomes available; none if one is available now, or none
@@ -136,7 +136,10 @@
         let hash = send_hash(&request.call.id, request.sends);
         let mut first: Option<FirstAvailable<'a>> = None;
         let mut waits_help = false;
-        for engine in self.engines_of(request).filter(|one| is_considered(one)) {
+        for engine in self
+            .engines_of(request)
+            .filter(|engine| is_considered(engine))
+        {
             let at = engine.available_at(now)?;
             let is_waiting = engine.is_resting(now) || engine.is_probe_pending(now);
             waits_help |= is_waiting || engine.is_limited();
@@ -154,9 +157,9 @@
             return true;
         }
         let unavailable = self.engines_of(request);
-        let unavailable = unavailable.filter(|one| one.available_at(now).is_some());
+        let unavailable = unavailable.filter(|engine| engine.available_at(now).is_some());
         let places: usize = unavailable
-            .map(|one| one.listed.slots.max(1) as usize)
+            .map(|engine| engine.listed.slots.max(1) as usize)
             .sum();
         let others = self.requests.values().filter(|other| {
             other.waits_until.is_some() && other.routed.service == request.routed.service
@@ -166,13 +169,13 @@
 
     /// Sends waiting requests for which an engine is available, the most urgent first.
     pub fn send_waiting(&mut self, now: Millis) -> Vec<Action> {
-        let is_due = |one: &ActiveRequest| {
-            let until = one.waits_until;
-            until.is_some_and(|until| until <= now || self.engine_for(one, now).is_some())
+        let is_due = |request: &ActiveRequest| {
+            let until = request.waits_until;
+            until.is_some_and(|until| until <= now || self.engine_for(request, now).is_some())
         };
-        let due = self.requests.iter().filter(|(_, one)| is_due(one));
+        let due = self.requests.iter().filter(|(_, request)| is_due(request));
         let mut due: Vec<(u8, Millis, RequestNumber)> = due
-            .map(|(number, one)| (one.routed.priority, one.end, *number))
+            .map(|(number, request)| (request.routed.priority, request.end, *number))
             .collect();
         due.sort_unstable();
         let numbers = due.into_iter().map(|(_, _, number)| number);
--- a/crates/serving/src/dispatcher/sending.rs
+++ b/crates/serving/src/dispatcher/sending.rs
@@ -115,10 +115,10 @@
         if self.rollouts.is_permitted() {
             return false;
         }
-        let is_ready = |one: &Instance| {
-            let is_baseline = one.role() == VersionRole::Baseline;
-            let is_allowed = request.allows(one, &self.topology);
-            is_baseline && is_allowed && one.accepts_new_work() && !one.is_suspect(now)
+        let is_ready = |engine: &Instance| {
+            let is_baseline = engine.role() == VersionRole::Baseline;
+            let is_allowed = request.allows(engine, &self.topology);
+            is_baseline && is_allowed && engine.accepts_new_work() && !engine.is_suspect(now)
         };
         let mut engines = self.instances.of_service(&request.routed.service);
         request.unreached >= UNREACHED_UNTIL_STOPPED || !engines.any(is_ready)
@@ -126,14 +126,15 @@
 
     /// Whether there is an engine that the request has not tried, including ejected ones.
     pub(super) fn has_untried(&self, request: &ActiveRequest) -> bool {
-        let is_admitted =
-            |one: &Instance| !request.failed_at_candidate || one.role() != VersionRole::Candidate;
+        let is_admitted = |engine: &Instance| {
+            !request.failed_at_candidate || engine.role() != VersionRole::Candidate
+        };
         let mut engines = self.instances.of_service(&request.routed.service);
-        engines.any(|one| {
-            one.accepts_new_work()
-                && is_admitted(one)
-                && request.allows(one, &self.topology)
-                && !request.tried.contains(&one.listed.id)
+        engines.any(|engine| {
+            engine.accepts_new_work()
+                && is_admitted(engine)
+                && request.allows(engine, &self.topology)
+                && !request.tried.contains(&engine.listed.id)
         })
     }
 
--- a/crates/serving/src/instances.rs
+++ b/crates/serving/src/instances.rs
@@ -49,17 +49,17 @@
     applied: ListedInstances,
     /// Listed processes of back ends that have restarted since: the earlier process, and the
     /// later one.
-    hidden: BTreeMap<InstanceId, InstanceId>,
+    superseded: BTreeMap<InstanceId, InstanceId>,
     /// Back ends added or changed since new versions were last held back.
     changed: Vec<SlotIndex>,
     /// Back ends removed since their notices were last marked as unlisted.
-    gone: Vec<InstanceId>,
+    removed: Vec<InstanceId>,
     evacuated: BTreeSet<String>,
     roles: VersionRoles,
     known_versions: KnownVersions,
     cold_senders: ColdSenders,
     notices: BackendNotices,
-    returns: ResumePolicy,
+    resume_policy: ResumePolicy,
     own_node: String,
     log: DecisionLog,
 }
@@ -75,13 +75,13 @@
     pub fn with_notices(notices: BackendNotices, log: DecisionLog) -> Self {
         Self {
             notices,
-            returns: ResumePolicy::default(),
+            resume_policy: ResumePolicy::default(),
             own_node: String::new(),
             instances: InstanceStore::default(),
             applied: ListedInstances::default(),
-            hidden: BTreeMap::new(),
+            superseded: BTreeMap::new(),
             changed: Vec::new(),
-            gone: Vec::new(),
+            removed: Vec::new(),
             evacuated: BTreeSet::new(),
             roles: VersionRoles::default(),
             known_versions: KnownVersions::default(),
@@ -97,7 +97,7 @@
 
     /// Removes the self-reports of back ends that have been unlisted for long.
     pub fn forget_removed(&mut self, now: Millis) {
-        for id in self.gone.drain(..) {
+        for id in self.removed.drain(..) {
             self.notices.unlisted(&id, now);
         }
         self.notices.forget_unlisted(now);
@@ -130,15 +130,15 @@
     }
 
     /// Sets how this node resumes sending to back ends after rests.
-    pub fn set_resume_policy(&mut self, returns: ResumePolicy) {
-        self.returns = returns;
+    pub fn set_resume_policy(&mut self, resume_policy: ResumePolicy) {
+        self.resume_policy = resume_policy;
         self.plan_resumption();
     }
 
     fn plan_resumption(&mut self) {
         for instance in self.instances.iter_mut() {
             let id = &instance.listed.id;
-            instance.resume_plan = self.returns.plan_for(&self.own_node, id);
+            instance.resume_plan = self.resume_policy.plan_for(&self.own_node, id);
         }
     }
 
--- a/crates/serving/src/instances/instance.rs
+++ b/crates/serving/src/instances/instance.rs
@@ -161,10 +161,10 @@
 
     /// Until when other requests wait for the answer to the probe; 0 if no probe is pending.
     fn probe_pending_until(&self, now: Millis) -> Millis {
-        let first_at = self.probe_sent_at;
-        let awaits = self.resume_plan.first_alone && self.notice.is_unproven(now);
-        let awaited = first_at.filter(|_| awaits);
-        awaited.map_or(0, |at| at + PROBE_TIMEOUT)
+        let sent_at = self.probe_sent_at;
+        let probes = self.resume_plan.first_alone && self.notice.is_unproven(now);
+        let pending_since = sent_at.filter(|_| probes);
+        pending_since.map_or(0, |at| at + PROBE_TIMEOUT)
     }
 
     /// The role of its version in a rollout.
@@ -231,8 +231,8 @@
     /// By how much work takes longer there than normal, relative to the normal duration; 0
     /// without a recent report.
     pub fn slowness(&self, now: Millis) -> f64 {
-        let told = self.report(now).filter(|(_, age)| *age <= PACE_LIFETIME);
-        told.map_or(0.0, |(load, _)| load.pace.beyond_usual())
+        let recent = self.report(now).filter(|(_, age)| *age <= PACE_LIFETIME);
+        recent.map_or(0.0, |(load, _)| load.pace.beyond_usual())
     }
 
     /// Estimated number of requests running and waiting there: the reported number plus requests
--- a/crates/serving/src/instances/listing.rs
+++ b/crates/serving/src/instances/listing.rs
@@ -40,10 +40,10 @@
     fn apply_entry(&mut self, entry: &Arc<ListedInstance>, changes: &mut ListChanges) {
         if let Some(later) = self.later_start(entry) {
             // The list is stale: the back end has restarted since.
-            self.hidden.insert(entry.id.clone(), later);
+            self.superseded.insert(entry.id.clone(), later);
             return;
         }
-        self.hidden.remove(&entry.id);
+        self.superseded.remove(&entry.id);
         match self.instances.remove(&entry.id) {
             Some(known) => self.update(known, entry, changes),
             None => self.add(entry, changes),
@@ -70,9 +70,9 @@
     fn add(&mut self, entry: &Arc<ListedInstance>, changes: &mut ListChanges) {
         changes.note(entry, ListedState::of(entry));
         self.hide_earlier_start(entry, changes);
-        self.gone.retain(|id| *id != entry.id);
+        self.removed.retain(|id| *id != entry.id);
         let notice = self.notices.listed(&entry.id);
-        let plan = self.returns.plan_for(&self.own_node, &entry.id);
+        let plan = self.resume_policy.plan_for(&self.own_node, &entry.id);
         self.put(Instance::new(entry.clone(), notice, plan));
     }
 
@@ -100,20 +100,20 @@
             return;
         }
         let earlier = self.instances.process_with_name(&entry.name);
-        let Some(earlier) = earlier.map(|one| one.listed.clone()) else {
+        let Some(earlier) = earlier.map(|instance| instance.listed.clone()) else {
             return;
         };
         self.remove_instance(&earlier, changes);
-        for later in self.hidden.values_mut().filter(|id| **id == earlier.id) {
+        for later in self.superseded.values_mut().filter(|id| **id == earlier.id) {
             *later = entry.id.clone();
         }
         if self.applied.get(&earlier.id).is_some() {
-            self.hidden.insert(earlier.id.clone(), entry.id.clone());
+            self.superseded.insert(earlier.id.clone(), entry.id.clone());
         }
     }
 
     fn remove_entry(&mut self, id: &str, changes: &mut ListChanges) {
-        let Some(later) = self.hidden.remove(id) else {
+        let Some(later) = self.superseded.remove(id) else {
             self.remove_if_unlisted(id, changes);
             return;
         };
@@ -125,8 +125,11 @@
     /// Removes a back end that the list does not name, unless the list names an earlier process
     /// of it.
     fn remove_if_unlisted(&mut self, id: &str, changes: &mut ListChanges) {
-        let hides_listed_entry = self.hidden.values().any(|later| later == id);
-        let listed = self.instances.get(id).map(|one| one.listed.clone());
+        let hides_listed_entry = self.superseded.values().any(|later| later == id);
+        let listed = self
+            .instances
+            .get(id)
+            .map(|instance| instance.listed.clone());
         if let Some(listed) = listed.filter(|_| !hides_listed_entry) {
             self.remove_instance(&listed, changes);
         }
@@ -134,7 +137,7 @@
 
     fn remove_instance(&mut self, listed: &ListedInstance, changes: &mut ListChanges) {
         self.instances.remove(&listed.id);
-        self.gone.push(listed.id.clone());
+        self.removed.push(listed.id.clone());
         changes.note(listed, ListedState::Gone);
     }
 }
--- a/crates/serving/src/instances/lookup.rs
+++ b/crates/serving/src/instances/lookup.rs
@@ -135,7 +135,7 @@
             self.current_group = members.filter_map(|slot| store.at(*slot)).collect();
             let key = self.key;
             self.current_group
-                .sort_by_cached_key(|one| rank(key, &one.listed.id));
+                .sort_by_cached_key(|instance| rank(key, &instance.listed.id));
         }
         self.current_group.pop()
     }
--- a/crates/serving/src/instances/store.rs
+++ b/crates/serving/src/instances/store.rs
@@ -90,7 +90,10 @@
     /// The slot of a back end.
     pub(super) fn slot_of(&self, id: &str) -> Option<SlotIndex> {
         let mut found = self.by_id.find(id);
-        found.find(|slot| self.at(*slot).is_some_and(|one| one.listed.id == id))
+        found.find(|slot| {
+            self.at(*slot)
+                .is_some_and(|instance| instance.listed.id == id)
+        })
     }
 
     /// The back end with an identity.
@@ -108,7 +111,7 @@
     pub(super) fn at_address(&self, address: &str) -> Option<&Instance> {
         let found = self.by_address.find(address);
         let found = found.filter_map(|slot| self.at(slot));
-        let there = found.filter(|one| one.listed.address == address);
+        let there = found.filter(|instance| instance.listed.address == address);
         there.min_by(|left, right| left.listed.id.cmp(&right.listed.id))
     }
 
@@ -116,7 +119,7 @@
     pub(super) fn process_with_name(&self, name: &str) -> Option<&Instance> {
         let found = self.by_name.find(name);
         let mut found = found.filter_map(|slot| self.at(slot));
-        found.find(|one| one.listed.name == name && one.listed.born.is_some())
+        found.find(|instance| instance.listed.name == name && instance.listed.born.is_some())
     }
 
     /// All back ends.
@@ -162,7 +165,7 @@
     }
 
     fn index(&mut self, slot: SlotIndex) {
-        let Some(listed) = self.at(slot).map(|one| one.listed.clone()) else {
+        let Some(listed) = self.at(slot).map(|instance| instance.listed.clone()) else {
             return;
         };
         self.by_id.insert(&listed.id, slot);
@@ -175,7 +178,7 @@
         } = self;
         let is_before = |other: &SlotIndex| {
             let other = slots[*other as usize].as_ref();
-            other.is_some_and(|one| one.listed.id < listed.id)
+            other.is_some_and(|instance| instance.listed.id < listed.id)
         };
         let service = by_service.entry(listed.service.clone()).or_default();
         if service.groups.is_empty() {
@@ -191,7 +194,7 @@
     }
 
     fn unindex(&mut self, slot: SlotIndex) {
-        let Some(listed) = self.at(slot).map(|one| one.listed.clone()) else {
+        let Some(listed) = self.at(slot).map(|instance| instance.listed.clone()) else {
             return;
         };
         self.by_id.remove(&listed.id, slot);
@@ -200,9 +203,9 @@
         let Some(service) = self.by_service.get_mut(&listed.service) else {
             return;
         };
-        service.groups[group_of(&listed.id)].retain(|one| *one != slot);
+        service.groups[group_of(&listed.id)].retain(|other| *other != slot);
         if let Some(slots_of_zone) = service.by_zone.get_mut(&listed.zone) {
-            slots_of_zone.retain(|one| *one != slot);
+            slots_of_zone.retain(|other| *other != slot);
             if slots_of_zone.is_empty() {
                 service.by_zone.remove(&listed.zone);
             }
--- a/crates/serving/src/instances/versions.rs
+++ b/crates/serving/src/instances/versions.rs
@@ -32,7 +32,9 @@
         };
         let is_beside_known = listed.iter().any(|version| known.contains_key(*version));
         let new = listed.iter().copied();
-        let new: Vec<&str> = new.filter(|one| !known.contains_key(*one)).collect();
+        let new: Vec<&str> = new
+            .filter(|version| !known.contains_key(*version))
+            .collect();
         let allowed_from = if is_beside_known {
             now + HOLD_BACK_DURATION
         } else {
@@ -78,7 +80,9 @@
         let changed = std::mem::take(&mut self.changed);
         let instance_at = |slot: &SlotIndex| self.instances.at(*slot);
         let services = changed.iter().filter_map(instance_at);
-        let services: BTreeSet<String> = services.map(|one| one.listed.service.clone()).collect();
+        let services: BTreeSet<String> = services
+            .map(|instance| instance.listed.service.clone())
+            .collect();
         for service in services {
             self.hold_back_new_versions_of(&service, now);
         }
@@ -109,8 +113,8 @@
     /// Number of this node's requests in flight at a service's baseline.
     pub fn in_flight_at_baseline(&self, service: &str) -> u64 {
         let of_service = self.of_service(service);
-        let baseline = of_service.filter(|one| one.role == VersionRole::Baseline);
-        baseline.map(|one| u64::from(one.in_flight)).sum()
+        let baseline = of_service.filter(|instance| instance.role == VersionRole::Baseline);
+        baseline.map(|instance| u64::from(instance.in_flight)).sum()
     }
 
     fn record_role(&self, service: &str, version: &str, role: &str) {
