--- a/crates/daemon/src/actors.rs
+++ b/crates/daemon/src/actors.rs
@@ -29,7 +29,7 @@
 use silversail_limits::LimitMessage;
 use silversail_model::{NodeName, Topology};
 use silversail_peer::{
-    Envelope, GroupId, GroupMessage, ListedInstance, PeerMessage, SessionMessage,
+    BackendListEntry, Envelope, GroupId, GroupMessage, PeerMessage, SessionMessage,
 };
 use silversail_serving::notices::BackendNotices;
 use silversail_serving::ports::Protocols;
@@ -176,9 +176,9 @@
             PeerMessage::Session(SessionMessage::PushView(view)) => {
                 call!([self.session], push_view(view))
             }
-            PeerMessage::Session(SessionMessage::Listing(listing)) => {
+            PeerMessage::Session(SessionMessage::BackendList(listing)) => {
                 call!([self.session], push_listing(listing.clone()));
-                self.deliver_to_relay(from, SessionMessage::Listing(listing));
+                self.deliver_to_relay(from, SessionMessage::BackendList(listing));
             }
             PeerMessage::Session(message) => self.deliver_to_relay(from, message),
             PeerMessage::Discovery(message) => call!([self.discovery], message(from, message)),
@@ -211,13 +211,13 @@
             SessionMessage::Reports {
                 reports,
                 view,
-                listing,
+                backend_list: listing,
             } => {
                 call!([voter.relay], reports(from, reports, view, listing));
             }
             SessionMessage::View(view) => call!([voter.relay], view(view)),
-            SessionMessage::Listing(listing) => call!([voter.relay], listing(listing)),
-            SessionMessage::ListingConfirmed(version) => {
+            SessionMessage::BackendList(listing) => call!([voter.relay], listing(listing)),
+            SessionMessage::BackendListConfirmed(version) => {
                 call!([voter.relay], listing_confirmed(version));
             }
             SessionMessage::Reply(_)
@@ -283,7 +283,7 @@
     }
 
     /// This node read the list of back ends; on the leader all nodes hear of it.
-    pub fn list_read(&self, entries: Vec<ListedInstance>) {
+    pub fn list_read(&self, entries: Vec<BackendListEntry>) {
         if let Some(voter) = &self.voter {
             call!([voter.relay], list_read(entries));
         }
--- a/crates/daemon/src/gateway/actor.rs
+++ b/crates/daemon/src/gateway/actor.rs
@@ -25,7 +25,7 @@
 use silversail_decisions::DecisionLog;
 use silversail_limits::PermitIssuer;
 use silversail_model::{Distance, NodeName, ResultCode, Shard, Topology};
-use silversail_peer::{ListingVersion, ShardWaits, WorkId};
+use silversail_peer::{BackendListVersion, ShardWaits, WorkId};
 use silversail_quarantine::QuarantineRevision;
 use silversail_serving::batcher::{Batcher, CallId, CallOutcome, OrderKey};
 use silversail_serving::dispatcher::{Action, Dispatcher, RequestNumber};
@@ -138,7 +138,7 @@
     pub(super) permit_issuer: PermitIssuer,
     /// The processes of the last view, by node.
     pub(super) processes: BTreeMap<NodeName, u64>,
-    pub(super) listing_version: Option<ListingVersion>,
+    pub(super) listing_version: Option<BackendListVersion>,
     pub(super) list_works: bool,
     pub(super) own_list: OwnListReads,
 }
--- a/crates/daemon/src/gateway/event.rs
+++ b/crates/daemon/src/gateway/event.rs
@@ -10,7 +10,7 @@
 use silversail_serving::crashes::ProbeAnswer;
 use silversail_serving::dispatcher::{Refusal, RequestNumber, SendOutcome, SendPlan};
 use silversail_serving::ports::{
-    CallAttributes, ListedInstance, ReportedLoad, Rollout, RolloutOrder,
+    BackendListEntry, CallAttributes, ReportedLoad, Rollout, RolloutOrder,
 };
 use std::collections::BTreeMap;
 use tokio::sync::{mpsc, oneshot};
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub struct ListRead {
     /// All entries, each back end once.
-    pub entries: Vec<ListedInstance>,
+    pub entries: Vec<BackendListEntry>,
     /// Entries that name no back end, by why.
     pub malformed: BTreeMap<String, usize>,
     /// Calls that the read took.
--- a/crates/daemon/src/gateway/following.rs
+++ b/crates/daemon/src/gateway/following.rs
@@ -8,7 +8,7 @@
 use silversail_consensus::Millis;
 use silversail_decisions::Event as LogEvent;
 use silversail_model::{NodeName, Shard};
-use silversail_peer::{Listing, WorkId};
+use silversail_peer::{BackendList, WorkId};
 use silversail_serving::routes::RouteTable;
 use stakker::{call, CX};
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,7 +31,7 @@
 
 impl OwnListReads {
     /// Calls that a read takes: those of the last one, else by the entries `held`.
-    fn calls_of_read(&self, held: Option<&Listing>) -> usize {
+    fn calls_of_read(&self, held: Option<&BackendList>) -> usize {
         let entries = held.map_or(0, |listing| listing.entries.len());
         self.calls.unwrap_or(1 + entries / ENTRIES_OF_PAGE)
     }
--- a/crates/daemon/src/gateway/list_reading.rs
+++ b/crates/daemon/src/gateway/list_reading.rs
@@ -3,7 +3,7 @@
 use crate::gateway::calls::{CallTarget, RuntimeCalls};
 use crate::gateway::event::{GatewayEvent, ListRead};
 use crate::settings::GatewaySettings;
-use silversail_serving::ports::{ListPage, ListedInstance};
+use silversail_serving::ports::{BackendListEntry, ListPage};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
@@ -82,7 +82,7 @@
     /// before it.
     async fn read_list(&self, address: &str) -> Result<ListRead, ListError> {
         let began = Instant::now();
-        let mut entries: BTreeMap<String, ListedInstance> = BTreeMap::new();
+        let mut entries: BTreeMap<String, BackendListEntry> = BTreeMap::new();
         let mut malformed: BTreeMap<String, usize> = BTreeMap::new();
         let mut page: Option<String> = None;
         for calls in 1..=MAX_PAGES {
@@ -149,7 +149,7 @@
 
 /// Takes in an entry. While pages are read the list may move, so that an entry comes
 /// twice: one that is leaving in either place is leaving.
-fn add_entry(entries: &mut BTreeMap<String, ListedInstance>, entry: ListedInstance) {
+fn add_entry(entries: &mut BTreeMap<String, BackendListEntry>, entry: BackendListEntry) {
     match entries.get_mut(&entry.id) {
         Some(known) => known.draining |= entry.draining,
         None => {
--- a/crates/daemon/src/rollout/progress.rs
+++ b/crates/daemon/src/rollout/progress.rs
@@ -2,14 +2,14 @@
 
 use crate::session::NodeState;
 use silversail_consensus::Millis;
-use silversail_peer::Listing;
+use silversail_peer::BackendList;
 use silversail_rollout::{Directive, Progress, RolloutOrder, Verdict};
 
 /// How far the back ends of both versions are. Cold ones of the candidate count: they take few
 /// requests, within a limit that all nodes keep.
 pub(super) fn progress_of(
     order: &RolloutOrder,
-    listing: Option<&Listing>,
+    listing: Option<&BackendList>,
     is_in_force_everywhere: bool,
 ) -> Progress {
     let entries = listing
--- a/crates/daemon/src/session/node_state.rs
+++ b/crates/daemon/src/session/node_state.rs
@@ -10,7 +10,7 @@
     SharedEvacuations, SharedRollouts, SharedTraffic, ViewUpdate,
 };
 use silversail_model::{NodeName, TrafficVersion};
-use silversail_peer::{ListingUpdate, ListingVersion, SharedListing};
+use silversail_peer::{BackendListUpdate, BackendListVersion, SharedBackendList};
 use silversail_quarantine::{QuarantineRevision, SharedQuarantineList};
 use silversail_rollout::Evidence;
 use std::cell::RefCell;
@@ -68,7 +68,7 @@
     /// What this process has to tell of crashes.
     pub crash_news: CrashNews,
     /// The list of back ends as one node read it for all; none before the first.
-    pub listing: Option<SharedListing>,
+    pub listing: Option<SharedBackendList>,
     /// When that node is known to have read the same list, at the latest.
     pub listing_confirmed_at: Option<Millis>,
     /// Newest view as it was told.
@@ -102,7 +102,7 @@
     }
 
     /// Takes in what changed of the list of back ends; true when that is news.
-    pub fn update_listing(&mut self, update: &ListingUpdate, now: Millis) -> bool {
+    pub fn update_listing(&mut self, update: &BackendListUpdate, now: Millis) -> bool {
         if !self.wants_listing(update.version, now) {
             return false;
         }
@@ -119,14 +119,14 @@
     /// Whether a listing of this version replaces the one held. What is not confirmed any
     /// more gives way: it may be what a node read in place of the leader, whose own version
     /// does not count up with it.
-    fn wants_listing(&self, version: ListingVersion, now: Millis) -> bool {
+    fn wants_listing(&self, version: BackendListVersion, now: Millis) -> bool {
         let known = self.listing.as_ref().map(|known| known.version);
         let is_current = self.has_current_listing(now);
         known != Some(version) && !(is_current && known > Some(version))
     }
 
     /// Takes a listing that is newer; true when it is.
-    pub fn take_listing(&mut self, listing: SharedListing, now: Millis) -> bool {
+    pub fn take_listing(&mut self, listing: SharedBackendList, now: Millis) -> bool {
         if !self.wants_listing(listing.version, now) {
             return false;
         }
--- a/crates/daemon/src/session/relay.rs
+++ b/crates/daemon/src/session/relay.rs
@@ -17,7 +17,8 @@
 };
 use silversail_model::{NodeName, Revision, Topology, TrafficVersion};
 use silversail_peer::{
-    ListingUpdates, ListingVersion, PeerMessage, SessionHeartbeat, SessionMessage, SessionReply,
+    BackendListHistory, BackendListVersion, PeerMessage, SessionHeartbeat, SessionMessage,
+    SessionReply,
 };
 use silversail_quarantine::QuarantineRevision;
 use stakker::{after, CX};
@@ -72,7 +73,7 @@
     /// The view that it has, by its last heartbeat or what was sent to it since.
     view: ViewVersion,
     /// The listing that it has, by the same.
-    pub(super) listing: Option<ListingVersion>,
+    pub(super) listing: Option<BackendListVersion>,
     /// What may still be on its way to it.
     pub(super) large_updates: LargeUpdates,
 }
@@ -89,7 +90,7 @@
     traffic: TrafficUpdates,
     pub(super) listing: Option<HeldListing>,
     /// The listing's last changes, for nodes and relays that hold older ones.
-    pub(super) listings: ListingUpdates,
+    pub(super) listings: BackendListHistory,
     /// When relays that report another listing were last told.
     pub(super) told_listing_at: BTreeMap<NodeName, Millis>,
     /// Back ends of each service that are not leaving, by zone, as the listing tells.
@@ -111,7 +112,7 @@
             sent_version: ViewVersion::default(),
             traffic: TrafficUpdates::default(),
             listing: None,
-            listings: ListingUpdates::default(),
+            listings: BackendListHistory::default(),
             told_listing_at: BTreeMap::new(),
             makers: BTreeMap::new(),
             announcements: AnnouncementBudget::default(),
@@ -205,7 +206,7 @@
         let message = SessionMessage::Reports {
             reports: reports.into_values().collect(),
             view: self.view.version,
-            listing: self.listing.as_ref().map(|held| held.listing.version),
+            backend_list: self.listing.as_ref().map(|held| held.listing.version),
         };
         let leader = NodeName(leader);
         self.setup
@@ -230,13 +231,13 @@
             quarantine: heartbeat.report.quarantine,
             heard_at: now,
             view: heartbeat.view,
-            listing: heartbeat.listing,
+            listing: heartbeat.backend_list,
             large_updates,
         };
         self.sessions.insert(from.clone(), session);
         let mut reply = self.reply(&heartbeat, now);
         self.hold_back_repeats(&from, &mut reply, now);
-        if let (Some(update), Some(session)) = (&reply.listing, self.sessions.get_mut(&from)) {
+        if let (Some(update), Some(session)) = (&reply.backend_list, self.sessions.get_mut(&from)) {
             session.listing = Some(update.version);
         }
         if let Some(update) = &reply.update {
@@ -271,14 +272,14 @@
         };
         let large = &mut session.large_updates;
         let mut is_due = |kind, bytes| large.may_send(kind, bytes, now);
-        let listing = reply.listing.take();
-        reply.listing = listing.filter(|one| is_due(UpdateKind::Listing, one.size()));
+        let listing = reply.backend_list.take();
+        reply.backend_list = listing.filter(|one| is_due(UpdateKind::Listing, one.size()));
         let view = reply.view.take();
         reply.view = view.filter(|one| is_due(UpdateKind::View, one.size()));
     }
 
     fn reply(&mut self, heartbeat: &SessionHeartbeat, now: Millis) -> SessionReply {
-        let listing = self.listings.since(heartbeat.listing);
+        let listing = self.listings.since(heartbeat.backend_list);
         let wants_view = self.view.version > heartbeat.view;
         let control = self.setup.machine.borrow();
         let machine = &control.configuration;
@@ -311,11 +312,11 @@
             quarantine_revision: quarantine.revision,
             quarantine: (age.is_some() && lacks_quarantine).then(|| quarantine.clone()),
             view: wants_view.then(|| Box::new(self.views.since(heartbeat.view, &self.view))),
-            listing_age: self.listing.as_ref().map(|held| {
+            backend_list_age: self.listing.as_ref().map(|held| {
                 let age = now.saturating_sub(held.confirmed_at);
                 (held.listing.version, age)
             }),
-            listing,
+            backend_list: listing,
         }
     }
 
@@ -326,7 +327,7 @@
         from: NodeName,
         reports: Vec<NodeReport>,
         view: ViewVersion,
-        listing: Option<ListingVersion>,
+        listing: Option<BackendListVersion>,
     ) {
         let now = self.now(cx);
         self.repair_listing(&from, listing, now);
--- a/crates/daemon/src/session/relay_listing.rs
+++ b/crates/daemon/src/session/relay_listing.rs
@@ -8,8 +8,8 @@
 use silversail_control::batch_owners::MakersByZone;
 use silversail_model::NodeName;
 use silversail_peer::{
-    ListedInstance, ListedInstances, Listing, ListingUpdate, ListingVersion, PeerMessage,
-    SessionMessage, SharedListing,
+    BackendList, BackendListEntries, BackendListEntry, BackendListUpdate, BackendListVersion,
+    PeerMessage, SessionMessage, SharedBackendList,
 };
 use stakker::CX;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 
 /// The newest listing and when the same was last read.
 pub(super) struct HeldListing {
-    pub(super) listing: SharedListing,
+    pub(super) listing: SharedBackendList,
     pub(super) confirmed_at: Millis,
 }
 
@@ -37,7 +37,7 @@
     /// This node read the list of back ends: that is news for all. The leader counts
     /// versions in its term; another node that reads in its place gives a version that
     /// comes after the leader's last and before its next.
-    pub fn list_read(&mut self, cx: CX![], entries: Vec<ListedInstance>) {
+    pub fn list_read(&mut self, cx: CX![], entries: Vec<BackendListEntry>) {
         let now = self.now(cx);
         let term = self.table.as_ref().map(|(term, _)| *term);
         let held_entries = self.listing.as_ref().map(|held| &held.listing.entries);
@@ -50,33 +50,33 @@
         });
         if let Some(held) = held {
             held.confirmed_at = now;
-            let message = SessionMessage::ListingConfirmed(held.listing.version);
+            let message = SessionMessage::BackendListConfirmed(held.listing.version);
             self.tell_relays(message);
             return;
         }
         let former = self.listing.as_ref().map(|held| held.listing.version);
         let version = match term {
-            Some(term) => ListingVersion {
+            Some(term) => BackendListVersion {
                 term,
                 sequence: former.unwrap_or_default().sequence + 1,
-                substitute: 0,
+                fallback: 0,
             },
             None => {
                 let incarnation = self.setup.outbox.borrow().incarnation();
-                ListingVersion::substitute_of(former.unwrap_or_default(), incarnation)
+                BackendListVersion::fallback_of(former.unwrap_or_default(), incarnation)
             }
         };
-        let listing = Arc::new(Listing { version, entries });
+        let listing = Arc::new(BackendList { version, entries });
         self.take_listing(listing, now);
         // The other relays hold what this one held before, as a rule; one that does not shows
         // so with its next reports.
         if let Some(update) = self.listings.since(former) {
-            self.tell_relays(SessionMessage::Listing(update));
+            self.tell_relays(SessionMessage::BackendList(update));
         }
     }
 
     /// What changed of the leader's listing.
-    pub fn listing(&mut self, cx: CX![], update: ListingUpdate) {
+    pub fn listing(&mut self, cx: CX![], update: BackendListUpdate) {
         let now = self.now(cx);
         if !self.wants_listing(update.version, now) {
             return;
@@ -94,14 +94,14 @@
     }
 
     /// Whether a listing of this version is not older than the one held.
-    fn wants_listing(&self, version: ListingVersion, now: Millis) -> bool {
+    fn wants_listing(&self, version: BackendListVersion, now: Millis) -> bool {
         let held = self.listing.as_ref();
         let lease = self.setup.listing_lease;
         held.is_none_or(|held| !held.is_current(lease, now) || held.listing.version <= version)
     }
 
     /// Takes a listing that is not older, and tells it to the nodes if it is newer.
-    fn take_listing(&mut self, listing: SharedListing, now: Millis) {
+    fn take_listing(&mut self, listing: SharedBackendList, now: Millis) {
         if !self.wants_listing(listing.version, now) {
             return;
         }
@@ -132,7 +132,10 @@
             let update = update.filter(|one| large.may_send(UpdateKind::Listing, one.size(), now));
             if let Some(update) = update {
                 session.listing = Some(update.version);
-                outbox.send(node, PeerMessage::Session(SessionMessage::Listing(update)));
+                outbox.send(
+                    node,
+                    PeerMessage::Session(SessionMessage::BackendList(update)),
+                );
             }
         }
     }
@@ -143,7 +146,7 @@
     pub(super) fn repair_listing(
         &mut self,
         relay: &NodeName,
-        held: Option<ListingVersion>,
+        held: Option<BackendListVersion>,
         now: Millis,
     ) {
         let told_at = self.told_listing_at.get(relay).copied();
@@ -155,12 +158,12 @@
             return;
         };
         self.told_listing_at.insert(relay.clone(), now);
-        let message = PeerMessage::Session(SessionMessage::Listing(update));
+        let message = PeerMessage::Session(SessionMessage::BackendList(update));
         self.setup.outbox.borrow_mut().send(relay, message);
     }
 
     /// The leader read the list again and found it unchanged.
-    pub fn listing_confirmed(&mut self, cx: CX![], version: ListingVersion) {
+    pub fn listing_confirmed(&mut self, cx: CX![], version: BackendListVersion) {
         let now = self.now(cx);
         if let Some(held) = &mut self.listing {
             if held.listing.version == version {
@@ -171,7 +174,7 @@
 }
 
 /// Counts the back ends that are not leaving, by service and zone.
-fn makers_by_zone(entries: &ListedInstances) -> BTreeMap<String, MakersByZone> {
+fn makers_by_zone(entries: &BackendListEntries) -> BTreeMap<String, MakersByZone> {
     let mut makers: BTreeMap<String, MakersByZone> = BTreeMap::new();
     for entry in entries.iter().filter(|entry| !entry.draining) {
         let of_service = makers.entry(entry.service.clone()).or_default();
--- a/crates/daemon/src/session/session_actor.rs
+++ b/crates/daemon/src/session/session_actor.rs
@@ -14,7 +14,9 @@
     TrafficUpdate, ViewUpdate,
 };
 use silversail_model::NodeName;
-use silversail_peer::{ListingUpdate, PeerMessage, SessionHeartbeat, SessionMessage, SessionReply};
+use silversail_peer::{
+    BackendListUpdate, PeerMessage, SessionHeartbeat, SessionMessage, SessionReply,
+};
 use silversail_quarantine::SharedQuarantineList;
 use stakker::{after, fwd, Fwd, CX};
 use std::sync::Arc;
@@ -206,7 +208,7 @@
                     machines: state.machines_unknown_to_view(),
                 },
                 view: state.told_view.version,
-                listing: state.listing.as_ref().map(|listing| listing.version),
+                backend_list: state.listing.as_ref().map(|listing| listing.version),
             }
         };
         PeerMessage::Session(SessionMessage::Heartbeat(heartbeat))
@@ -309,10 +311,10 @@
     /// other entries are held now.
     fn apply_listing(&self, reply: &SessionReply, now: Millis) -> bool {
         let mut state = self.setup.state.borrow_mut();
-        let update = reply.listing.as_ref();
+        let update = reply.backend_list.as_ref();
         let changed = update.is_some_and(|update| state.update_listing(update, now));
         let held = state.listing.as_ref().map(|listing| listing.version);
-        if let Some((version, age)) = reply.listing_age {
+        if let Some((version, age)) = reply.backend_list_age {
             if held == Some(version) {
                 let read_at = reply.echo.saturating_sub(age);
                 state.listing_confirmed_at = state.listing_confirmed_at.max(Some(read_at));
@@ -385,7 +387,7 @@
     }
 
     /// A change of the list of back ends that the relay pushed.
-    pub fn push_listing(&mut self, cx: CX![], update: ListingUpdate) {
+    pub fn push_listing(&mut self, cx: CX![], update: BackendListUpdate) {
         let now = self.setup.clock.millis(cx.now());
         if self.setup.state.borrow_mut().update_listing(&update, now) {
             fwd!([self.setup.on_change], ());
--- a/crates/daemon/tests/allowed_places.rs
+++ b/crates/daemon/tests/allowed_places.rs
@@ -6,7 +6,7 @@
 use silversail_decisions::DecisionLog;
 use silversail_model::topology::RegionFilter;
 use silversail_model::{NodeName, Shard, Topology};
-use silversail_peer::ListedInstance;
+use silversail_peer::BackendListEntry;
 use silversail_serving::instances::InstanceTable;
 
 /// Zones `n1`, `s1` and `e1` of regions `north`, `south` and `east`.
@@ -79,7 +79,7 @@
 #[case::none_there(&["east"], false)]
 fn a_shard_without_allowed_makers_is_not_staffed(#[case] regions: &[&str], #[case] expected: bool) {
     let mut instances = InstanceTable::new(DecisionLog::off());
-    let listed = ["n1", "s1"].map(|zone| ListedInstance {
+    let listed = ["n1", "s1"].map(|zone| BackendListEntry {
         version: "v1".to_owned(),
         id: format!("maker-{zone}"),
         name: format!("maker-{zone}"),
@@ -89,7 +89,7 @@
         slots: 1,
         draining: false,
         cold: false,
-        born: None,
+        started_at_ms: None,
     });
     instances.replace(&listed);
     let (topology, view) = (topology("n1"), view());
--- a/crates/daemon/tests/list_reader.rs
+++ b/crates/daemon/tests/list_reader.rs
@@ -5,7 +5,7 @@
 use silversail_daemon::session::{ListingLease, NodeState, LISTING_LEASE};
 use silversail_daemon::settings::GatewaySettings;
 use silversail_model::NodeName;
-use silversail_peer::{Listing, ListingVersion};
+use silversail_peer::{BackendList, BackendListVersion};
 use std::sync::Arc;
 
 const NODES: usize = 300;
@@ -110,13 +110,13 @@
     );
 }
 
-fn listing(term: u64, sequence: u64, substitute: u64) -> Arc<Listing> {
-    let version = ListingVersion {
+fn listing(term: u64, sequence: u64, substitute: u64) -> Arc<BackendList> {
+    let version = BackendListVersion {
         term,
         sequence,
-        substitute,
+        fallback: substitute,
     };
-    Arc::new(Listing {
+    Arc::new(BackendList {
         version,
         entries: Default::default(),
     })
@@ -126,10 +126,10 @@
 fn the_leaders_listing_comes_back_after_another_node_read_in_its_place() {
     let mut state = NodeState::default();
     assert!(state.take_listing(listing(3, 7, 0), 1_000));
-    let substitute = ListingVersion::substitute_of(listing(3, 7, 0).version, 99);
+    let substitute = BackendListVersion::fallback_of(listing(3, 7, 0).version, 99);
     assert!(substitute > listing(3, 7, 0).version);
     assert!(substitute < listing(3, 8, 0).version);
-    assert!(state.take_listing(listing(3, 7, substitute.substitute), 4_000));
+    assert!(state.take_listing(listing(3, 7, substitute.fallback), 4_000));
     // While the substitute is read, an older version does not displace it.
     assert!(!state.take_listing(listing(3, 7, 0), 5_000));
     assert!(state.take_listing(listing(3, 7, 0), 4_001 + LISTING_LEASE));
@@ -139,9 +139,9 @@
 #[test]
 fn two_nodes_that_read_other_entries_give_other_versions() {
     let former = listing(3, 7, 0).version;
-    let first = ListingVersion::substitute_of(former, 1);
-    assert_ne!(first, ListingVersion::substitute_of(former, 2));
-    assert!(ListingVersion::substitute_of(first, 1) > ListingVersion::substitute_of(former, 2));
+    let first = BackendListVersion::fallback_of(former, 1);
+    assert_ne!(first, BackendListVersion::fallback_of(former, 2));
+    assert!(BackendListVersion::fallback_of(first, 1) > BackendListVersion::fallback_of(former, 2));
 }
 
 fn gateway(leaving_bound_ms: u64) -> GatewaySettings {
--- a/crates/peer/src/listing.rs
+++ b/crates/peer/src/backend_list.rs
@@ -1,12 +1,12 @@
 //! The list of back ends, read by one node for all.
 
-use crate::listed_instances::ListedInstances;
+use crate::backend_list_entries::BackendListEntries;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
 /// A back end on the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListedInstance {
+pub struct BackendListEntry {
     /// Identity of this start of the back end: its name, and its time of start where that is
     /// known. All that is kept of a back end is kept under this, so that a new start, also under
     /// the same name, begins with nothing.
@@ -30,13 +30,13 @@
     pub cold: bool,
     /// When it started, in milliseconds since the Unix epoch by its own clock; none where the
     /// list does not tell.
-    pub born: Option<u64>,
+    pub started_at_ms: Option<u64>,
 }
 
 /// Orders listings: a later leader's is newer. What another node read while the leader's
 /// reads did not arrive comes after the leader's listing that it held.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct ListingVersion {
+pub struct BackendListVersion {
     /// Term of the leader that read it.
     pub term: u64,
     /// Counts its changes up in that term.
@@ -44,16 +44,16 @@
     /// Of a read of another node: the change since the leader's listing, counted in the
     /// high half, and its process, so that two nodes do not give the same number to
     /// different entries. 0 for the leader's.
-    pub substitute: u64,
+    pub fallback: u64,
 }
 
-impl ListingVersion {
+impl BackendListVersion {
     /// The version that the process `incarnation` gives to other entries that it read
     /// while the leader's reads did not arrive.
-    pub fn substitute_of(former: Self, incarnation: u64) -> Self {
-        let changes = (former.substitute >> 32) + 1;
+    pub fn fallback_of(former: Self, incarnation: u64) -> Self {
+        let changes = (former.fallback >> 32) + 1;
         Self {
-            substitute: (changes << 32) | (incarnation & 0xFFFF_FFFF),
+            fallback: (changes << 32) | (incarnation & 0xFFFF_FFFF),
             ..former
         }
     }
@@ -61,12 +61,12 @@
 
 /// The list as one node read it for all.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listing {
+pub struct BackendList {
     /// Its version.
-    pub version: ListingVersion,
+    pub version: BackendListVersion,
     /// All entries.
-    pub entries: ListedInstances,
+    pub entries: BackendListEntries,
 }
 
 /// A listing shared inside a process.
-pub type SharedListing = Arc<Listing>;
+pub type SharedBackendList = Arc<BackendList>;
--- a/crates/peer/src/listed_instances.rs
+++ b/crates/peer/src/backend_list_entries.rs
@@ -2,35 +2,35 @@
 //! list of thousands of back ends changes by a few of them each second, and neither taking in
 //! such a change nor finding it between two versions looks at all entries.
 
-use crate::listing::ListedInstance;
+use crate::backend_list::BackendListEntry;
 use imbl::ordmap::DiffItem;
 use imbl::OrdMap;
 use std::sync::Arc;
 
 /// Entries by their identity, in its order. A clone costs as much for 10,000 entries as for ten.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ListedInstances(OrdMap<Arc<str>, Arc<ListedInstance>>);
+pub struct BackendListEntries(OrdMap<Arc<str>, Arc<BackendListEntry>>);
 
 /// What is different of one entry in a later version of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListChange<'a> {
+pub enum EntryChange<'a> {
     /// It came, or says something else now.
-    Present(&'a Arc<ListedInstance>),
+    Upserted(&'a Arc<BackendListEntry>),
     /// It is gone.
-    Gone(&'a str),
+    Removed(&'a str),
 }
 
-impl ListChange<'_> {
+impl EntryChange<'_> {
     /// The identity of the entry.
     pub fn id(&self) -> &str {
         match self {
-            Self::Present(entry) => &entry.id,
-            Self::Gone(id) => id,
+            Self::Upserted(entry) => &entry.id,
+            Self::Removed(id) => id,
         }
     }
 }
 
-impl ListedInstances {
+impl BackendListEntries {
     /// How many entries there are.
     pub fn len(&self) -> usize {
         self.0.len()
@@ -42,17 +42,17 @@
     }
 
     /// All entries, by identity.
-    pub fn iter(&self) -> impl Iterator<Item = &Arc<ListedInstance>> {
+    pub fn iter(&self) -> impl Iterator<Item = &Arc<BackendListEntry>> {
         self.0.values()
     }
 
     /// An entry by its identity.
-    pub fn get(&self, id: &str) -> Option<&Arc<ListedInstance>> {
+    pub fn get(&self, id: &str) -> Option<&Arc<BackendListEntry>> {
         self.0.get(id)
     }
 
     /// Takes in an entry, in place of the one of the same identity.
-    pub fn insert(&mut self, entry: ListedInstance) {
+    pub fn insert(&mut self, entry: BackendListEntry) {
         self.0.insert(Arc::from(entry.id.as_str()), Arc::new(entry));
     }
 
@@ -63,34 +63,36 @@
 
     /// What leads from this version to `next`. Costs as much as both have not in common, where
     /// one was made from the other.
-    pub fn changes_to<'a>(&'a self, next: &'a Self) -> impl Iterator<Item = ListChange<'a>> {
+    pub fn changes_to<'a>(&'a self, next: &'a Self) -> impl Iterator<Item = EntryChange<'a>> {
         self.0.diff(&next.0).filter_map(|item| match item {
-            DiffItem::Add(_, entry) => Some(ListChange::Present(entry)),
-            DiffItem::Update { old, new } => (old.1 != new.1).then_some(ListChange::Present(new.1)),
-            DiffItem::Remove(id, _) => Some(ListChange::Gone(id)),
+            DiffItem::Add(_, entry) => Some(EntryChange::Upserted(entry)),
+            DiffItem::Update { old, new } => {
+                (old.1 != new.1).then_some(EntryChange::Upserted(new.1))
+            }
+            DiffItem::Remove(id, _) => Some(EntryChange::Removed(id)),
         })
     }
 
     /// A version with the `entries` of a new read of the list, which has in common with this one
     /// all that the read left as it was.
-    pub fn with_read(&self, entries: impl IntoIterator<Item = ListedInstance>) -> Self {
+    pub fn with_read(&self, entries: impl IntoIterator<Item = BackendListEntry>) -> Self {
         let read: Self = entries.into_iter().collect();
         let mut next = self.clone();
         for change in self.changes_to(&read) {
             match change {
-                ListChange::Present(entry) => {
+                EntryChange::Upserted(entry) => {
                     let id = Arc::from(entry.id.as_str());
                     next.0.insert(id, entry.clone());
                 }
-                ListChange::Gone(id) => next.remove(id),
+                EntryChange::Removed(id) => next.remove(id),
             }
         }
         next
     }
 }
 
-impl FromIterator<ListedInstance> for ListedInstances {
-    fn from_iter<T: IntoIterator<Item = ListedInstance>>(entries: T) -> Self {
+impl FromIterator<BackendListEntry> for BackendListEntries {
+    fn from_iter<T: IntoIterator<Item = BackendListEntry>>(entries: T) -> Self {
         let mut all = Self::default();
         for entry in entries {
             all.insert(entry);
--- a/crates/peer/src/listing_update.rs
+++ b/crates/peer/src/backend_list_update.rs
@@ -4,8 +4,8 @@
 //! The whole list, sent to all nodes at each change of one back end, would fill the links of the
 //! nodes that pass it on.
 
-use crate::listed_instances::ListedInstances;
-use crate::listing::{ListedInstance, Listing, ListingVersion, SharedListing};
+use crate::backend_list::{BackendList, BackendListEntry, BackendListVersion, SharedBackendList};
+use crate::backend_list_entries::BackendListEntries;
 use serde::{Deserialize, Serialize};
 use silversail_control::packing;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -16,11 +16,11 @@
 
 /// What turns a listing into another one. Packed once for all receivers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListingUpdate {
+pub struct BackendListUpdate {
     /// The only version that it can be applied to; none for a whole listing.
-    pub base: Option<ListingVersion>,
+    pub base: Option<BackendListVersion>,
     /// The version that it leads to.
-    pub version: ListingVersion,
+    pub version: BackendListVersion,
     packed: Arc<Vec<u8>>,
 }
 
@@ -28,25 +28,25 @@
 #[derive(Serialize, Deserialize)]
 struct Content {
     /// Entries that came or changed.
-    entries: Vec<ListedInstance>,
+    entries: Vec<BackendListEntry>,
     /// Identities of entries that are gone.
     gone: Vec<String>,
 }
 
 /// Why an update can't be applied; the next heartbeat tells what is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ListingUpdateError {
+pub enum BackendListUpdateError {
     /// The listing held is not its base.
     #[error("the listing held is not the base {0:?}")]
-    OtherBase(ListingVersion),
+    OtherBase(BackendListVersion),
     /// It can't be unpacked.
     #[error("the update can't be unpacked")]
     Malformed,
 }
 
-impl ListingUpdate {
+impl BackendListUpdate {
     /// A whole listing.
-    pub fn whole(listing: &Listing) -> Self {
+    pub fn whole(listing: &BackendList) -> Self {
         let content = Content {
             entries: listing.entries.iter().map(|one| (**one).clone()).collect(),
             gone: Vec::new(),
@@ -54,7 +54,11 @@
         Self::packed(None, listing.version, &content)
     }
 
-    fn packed(base: Option<ListingVersion>, version: ListingVersion, content: &Content) -> Self {
+    fn packed(
+        base: Option<BackendListVersion>,
+        version: BackendListVersion,
+        content: &Content,
+    ) -> Self {
         let plain = postcard::to_stdvec(content).expect("encoding into memory does not fail");
         let packed = packing::pack(&plain).expect("packing into memory does not fail");
         Self {
@@ -72,23 +76,26 @@
     /// The listing that this leads to from `held`.
     ///
     /// # Errors
-    /// [`ListingUpdateError`] where `held` is not the base, or the update is damaged.
-    pub fn applied_to(&self, held: Option<&Listing>) -> Result<Listing, ListingUpdateError> {
+    /// [`BackendListUpdateError`] where `held` is not the base, or the update is damaged.
+    pub fn applied_to(
+        &self,
+        held: Option<&BackendList>,
+    ) -> Result<BackendList, BackendListUpdateError> {
         let mut entries = match (self.base, held) {
-            (None, _) => ListedInstances::default(),
+            (None, _) => BackendListEntries::default(),
             (Some(base), Some(held)) if held.version == base => held.entries.clone(),
-            (Some(base), _) => return Err(ListingUpdateError::OtherBase(base)),
+            (Some(base), _) => return Err(BackendListUpdateError::OtherBase(base)),
         };
-        let plain = packing::unpack(&self.packed).map_err(|_| ListingUpdateError::Malformed)?;
+        let plain = packing::unpack(&self.packed).map_err(|_| BackendListUpdateError::Malformed)?;
         let content: Content =
-            postcard::from_bytes(&plain).map_err(|_| ListingUpdateError::Malformed)?;
+            postcard::from_bytes(&plain).map_err(|_| BackendListUpdateError::Malformed)?;
         for id in &content.gone {
             entries.remove(id);
         }
         for entry in content.entries {
             entries.insert(entry);
         }
-        Ok(Listing {
+        Ok(BackendList {
             version: self.version,
             entries,
         })
@@ -97,27 +104,27 @@
 
 /// One change of the list.
 struct Change {
-    from: ListingVersion,
+    from: BackendListVersion,
     touched: BTreeSet<String>,
 }
 
 /// The newest listing with its last changes, for receivers that hold older ones.
 #[derive(Default)]
-pub struct ListingUpdates {
-    newest: Option<SharedListing>,
+pub struct BackendListHistory {
+    newest: Option<SharedBackendList>,
     changes: VecDeque<Change>,
     /// Updates to the newest listing that were made already, by what the receiver holds.
-    made: BTreeMap<Option<ListingVersion>, ListingUpdate>,
+    made: BTreeMap<Option<BackendListVersion>, BackendListUpdate>,
 }
 
-impl ListingUpdates {
+impl BackendListHistory {
     /// The newest listing.
-    pub fn newest(&self) -> Option<&SharedListing> {
+    pub fn newest(&self) -> Option<&SharedBackendList> {
         self.newest.as_ref()
     }
 
     /// Takes the listing that replaces the one held.
-    pub fn follow(&mut self, next: SharedListing) {
+    pub fn follow(&mut self, next: SharedBackendList) {
         let Some(before) = self.newest.replace(next.clone()) else {
             return;
         };
@@ -140,7 +147,7 @@
 
     /// What a receiver that holds `held` lacks: a difference where the changes since are
     /// remembered, else the whole. None where it lacks nothing.
-    pub fn since(&mut self, held: Option<ListingVersion>) -> Option<ListingUpdate> {
+    pub fn since(&mut self, held: Option<BackendListVersion>) -> Option<BackendListUpdate> {
         let newest = self.newest.as_ref()?;
         if held == Some(newest.version) {
             return None;
@@ -155,7 +162,7 @@
         }
         let update = match position {
             Some(first) => difference(held, newest, self.changes.range(first..)),
-            None => ListingUpdate::whole(newest),
+            None => BackendListUpdate::whole(newest),
         };
         self.made.insert(key, update.clone());
         Some(update)
@@ -163,10 +170,10 @@
 }
 
 fn difference<'a>(
-    base: Option<ListingVersion>,
-    newest: &Listing,
+    base: Option<BackendListVersion>,
+    newest: &BackendList,
     changes: impl Iterator<Item = &'a Change>,
-) -> ListingUpdate {
+) -> BackendListUpdate {
     let touched: BTreeSet<&String> = changes.flat_map(|change| &change.touched).collect();
     let mut content = Content {
         entries: Vec::new(),
@@ -178,5 +185,5 @@
             None => content.gone.push(id.clone()),
         }
     }
-    ListingUpdate::packed(base, newest.version, &content)
+    BackendListUpdate::packed(base, newest.version, &content)
 }
--- a/crates/peer/src/kind.rs
+++ b/crates/peer/src/kind.rs
@@ -49,7 +49,9 @@
             | SessionMessage::PushEvacuations(_)
             | SessionMessage::PushRollouts(_) => "configuration",
             SessionMessage::PushQuarantine(_) => "quarantine",
-            SessionMessage::Listing(_) | SessionMessage::ListingConfirmed(_) => "backend_list",
+            SessionMessage::BackendList(_) | SessionMessage::BackendListConfirmed(_) => {
+                "backend_list"
+            }
             SessionMessage::Reports { .. } => "reports",
             SessionMessage::View(_) => "view",
             SessionMessage::PushView(_) => "pushed_view",
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,21 +1,21 @@
 //! Messages between silversail processes and their transport.
 
+pub mod backend_list;
+mod backend_list_entries;
+pub mod backend_list_update;
 pub mod discovery;
 pub mod errors;
 mod kind;
 pub mod link;
-mod listed_instances;
-pub mod listing;
-pub mod listing_update;
 pub mod message;
 pub mod transport;
 pub mod work;
 
+pub use backend_list::{BackendList, BackendListEntry, BackendListVersion, SharedBackendList};
+pub use backend_list_entries::{BackendListEntries, EntryChange};
+pub use backend_list_update::{BackendListHistory, BackendListUpdate, BackendListUpdateError};
 pub use discovery::{Contact, ContactsHeld, DiscoveryMessage, HeardContact};
 pub use errors::PeerError;
-pub use listed_instances::{ListChange, ListedInstances};
-pub use listing::{ListedInstance, Listing, ListingVersion, SharedListing};
-pub use listing_update::{ListingUpdate, ListingUpdateError, ListingUpdates};
 pub use message::{
     Envelope, FormationMessage, GroupId, GroupMessage, PeerMessage, ProposeResult,
     SessionHeartbeat, SessionMessage, SessionReply,
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -1,8 +1,8 @@
 //! What silversail processes tell each other.
 
+use crate::backend_list::BackendListVersion;
+use crate::backend_list_update::BackendListUpdate;
 use crate::discovery::DiscoveryMessage;
-use crate::listing::ListingVersion;
-use crate::listing_update::ListingUpdate;
 use crate::work::WorkMessage;
 use serde::{Deserialize, Serialize};
 use silversail_consensus::{JoinRequest, Message, Millis, ReplicaId, Snapshot};
@@ -148,7 +148,7 @@
     /// Version of the view that it has.
     pub view: ViewVersion,
     /// Version of the listing that it has.
-    pub listing: Option<ListingVersion>,
+    pub backend_list: Option<BackendListVersion>,
 }
 
 /// A relay's answer to a heartbeat.
@@ -185,9 +185,9 @@
     pub view: Option<Box<ViewUpdate>>,
     /// Version of the relay's listing, and how long ago the leader last read the
     /// same, in milliseconds.
-    pub listing_age: Option<(ListingVersion, Millis)>,
+    pub backend_list_age: Option<(BackendListVersion, Millis)>,
     /// What the node's listing lacks.
-    pub listing: Option<ListingUpdate>,
+    pub backend_list: Option<BackendListUpdate>,
 }
 
 /// Messages of sessions.
@@ -209,9 +209,9 @@
     PushQuarantine(SharedQuarantineList),
     /// Leader to relays, and relay to node, at once when the list of back ends
     /// changes.
-    Listing(ListingUpdate),
+    BackendList(BackendListUpdate),
     /// Leader to relays: it read the list again, and it is unchanged.
-    ListingConfirmed(ListingVersion),
+    BackendListConfirmed(BackendListVersion),
     /// Relay to leader: the heartbeats of its nodes since the last one.
     Reports {
         /// The heartbeats.
@@ -219,7 +219,7 @@
         /// Version of the view that the relay has.
         view: ViewVersion,
         /// Version of the listing that the relay has.
-        listing: Option<ListingVersion>,
+        backend_list: Option<BackendListVersion>,
     },
     /// Leader to relays, when it changes and to those that have an older one.
     View(ViewUpdate),
--- a/crates/peer/tests/listing_updates.rs
+++ b/crates/peer/tests/backend_list_updates.rs
@@ -1,13 +1,13 @@
 //! The list of back ends as differences.
 
 use silversail_peer::{
-    ListedInstance, ListedInstances, Listing, ListingUpdate, ListingUpdateError, ListingUpdates,
-    ListingVersion,
+    BackendList, BackendListEntries, BackendListEntry, BackendListHistory, BackendListUpdate,
+    BackendListUpdateError, BackendListVersion,
 };
 use std::sync::Arc;
 
-fn entry(number: usize, draining: bool) -> ListedInstance {
-    ListedInstance {
+fn entry(number: usize, draining: bool) -> BackendListEntry {
+    BackendListEntry {
         id: format!("i-{number:010x}"),
         name: format!("i-{number:010x}"),
         service: format!("service-{}", number % 5),
@@ -17,26 +17,26 @@
         slots: 64,
         draining,
         cold: false,
-        born: None,
+        started_at_ms: None,
     }
 }
 
-fn version(sequence: u64) -> ListingVersion {
-    ListingVersion {
+fn version(sequence: u64) -> BackendListVersion {
+    BackendListVersion {
         term: 1,
         sequence,
-        substitute: 0,
+        fallback: 0,
     }
 }
 
-fn listing(sequence: u64, entries: Vec<ListedInstance>) -> Arc<Listing> {
+fn listing(sequence: u64, entries: Vec<BackendListEntry>) -> Arc<BackendList> {
     let version = version(sequence);
     let entries = entries.into_iter().collect();
-    Arc::new(Listing { version, entries })
+    Arc::new(BackendList { version, entries })
 }
 
 /// Three lists in a row: one back end comes, then one leaves and one goes.
-fn three() -> Vec<Arc<Listing>> {
+fn three() -> Vec<Arc<BackendList>> {
     vec![
         listing(1, vec![entry(1, false), entry(2, false)]),
         listing(2, vec![entry(1, false), entry(2, false), entry(3, false)]),
@@ -44,8 +44,8 @@
     ]
 }
 
-fn followed(lists: &[Arc<Listing>]) -> ListingUpdates {
-    let mut updates = ListingUpdates::default();
+fn followed(lists: &[Arc<BackendList>]) -> BackendListHistory {
+    let mut updates = BackendListHistory::default();
     for list in lists {
         updates.follow(list.clone());
     }
@@ -81,7 +81,7 @@
 fn a_difference_fits_its_base_only() {
     let lists = three();
     let update = followed(&lists).since(Some(version(2))).expect("some");
-    let other = ListingUpdateError::OtherBase(version(2));
+    let other = BackendListUpdateError::OtherBase(version(2));
     assert_eq!(update.applied_to(None), Err(other));
     assert_eq!(update.applied_to(Some(&lists[0])), Err(other));
 }
@@ -112,13 +112,13 @@
 
 #[test]
 fn a_list_of_another_term_with_the_same_entries_costs_next_to_nothing() {
-    let entries: Vec<ListedInstance> = (0..3_000).map(|number| entry(number, false)).collect();
+    let entries: Vec<BackendListEntry> = (0..3_000).map(|number| entry(number, false)).collect();
     let first = listing(1, entries.clone());
-    let of_next_term = Arc::new(Listing {
-        version: ListingVersion {
+    let of_next_term = Arc::new(BackendList {
+        version: BackendListVersion {
             term: 2,
             sequence: 2,
-            substitute: 0,
+            fallback: 0,
         },
         entries: entries.into_iter().collect(),
     });
@@ -132,14 +132,15 @@
 /// 60 as a difference; the whole list packed has 14,948.
 #[test]
 fn one_change_of_3000_back_ends_costs_under_200_bytes() {
-    let mut entries: Vec<ListedInstance> = (0..3_000).map(|number| entry(number, false)).collect();
+    let mut entries: Vec<BackendListEntry> =
+        (0..3_000).map(|number| entry(number, false)).collect();
     let first = listing(1, entries.clone());
     entries[17].draining = true;
     let second = listing(2, entries);
     let mut updates = followed(&[first.clone(), second.clone()]);
     let update = updates.since(Some(first.version)).expect("a change");
     assert!(update.size() < 200, "{} bytes", update.size());
-    let whole = ListingUpdate::whole(&second);
+    let whole = BackendListUpdate::whole(&second);
     assert!(whole.size() < 20_000, "{} bytes", whole.size());
     assert_eq!(update.applied_to(Some(&first)), Ok((*second).clone()));
 }
@@ -148,7 +149,8 @@
 /// second.
 #[test]
 fn a_change_copies_no_entry_that_it_leaves() {
-    let mut entries: Vec<ListedInstance> = (0..3_000).map(|number| entry(number, false)).collect();
+    let mut entries: Vec<BackendListEntry> =
+        (0..3_000).map(|number| entry(number, false)).collect();
     let first = listing(1, entries.clone());
     entries[17].draining = true;
     let second = listing(2, entries);
@@ -162,8 +164,8 @@
 
 #[test]
 fn a_new_read_keeps_the_entries_that_it_tells_again() {
-    let entries: Vec<ListedInstance> = (0..3_000).map(|number| entry(number, false)).collect();
-    let first: ListedInstances = entries.iter().cloned().collect();
+    let entries: Vec<BackendListEntry> = (0..3_000).map(|number| entry(number, false)).collect();
+    let first: BackendListEntries = entries.iter().cloned().collect();
     let mut read = entries;
     read.remove(3);
     read[17].draining = true;
--- a/crates/serving/examples/back_end_count.rs
+++ b/crates/serving/examples/back_end_count.rs
@@ -5,7 +5,7 @@
 use silversail_decisions::DecisionLog;
 use silversail_model::topology::{RegionFilter, RoundTrips};
 use silversail_model::Topology;
-use silversail_peer::{ListedInstance, Listing, ListingUpdates, ListingVersion};
+use silversail_peer::{BackendList, BackendListEntry, BackendListHistory, BackendListVersion};
 use silversail_serving::cold::ColdUse;
 use silversail_serving::instances::InstanceTable;
 use silversail_serving::regions::{RegionAffinity, SharedPrompt};
@@ -22,9 +22,9 @@
 /// Times that a step is repeated for its mean.
 const REPEATS: u32 = 200;
 
-fn entry(number: usize) -> ListedInstance {
+fn entry(number: usize) -> BackendListEntry {
     let name = format!("i-{:08x}-{number}", number * 7_919);
-    ListedInstance {
+    BackendListEntry {
         id: format!("{name}@1790000000000"),
         name,
         service: "pool".to_owned(),
@@ -39,15 +39,15 @@
         slots: 16,
         draining: false,
         cold: false,
-        born: Some(1_790_000_000_000),
+        started_at_ms: Some(1_790_000_000_000),
     }
 }
 
-fn version(sequence: u64) -> ListingVersion {
-    ListingVersion {
+fn version(sequence: u64) -> BackendListVersion {
+    BackendListVersion {
         term: 1,
         sequence,
-        substitute: 0,
+        fallback: 0,
     }
 }
 
@@ -71,8 +71,8 @@
     let regions: BTreeMap<String, String> = BTreeMap::new();
     let topology = Topology::new("a", regions, RoundTrips::default()).expect("valid");
     let any_region = RegionFilter::any();
-    let mut updates = ListingUpdates::default();
-    let listing = Arc::new(Listing {
+    let mut updates = BackendListHistory::default();
+    let listing = Arc::new(BackendList {
         version: version(1),
         entries: (0..count).map(entry).collect(),
     });
--- a/crates/serving/examples/batch_cost.rs
+++ b/crates/serving/examples/batch_cost.rs
@@ -14,7 +14,7 @@
 use silversail_serving::batcher::{AnnouncedOrder, Batcher, CallOutcome, OrderKey};
 use silversail_serving::instances::InstanceTable;
 use silversail_serving::policy::Policy;
-use silversail_serving::ports::ListedInstance;
+use silversail_serving::ports::BackendListEntry;
 use std::collections::VecDeque;
 use std::time::Instant;
 
@@ -49,8 +49,8 @@
     }
 }
 
-fn maker(number: usize) -> ListedInstance {
-    ListedInstance {
+fn maker(number: usize) -> BackendListEntry {
+    BackendListEntry {
         id: format!("maker-{number}"),
         name: format!("maker-{number}"),
         service: "service".into(),
@@ -60,7 +60,7 @@
         slots: 1,
         draining: false,
         cold: false,
-        born: None,
+        started_at_ms: None,
     }
 }
 
@@ -116,7 +116,7 @@
 /// Orders of one zone's shard of a service with six zones, as many a second as makers end calls.
 fn with_idle_makers(in_zone: usize, spec: &BatchSpec) {
     let mut table = InstanceTable::new(DecisionLog::off());
-    let listed = (0..6 * in_zone).map(|number| ListedInstance {
+    let listed = (0..6 * in_zone).map(|number| BackendListEntry {
         zone: format!("zone-{}", number % 6),
         ..maker(number)
     });
--- a/crates/serving/examples/returns.rs
+++ b/crates/serving/examples/returns.rs
@@ -10,7 +10,7 @@
 use silversail_decisions::DecisionLog;
 use silversail_model::topology::{RegionFilter, RoundTrips};
 use silversail_model::Topology;
-use silversail_peer::ListedInstance;
+use silversail_peer::BackendListEntry;
 use silversail_serving::cold::ColdUse;
 use silversail_serving::instances::{InstanceTable, ReturnPolicy};
 use silversail_serving::notices::{AnswerPath, BackendNotices};
@@ -85,8 +85,8 @@
     format!("e{engine}")
 }
 
-fn listed(engine: usize) -> ListedInstance {
-    ListedInstance {
+fn listed(engine: usize) -> BackendListEntry {
+    BackendListEntry {
         id: id_of(engine),
         name: id_of(engine),
         service: "pool".into(),
@@ -96,14 +96,14 @@
         slots: SLOTS,
         draining: false,
         cold: false,
-        born: None,
+        started_at_ms: None,
     }
 }
 
 impl Model {
     fn new(trouble: Trouble, nodes: usize, way: Way, seed: u64) -> Self {
         let all = BackendNotices::new(DecisionLog::off());
-        let list: Vec<ListedInstance> = (0..ENGINES).map(listed).collect();
+        let list: Vec<BackendListEntry> = (0..ENGINES).map(listed).collect();
         let names: Vec<String> = (0..nodes).map(|node| format!("n{node}")).collect();
         let table = |own: &String| {
             let own_notices = || BackendNotices::new(DecisionLog::off());
--- a/crates/serving/src/dispatcher.rs
+++ b/crates/serving/src/dispatcher.rs
@@ -33,7 +33,7 @@
 use silversail_decisions::{DecisionLog, Event};
 use silversail_model::topology::RegionFilter;
 use silversail_model::{RequestFingerprint, ResultCode, Topology};
-use silversail_peer::{ListedInstances, ShardWaits, WorkId};
+use silversail_peer::{BackendListEntries, ShardWaits, WorkId};
 use silversail_rollout::Rollout;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -117,7 +117,7 @@
     }
 
     /// Takes a version of the list of back ends.
-    pub fn take_listing(&mut self, listed: &ListedInstances, now: Millis) {
+    pub fn take_listing(&mut self, listed: &BackendListEntries, now: Millis) {
         if self.instances.follow(listed) {
             self.instances.hold_back_new_versions(now);
             self.instances.forget_gone(now);
--- a/crates/serving/src/instances.rs
+++ b/crates/serving/src/instances.rs
@@ -11,14 +11,14 @@
 
 use crate::cold::ColdSenders;
 use crate::notices::BackendNotices;
-use crate::ports::{ListedInstance, ReportedLoad};
+use crate::ports::{BackendListEntry, ReportedLoad};
 use crate::rollouts::VersionRoles;
 use crate::Millis;
 pub use instance::Instance;
 pub use returns::ReturnPolicy;
 use silversail_decisions::{DecisionLog, Event};
 use silversail_model::traffic::ColdSpec;
-use silversail_peer::ListedInstances;
+use silversail_peer::BackendListEntries;
 use std::collections::{BTreeMap, BTreeSet};
 use store::{InstanceStore, Place};
 use versions::KnownVersions;
@@ -48,7 +48,7 @@
 pub struct InstanceTable {
     instances: InstanceStore,
     /// The list that was taken in last.
-    followed: ListedInstances,
+    followed: BackendListEntries,
     /// Starts that the list names and that are no back ends any more, as the back end of that
     /// name has started again since: the earlier start, and the later one.
     hidden: BTreeMap<InstanceId, InstanceId>,
@@ -80,7 +80,7 @@
             returns: ReturnPolicy::default(),
             own_node: String::new(),
             instances: InstanceStore::default(),
-            followed: ListedInstances::default(),
+            followed: BackendListEntries::default(),
             hidden: BTreeMap::new(),
             changed: Vec::new(),
             gone: Vec::new(),
@@ -164,7 +164,7 @@
         all.filter(|one| one.is_evacuated).count()
     }
 
-    fn record(&self, listed: &ListedInstance, state: &str, source: &str) {
+    fn record(&self, listed: &BackendListEntry, state: &str, source: &str) {
         self.log.record(Event::Backend {
             backend: listed.id.clone(),
             service: listed.service.clone(),
--- a/crates/serving/src/instances/instance.rs
+++ b/crates/serving/src/instances/instance.rs
@@ -2,7 +2,7 @@
 
 use super::returns::ReturnPlan;
 use crate::notices::Notice;
-use crate::ports::{ListedInstance, ReportedLoad};
+use crate::ports::{BackendListEntry, ReportedLoad};
 use crate::rollouts::VersionRole;
 use crate::Millis;
 use silversail_model::RequestRate;
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub struct Instance {
     /// What the list says.
-    pub listed: Arc<ListedInstance>,
+    pub listed: Arc<BackendListEntry>,
     /// Whether its zone is evacuated.
     pub(super) is_evacuated: bool,
     /// The part of its version.
@@ -54,7 +54,7 @@
 
 impl Instance {
     pub(super) fn new(
-        listed: Arc<ListedInstance>,
+        listed: Arc<BackendListEntry>,
         notice: Arc<Notice>,
         return_plan: ReturnPlan,
     ) -> Self {
--- a/crates/serving/src/instances/list_news.rs
+++ b/crates/serving/src/instances/list_news.rs
@@ -1,6 +1,6 @@
 //! What a new list changed, for the decision log.
 
-use crate::ports::ListedInstance;
+use crate::ports::BackendListEntry;
 use silversail_decisions::{DecisionLog, Event};
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
 
 impl ListedState {
     /// The state of a back end that the list names.
-    pub(super) fn of(listed: &ListedInstance) -> Self {
+    pub(super) fn of(listed: &BackendListEntry) -> Self {
         match (listed.draining, listed.cold) {
             (true, _) => Self::Draining,
             (false, true) => Self::Cold,
@@ -52,7 +52,7 @@
     }
 
     /// A back end came, went or is in another state.
-    pub(super) fn note(&mut self, listed: &ListedInstance, state: ListedState) {
+    pub(super) fn note(&mut self, listed: &BackendListEntry, state: ListedState) {
         self.has_changes = true;
         let counted = (listed.service.clone(), state);
         *self.counts.entry(counted).or_default() += 1;
--- a/crates/serving/src/instances/listing.rs
+++ b/crates/serving/src/instances/listing.rs
@@ -2,26 +2,26 @@
 
 use super::list_news::{ListNews, ListedState};
 use super::{Instance, InstanceId, InstanceTable};
-use crate::ports::ListedInstance;
-use silversail_peer::{ListChange, ListedInstances};
+use crate::ports::BackendListEntry;
+use silversail_peer::{BackendListEntries, EntryChange};
 use std::sync::Arc;
 
 impl InstanceTable {
     /// Takes in a whole list. True when something changed.
-    pub fn replace(&mut self, listed: &[ListedInstance]) -> bool {
+    pub fn replace(&mut self, listed: &[BackendListEntry]) -> bool {
         self.follow(&listed.iter().cloned().collect())
     }
 
     /// Takes in a version of the list. True when something changed. Costs as much as it has not
     /// in common with the version before.
-    pub fn follow(&mut self, listed: &ListedInstances) -> bool {
+    pub fn follow(&mut self, listed: &BackendListEntries) -> bool {
         let before = std::mem::replace(&mut self.followed, listed.clone());
         let mut news = ListNews::default();
         let mut gone = Vec::new();
         for change in before.changes_to(listed) {
             match change {
-                ListChange::Present(entry) => self.take_entry(entry, &mut news),
-                ListChange::Gone(id) => gone.push(id),
+                EntryChange::Upserted(entry) => self.take_entry(entry, &mut news),
+                EntryChange::Removed(id) => gone.push(id),
             }
         }
         // Later, as a start that the list lacks may hide one that it names.
@@ -32,11 +32,11 @@
     }
 
     /// The version of the list that was taken in last.
-    pub fn followed(&self) -> &ListedInstances {
+    pub fn followed(&self) -> &BackendListEntries {
         &self.followed
     }
 
-    fn take_entry(&mut self, entry: &Arc<ListedInstance>, news: &mut ListNews) {
+    fn take_entry(&mut self, entry: &Arc<BackendListEntry>, news: &mut ListNews) {
         if let Some(later) = self.later_start(entry) {
             // Another node read a list that lags: the back end has started again since.
             self.hidden.insert(entry.id.clone(), later);
@@ -49,7 +49,7 @@
         }
     }
 
-    fn update(&mut self, mut known: Instance, entry: &Arc<ListedInstance>, news: &mut ListNews) {
+    fn update(&mut self, mut known: Instance, entry: &Arc<BackendListEntry>, news: &mut ListNews) {
         if is_in_other_state(&known.listed, entry) {
             news.note(entry, ListedState::of(entry));
         }
@@ -61,7 +61,7 @@
         self.put(known);
     }
 
-    fn add(&mut self, entry: &Arc<ListedInstance>, news: &mut ListNews) {
+    fn add(&mut self, entry: &Arc<BackendListEntry>, news: &mut ListNews) {
         news.note(entry, ListedState::of(entry));
         self.hide_earlier_start(entry, news);
         self.gone.retain(|id| *id != entry.id);
@@ -79,18 +79,18 @@
     }
 
     /// The back end that started later under an entry's name, where one is known.
-    fn later_start(&self, entry: &ListedInstance) -> Option<InstanceId> {
-        if entry.born.is_none() || self.instances.place_of(&entry.id).is_some() {
+    fn later_start(&self, entry: &BackendListEntry) -> Option<InstanceId> {
+        if entry.started_at_ms.is_none() || self.instances.place_of(&entry.id).is_some() {
             return None;
         }
         let present = &self.instances.named(&entry.name)?.listed;
-        (present.born > entry.born).then(|| present.id.clone())
+        (present.started_at_ms > entry.started_at_ms).then(|| present.id.clone())
     }
 
     /// Of two starts under one name, as a list tells both while its pages are read, the earlier
     /// is gone.
-    fn hide_earlier_start(&mut self, entry: &ListedInstance, news: &mut ListNews) {
-        if entry.born.is_none() {
+    fn hide_earlier_start(&mut self, entry: &BackendListEntry, news: &mut ListNews) {
+        if entry.started_at_ms.is_none() {
             return;
         }
         let earlier = self.instances.named(&entry.name);
@@ -125,7 +125,7 @@
         }
     }
 
-    fn remove_instance(&mut self, listed: &ListedInstance, news: &mut ListNews) {
+    fn remove_instance(&mut self, listed: &BackendListEntry, news: &mut ListNews) {
         self.instances.remove(&listed.id);
         self.gone.push(listed.id.clone());
         news.note(listed, ListedState::Gone);
@@ -133,7 +133,7 @@
 }
 
 /// Whether a list tells another state, or another version, of a back end than one before.
-fn is_in_other_state(before: &ListedInstance, after: &ListedInstance) -> bool {
+fn is_in_other_state(before: &BackendListEntry, after: &BackendListEntry) -> bool {
     before.draining != after.draining
         || before.cold != after.cold
         || before.version != after.version
--- a/crates/serving/src/instances/store.rs
+++ b/crates/serving/src/instances/store.rs
@@ -116,7 +116,7 @@
     pub(super) fn named(&self, name: &str) -> Option<&Instance> {
         let found = self.by_name.find(name);
         let mut found = found.filter_map(|place| self.at(place));
-        found.find(|one| one.listed.name == name && one.listed.born.is_some())
+        found.find(|one| one.listed.name == name && one.listed.started_at_ms.is_some())
     }
 
     /// All back ends.
@@ -164,7 +164,7 @@
         };
         self.by_id.insert(&listed.id, place);
         self.by_address.insert(&listed.address, place);
-        if listed.born.is_some() {
+        if listed.started_at_ms.is_some() {
             self.by_name.insert(&listed.name, place);
         }
         let Self {
--- a/crates/serving/src/ports.rs
+++ b/crates/serving/src/ports.rs
@@ -3,7 +3,7 @@
 
 use http::{HeaderMap, Method, Uri};
 use silversail_model::{ContentDigest, NamedLimit, ResultCode, TrafficConfiguration};
-pub use silversail_peer::ListedInstance;
+pub use silversail_peer::BackendListEntry;
 use silversail_peer::{Piece, PieceFailure, ResultHandle};
 pub use silversail_rollout::{Directive, Rollout, RolloutOrder, RolloutState, Verdict};
 use std::time::Duration;
@@ -186,7 +186,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListPage {
     /// Its entries.
-    pub instances: Vec<ListedInstance>,
+    pub instances: Vec<BackendListEntry>,
     /// Names the next page; none on the last.
     pub next: Option<String>,
     /// Why entries name no back end, one text for each.
--- a/crates/serving/tests/back_end_count.rs
+++ b/crates/serving/tests/back_end_count.rs
@@ -6,7 +6,7 @@
 use common::{instance, list_of, ANY_REGION, NO_REGIONS};
 use rstest::rstest;
 use silversail_decisions::{DecisionLog, LogLimits};
-use silversail_peer::ListedInstance;
+use silversail_peer::BackendListEntry;
 use silversail_serving::cold::ColdUse;
 use silversail_serving::instances::InstanceTable;
 use silversail_serving::regions::{RegionAffinity, SharedPrompt};
@@ -20,7 +20,7 @@
 /// Looks that one change of the list may take.
 const MOST_LOOKS_OF_CHANGE: u64 = 10;
 
-fn entries(count: usize) -> Vec<ListedInstance> {
+fn entries(count: usize) -> Vec<BackendListEntry> {
     let numbers = 0..count;
     numbers
         .map(|number| {
--- a/crates/serving/tests/common/mod.rs
+++ b/crates/serving/tests/common/mod.rs
@@ -11,11 +11,11 @@
 };
 use silversail_model::Topology;
 use silversail_model::TrafficConfiguration;
-use silversail_peer::{ListedInstances, Piece, ResultHandle};
+use silversail_peer::{BackendListEntries, Piece, ResultHandle};
 use silversail_serving::batcher::{BatchCall, CallOutcome};
 use silversail_serving::dispatcher::Dispatcher;
 use silversail_serving::policy::Policy;
-use silversail_serving::ports::{CallAttributes, ListedInstance};
+use silversail_serving::ports::{BackendListEntry, CallAttributes};
 use silversail_serving::retry_budget::RetryLimits;
 use silversail_serving::routes::RouteTable;
 use std::sync::{Arc, LazyLock};
@@ -138,8 +138,8 @@
     }
 }
 
-pub fn instance(id: &str, service: &str, zone: &str) -> ListedInstance {
-    ListedInstance {
+pub fn instance(id: &str, service: &str, zone: &str) -> BackendListEntry {
+    BackendListEntry {
         id: id.into(),
         name: id.into(),
         service: service.into(),
@@ -149,17 +149,17 @@
         slots: if service == "pool" { 64 } else { 4 },
         draining: false,
         cold: false,
-        born: None,
+        started_at_ms: None,
     }
 }
 
 /// A version of the list with these entries.
-pub fn list_of(entries: &[ListedInstance]) -> ListedInstances {
+pub fn list_of(entries: &[BackendListEntry]) -> BackendListEntries {
     entries.iter().cloned().collect()
 }
 
 /// Three engines, two gates and two encoders over zones `a` and `b`.
-pub fn instances() -> Vec<ListedInstance> {
+pub fn instances() -> Vec<BackendListEntry> {
     vec![
         instance("e1", "pool", "a"),
         instance("e2", "pool", "b"),
--- a/crates/serving/tests/common/versions.rs
+++ b/crates/serving/tests/common/versions.rs
@@ -1,11 +1,11 @@
 //! Rollouts, and back ends of two versions.
 
 use super::instance;
-use silversail_peer::ListedInstance;
+use silversail_peer::BackendListEntry;
 use silversail_rollout::{Directive, Rollout, RolloutNumber, RolloutOrder, RolloutState, Verdict};
 
 /// A back end of a version.
-pub fn of_version(id: &str, service: &str, version: &str) -> ListedInstance {
+pub fn of_version(id: &str, service: &str, version: &str) -> BackendListEntry {
     let mut listed = instance(id, service, "a");
     listed.version = version.to_owned();
     listed
--- a/crates/serving/tests/rest_seeds.rs
+++ b/crates/serving/tests/rest_seeds.rs
@@ -14,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 use silversail_decisions::DecisionLog;
 use silversail_model::Shard;
-use silversail_peer::{ListedInstance, ResultHandle};
+use silversail_peer::{BackendListEntry, ResultHandle};
 use silversail_serving::batcher::{BatchCall, Batcher, CallOutcome, OrderKey};
 use silversail_serving::dispatcher::{
     Action, Dispatcher, NotRunReason, SendOutcome, SendPlan, UnknownReason,
@@ -134,7 +134,7 @@
 
 /// A list that another node read: it may lack entries, call a back end that leaves ready, or name
 /// a new start of one.
-fn list(starts: &BTreeMap<&str, u32>, random: &mut ChaCha8Rng) -> Vec<ListedInstance> {
+fn list(starts: &BTreeMap<&str, u32>, random: &mut ChaCha8Rng) -> Vec<BackendListEntry> {
     let mut listed = instances();
     for one in &mut listed {
         let start = starts.get(one.name.as_str()).copied().unwrap_or_default();
--- a/crates/serving/tests/rests.rs
+++ b/crates/serving/tests/rests.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use silversail_decisions::DecisionLog;
 use silversail_model::{NamedLimit, ResultCode};
-use silversail_peer::{ListedInstance, PieceFailure, ResultHandle};
+use silversail_peer::{BackendListEntry, PieceFailure, ResultHandle};
 use silversail_serving::dispatcher::{
     Action, Dispatcher, NotRunReason, Refusal, SendOutcome, UnknownReason,
 };
@@ -96,9 +96,9 @@
 }
 
 #[rstest]
-#[case::of_another_node(|_: &mut Vec<ListedInstance>| {})]
-#[case::that_lacked_it_before(|listed: &mut Vec<ListedInstance>| listed.retain(|one| one.id != "g1"))]
-fn no_list_takes_back_what_an_engine_said(#[case] change: fn(&mut Vec<ListedInstance>)) {
+#[case::of_another_node(|_: &mut Vec<BackendListEntry>| {})]
+#[case::that_lacked_it_before(|listed: &mut Vec<BackendListEntry>| listed.retain(|one| one.id != "g1"))]
+fn no_list_takes_back_what_an_engine_said(#[case] change: fn(&mut Vec<BackendListEntry>)) {
     for said in [rest(5_000), LEAVING] {
         let mut dispatcher = dispatcher();
         hear(&dispatcher.instances, &["g1"], &said, 0);
--- a/crates/simulation/tests/listing.rs
+++ b/crates/simulation/tests/listing.rs
@@ -1,7 +1,7 @@
 //! One node reads the list of back ends for all, and all know how old it is.
 
 use silversail_model::NodeName;
-use silversail_peer::{GroupId, ListedInstance};
+use silversail_peer::{BackendListEntry, GroupId};
 use silversail_simulation::world::{Knowledge, World, WorldSize};
 
 const SIZE: WorldSize = WorldSize {
@@ -14,8 +14,8 @@
 /// How long nodes rely on what the leader read, in milliseconds.
 const LEASE: u64 = 2_000;
 
-fn entry(draining: bool) -> ListedInstance {
-    ListedInstance {
+fn entry(draining: bool) -> BackendListEntry {
+    BackendListEntry {
         id: "i-1".into(),
         name: "i-1".into(),
         service: "s".into(),
@@ -25,12 +25,12 @@
         slots: 4,
         draining,
         cold: false,
-        born: None,
+        started_at_ms: None,
     }
 }
 
 /// The leader reads the list each half second for a while.
-fn read(world: &mut World, entries: &[ListedInstance], times: usize) {
+fn read(world: &mut World, entries: &[BackendListEntry], times: usize) {
     for _ in 0..times {
         let leader = world.leader(GroupId::Control).expect("a leader");
         let node = world.places[leader].node.as_ref().expect("runs");
@@ -236,8 +236,8 @@
 
 /// Restarts a node over links of up to `max_delay` milliseconds and counts what it receives.
 fn check_lists_received(max_delay: u64) {
-    let entries: Vec<ListedInstance> = (0..MANY)
-        .map(|number| ListedInstance {
+    let entries: Vec<BackendListEntry> = (0..MANY)
+        .map(|number| BackendListEntry {
             id: format!("i-{:016x}", number.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
             ..entry(false)
         })
--- a/crates/simulation/tests/rollouts/harness.rs
+++ b/crates/simulation/tests/rollouts/harness.rs
@@ -9,7 +9,7 @@
 use silversail_decisions::DecisionLog;
 use silversail_model::traffic::{CallerLimits, ServiceSpec};
 use silversail_model::{NodeName, TrafficConfiguration};
-use silversail_peer::{GroupId, ListedInstance};
+use silversail_peer::{BackendListEntry, GroupId};
 use silversail_rollout::{Evidence, Rollout, RolloutNumber, RolloutOrder, RolloutState};
 use silversail_simulation::world::{Knowledge, World, WorldSize};
 use stakker::{actor, call, ret_nop, ret_some_do, ActorOwn};
@@ -331,7 +331,7 @@
             })
     }
 
-    fn listing(&self) -> Vec<ListedInstance> {
+    fn listing(&self) -> Vec<BackendListEntry> {
         let versions: &[&str] = match self.is_candidate_alone {
             true => &["v2"],
             false => &["v1", "v2"],
@@ -344,7 +344,7 @@
                     .map(move |version| (service.clone(), *version))
             })
             .enumerate()
-            .map(|(number, (service, version))| ListedInstance {
+            .map(|(number, (service, version))| BackendListEntry {
                 id: format!("i{number}-{version}"),
                 name: format!("i{number}-{version}"),
                 service,
@@ -354,7 +354,7 @@
                 slots: 4,
                 draining: false,
                 cold: false,
-                born: None,
+                started_at_ms: None,
             })
             .collect()
     }
