--- a/crates/daemon/src/actors.rs
+++ b/crates/daemon/src/actors.rs
@@ -158,7 +158,7 @@
             PeerMessage::Session(SessionMessage::Reply(reply)) => {
                 call!([self.session], reply(from, *reply));
             }
-            PeerMessage::Session(SessionMessage::Push(update)) => {
+            PeerMessage::Session(SessionMessage::PushConfiguration(update)) => {
                 call!([self.session], push(update));
             }
             PeerMessage::Session(SessionMessage::PushTraffic(traffic)) => {
@@ -221,7 +221,7 @@
                 call!([voter.relay], listing_confirmed(version));
             }
             SessionMessage::Reply(_)
-            | SessionMessage::Push(_)
+            | SessionMessage::PushConfiguration(_)
             | SessionMessage::PushTraffic(_)
             | SessionMessage::PushEvacuations(_)
             | SessionMessage::PushRollouts(_)
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -6,7 +6,7 @@
 pub use nearness::Relay;
 use silversail_consensus::Millis;
 use silversail_model::{NodeName, Topology};
-use silversail_peer::{Contact, ContactsHeld, HeardContact};
+use silversail_peer::{Contact, ContactWithAge, ContactsVersion};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -57,7 +57,7 @@
     /// Counts the contacts that came or moved.
     changes: u64,
     /// What is known of the contacts of other processes.
-    held: BTreeMap<NodeName, ContactsHeld>,
+    held: BTreeMap<NodeName, ContactsVersion>,
     /// Whether an answer added nothing to what was known of its sender's contacts.
     was_told_all: bool,
 }
@@ -276,9 +276,9 @@
     /// first [`MOST_TOLD`] that it lacks. With it comes what it has then.
     pub fn others_for(
         &self,
-        has: Option<ContactsHeld>,
+        has: Option<ContactsVersion>,
         now: Millis,
-    ) -> (Vec<HeardContact>, ContactsHeld) {
+    ) -> (Vec<ContactWithAge>, ContactsVersion) {
         let incarnation = self.own().incarnation;
         let has = has.filter(|has| has.incarnation == incarnation);
         let changes = has.map_or(0, |has| has.changes);
@@ -295,11 +295,11 @@
         let replicating = replicating.filter(|known| known.contact.replicates);
         let repeated = replicating.filter(|known| !is_lacking(known));
         let told = lacking.iter().copied().chain(repeated);
-        let told = told.map(|known| HeardContact {
+        let told = told.map(|known| ContactWithAge {
             contact: known.contact.clone(),
-            heard_ago_ms: now.saturating_sub(known.heard_at),
+            last_heard_age_ms: now.saturating_sub(known.heard_at),
         });
-        let has = ContactsHeld {
+        let has = ContactsVersion {
             incarnation,
             changes: if is_whole { self.changes } else { told_up_to },
         };
@@ -307,19 +307,19 @@
     }
 
     /// What is known of the contacts of `node`, to be told in a question to it.
-    pub fn held_of(&self, node: &NodeName) -> Option<ContactsHeld> {
+    pub fn held_of(&self, node: &NodeName) -> Option<ContactsVersion> {
         self.held.get(node).copied()
     }
 
     /// What is known of the contacts of the node at a peer address.
-    pub fn held_at(&self, peer_address: &str) -> Option<ContactsHeld> {
+    pub fn held_at(&self, peer_address: &str) -> Option<ContactsVersion> {
         let mut known = self.known.values();
         let at_address = known.find(|known| known.contact.peer_address == peer_address)?;
         self.held_of(&at_address.contact.node)
     }
 
     /// The contacts of `node` are known so far now.
-    pub fn holds(&mut self, node: NodeName, has: ContactsHeld) {
+    pub fn holds(&mut self, node: NodeName, has: ContactsVersion) {
         let former = self.held.insert(node, has);
         self.was_told_all |= former == Some(has);
     }
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 use silversail_consensus::Millis;
 use silversail_model::NodeName;
-use silversail_peer::{ContactsHeld, DiscoveryMessage, HeardContact, PeerMessage};
+use silversail_peer::{ContactWithAge, ContactsVersion, DiscoveryMessage, PeerMessage};
 use stakker::{after, CX};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -146,7 +146,7 @@
         }
     }
 
-    fn hello(&self, sent_to: String, has: Option<ContactsHeld>) -> PeerMessage {
+    fn hello(&self, sent_to: String, has: Option<ContactsVersion>) -> PeerMessage {
         let contact = self.directory.borrow().own().clone();
         PeerMessage::Discovery(DiscoveryMessage::Hello {
             contact,
@@ -210,9 +210,9 @@
                 has,
             } => {
                 self.hear(
-                    HeardContact {
+                    ContactWithAge {
                         contact,
-                        heard_ago_ms: 0,
+                        last_heard_age_ms: 0,
                     },
                     now,
                 );
@@ -222,7 +222,7 @@
                     true => directory.ages_from(self.random.gen(), now),
                     false => Vec::new(),
                 };
-                let known = DiscoveryMessage::Known {
+                let known = DiscoveryMessage::HelloReply {
                     contact: directory.own().clone(),
                     sent_to,
                     others,
@@ -233,7 +233,7 @@
                     .borrow_mut()
                     .send(&from, PeerMessage::Discovery(known));
             }
-            DiscoveryMessage::Known {
+            DiscoveryMessage::HelloReply {
                 contact,
                 sent_to,
                 others,
@@ -243,9 +243,9 @@
                 self.directory.borrow_mut().address_answered(sent_to);
                 self.directory.borrow_mut().holds(from.clone(), has);
                 self.hear(
-                    HeardContact {
+                    ContactWithAge {
                         contact,
-                        heard_ago_ms: 0,
+                        last_heard_age_ms: 0,
                     },
                     now,
                 );
@@ -260,13 +260,17 @@
         }
     }
 
-    fn hear(&mut self, heard: HeardContact, now: Millis) {
-        let HeardContact {
+    fn hear(&mut self, heard: ContactWithAge, now: Millis) {
+        let ContactWithAge {
             contact,
-            heard_ago_ms,
+            last_heard_age_ms,
         } = heard;
         let told = contact.clone();
-        if self.directory.borrow_mut().hear(contact, heard_ago_ms, now) {
+        if self
+            .directory
+            .borrow_mut()
+            .hear(contact, last_heard_age_ms, now)
+        {
             log::debug!(event = "node_found", node = told.node.as_str(), address = told.peer_address.as_str(); "a node was found");
             self.outbox.borrow_mut().learn(&told);
         }
--- a/crates/daemon/src/gateway/actor.rs
+++ b/crates/daemon/src/gateway/actor.rs
@@ -25,7 +25,7 @@
 use silversail_decisions::DecisionLog;
 use silversail_limits::PermitIssuer;
 use silversail_model::{Distance, NodeName, ResultCode, Shard, Topology};
-use silversail_peer::{BackendListVersion, ShardWaits, WorkId};
+use silversail_peer::{BackendListVersion, ShardWaitEstimates, WorkId};
 use silversail_quarantine::QuarantineRevision;
 use silversail_serving::batcher::{Batcher, CallId, CallOutcome, OrderKey};
 use silversail_serving::dispatcher::{Action, Dispatcher, RequestNumber};
@@ -117,7 +117,7 @@
     pub(super) told_waits_at: Millis,
     pub(super) told_far_waits_at: Millis,
     /// How long the shards of this node took when they were last looked at.
-    pub(super) own_waits: BTreeMap<Shard, (ShardWaits, Millis)>,
+    pub(super) own_waits: BTreeMap<Shard, (ShardWaitEstimates, Millis)>,
     pub(super) owner_watch: OwnerWatch,
     pub(super) traffic_version: Option<u64>,
     /// Revision of the evacuated zones that the back ends are marked by.
--- a/crates/daemon/src/gateway/batching.rs
+++ b/crates/daemon/src/gateway/batching.rs
@@ -252,7 +252,7 @@
                 self.batcher
                     .announce(OrderKey { node: from, work }, order, now);
             }
-            WorkMessage::Accepted { waits, .. } | WorkMessage::Waits(waits) => {
+            WorkMessage::Accepted { waits, .. } | WorkMessage::WaitEstimates(waits) => {
                 self.dispatcher.set_waits(waits, now);
             }
             WorkMessage::Done {
--- a/crates/daemon/src/gateway/placing.rs
+++ b/crates/daemon/src/gateway/placing.rs
@@ -8,7 +8,7 @@
 use silversail_decisions::Event as LogEvent;
 use silversail_model::topology::RegionFilter;
 use silversail_model::{Distance, NodeName, Shard};
-use silversail_peer::{PhaseWork, ResultHandle, ShardWaits, WorkId, WorkMessage};
+use silversail_peer::{PhaseWork, ResultHandle, ShardWaitEstimates, WorkId, WorkMessage};
 use silversail_serving::waits::OrderToPlace;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -160,7 +160,7 @@
 
     /// How long the shards of a service take now: this node's, as of now, and what the
     /// others last told.
-    pub(super) fn waits_of(&mut self, shard: &Shard, now: Millis) -> Vec<ShardWaits> {
+    pub(super) fn waits_of(&mut self, shard: &Shard, now: Millis) -> Vec<ShardWaitEstimates> {
         let known = self.own_waits.get(shard);
         let known = known.filter(|(_, at)| now.saturating_sub(*at) < WAITS_KEPT_FOR);
         let own = match known {
@@ -174,7 +174,7 @@
     }
 
     /// Computes how long a shard of this node takes now.
-    fn look_at_waits(&mut self, shard: &Shard, now: Millis) -> ShardWaits {
+    fn look_at_waits(&mut self, shard: &Shard, now: Millis) -> ShardWaitEstimates {
         let table = &self.dispatcher.instances;
         let waits = self.batcher.waits(shard, table, now);
         self.own_waits.insert(shard.clone(), (waits.clone(), now));
@@ -197,7 +197,7 @@
             let waits = self.look_at_waits(&shard, now);
             for other in others {
                 if tells_far || !self.is_far(&other) {
-                    self.send_work(&other, WorkMessage::Waits(vec![waits.clone()]));
+                    self.send_work(&other, WorkMessage::WaitEstimates(vec![waits.clone()]));
                 }
             }
         }
--- a/crates/daemon/src/gateway/waiting.rs
+++ b/crates/daemon/src/gateway/waiting.rs
@@ -65,7 +65,7 @@
             .map(|order| {
                 let waited = now.saturating_sub(order.since);
                 let mut phase = order.phase;
-                phase.wanted_in_ms = phase.wanted_in_ms.saturating_sub(waited);
+                phase.target_remaining_ms = phase.target_remaining_ms.saturating_sub(waited);
                 phase.remaining_ms = phase.remaining_ms.saturating_sub(waited);
                 (order.key, phase)
             })
--- a/crates/daemon/src/gateway/works.rs
+++ b/crates/daemon/src/gateway/works.rs
@@ -156,7 +156,8 @@
         let submitted = self.submitted.get_mut(&work)?;
         let waited = now.saturating_sub(submitted.at);
         submitted.phase.remaining_ms = submitted.end.saturating_sub(now);
-        submitted.phase.wanted_in_ms = submitted.phase.wanted_in_ms.saturating_sub(waited);
+        submitted.phase.target_remaining_ms =
+            submitted.phase.target_remaining_ms.saturating_sub(waited);
         submitted.at = now;
         let former = submitted.owner.clone();
         if let Some((shard, owner)) = placed {
--- a/crates/daemon/src/outbox.rs
+++ b/crates/daemon/src/outbox.rs
@@ -87,7 +87,8 @@
     /// Learns where a node is reached.
     pub fn learn(&mut self, contact: &Contact) {
         self.place(&contact.node, &contact.zone);
-        self.transport.learn(&contact.node, &contact.peer_address);
+        self.transport
+            .set_address(&contact.node, &contact.peer_address);
     }
 
     /// Learns the zone of a node.
@@ -103,7 +104,7 @@
 
     /// A message of a node's process came.
     pub fn heard(&mut self, from: &NodeName, incarnation: u64) {
-        self.transport.heard(from, incarnation);
+        self.transport.record_message(from, incarnation);
     }
 
     fn envelope(&self, message: PeerMessage) -> Envelope {
--- a/crates/daemon/src/replica/actor.rs
+++ b/crates/daemon/src/replica/actor.rs
@@ -12,7 +12,7 @@
     ReplicaId, Snapshot, StateMachine, StoredState, Term, WriteBatch,
 };
 use silversail_model::NodeName;
-use silversail_peer::{GroupId, GroupMessage, PeerMessage, ProposeResult};
+use silversail_peer::{GroupId, GroupMessage, PeerMessage, ProposalResult};
 use stakker::{after, fwd, Fwd, CX};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -256,7 +256,7 @@
         self.nodes.get(&replica).cloned()
     }
 
-    pub(super) fn reply(&mut self, to: &NodeName, proposal: u64, result: ProposeResult) {
+    pub(super) fn reply(&mut self, to: &NodeName, proposal: u64, result: ProposalResult) {
         self.send_group(to, GroupMessage::ProposeReply { proposal, result });
     }
 
@@ -330,9 +330,9 @@
             };
             if let Some(pending) = self.proposals.remove(&entry.index) {
                 let result = if pending.term == entry.term {
-                    ProposeResult::Applied(reply)
+                    ProposalResult::Applied(reply)
                 } else {
-                    ProposeResult::Replaced
+                    ProposalResult::Superseded
                 };
                 self.reply(&pending.from, pending.proposal, result);
             }
--- a/crates/daemon/src/replica/joining.rs
+++ b/crates/daemon/src/replica/joining.rs
@@ -23,7 +23,7 @@
     ) {
         match message {
             FormationMessage::Probe { replica } => self.answer_probe(from, replica),
-            FormationMessage::Emptied { replica } => {
+            FormationMessage::StorageEmpty { replica } => {
                 if let State::Member(own) = &mut self.state {
                     own.note_emptied(from.as_str(), replica);
                 }
@@ -160,7 +160,7 @@
         if !holds_nothing {
             return;
         }
-        let emptied = FormationMessage::Emptied {
+        let emptied = FormationMessage::StorageEmpty {
             replica: self.setup.replica,
         };
         for target in self.replicating() {
--- a/crates/daemon/src/replica/proposals.rs
+++ b/crates/daemon/src/replica/proposals.rs
@@ -3,7 +3,7 @@
 use crate::replica::actor::{PendingProposal, ReplicaActor, State};
 use silversail_consensus::{Millis, ProposeError, StateMachine};
 use silversail_model::NodeName;
-use silversail_peer::ProposeResult;
+use silversail_peer::ProposalResult;
 
 /// A leader of which nothing was heard for so many of its heartbeats is not named to those who
 /// propose: a proposal to one that was killed waits 600 ms, and a new leader is there after
@@ -33,7 +33,7 @@
             Err(leader) => {
                 let leader = leader.and_then(|leader| self.node_of(leader));
                 let leader = leader.filter(|leader| !self.is_silent(leader, now));
-                self.reply(&from, proposal, ProposeResult::NotLeader(leader));
+                self.reply(&from, proposal, ProposalResult::NotLeader(leader));
             }
         }
     }
--- a/crates/daemon/src/replica/proposer.rs
+++ b/crates/daemon/src/replica/proposer.rs
@@ -5,7 +5,7 @@
 use crate::metrics::Metrics;
 use crate::outbox::SharedOutbox;
 use silversail_consensus::Millis;
-use silversail_peer::{GroupId, GroupMessage, PeerMessage, ProposeResult};
+use silversail_peer::{GroupId, GroupMessage, PeerMessage, ProposalResult};
 use stakker::{after, ret, Ret, CX};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -207,18 +207,18 @@
     }
 
     /// Handles a voter's answer.
-    pub fn reply(&mut self, cx: CX![], proposal: u64, result: ProposeResult) {
+    pub fn reply(&mut self, cx: CX![], proposal: u64, result: ProposalResult) {
         let Some(outstanding) = self.outstanding.get_mut(&proposal) else {
             return;
         };
         match result {
-            ProposeResult::Applied(reply) => {
+            ProposalResult::Applied(reply) => {
                 self.finish(proposal, ProposalOutcome::Applied(reply), "applied");
             }
-            ProposeResult::Replaced => {
+            ProposalResult::Superseded => {
                 outstanding.resend_at = cx.now();
             }
-            ProposeResult::NotLeader(Some(leader)) => {
+            ProposalResult::NotLeader(Some(leader)) => {
                 outstanding.seeks_leader = false;
                 outstanding.resend_at = cx.now() + RESEND_AFTER;
                 let voters = self.directory.borrow().replicating();
@@ -227,7 +227,7 @@
                 }
                 self.send(proposal);
             }
-            ProposeResult::NotLeader(None) => {
+            ProposalResult::NotLeader(None) => {
                 outstanding.seeks_leader = true;
                 outstanding.resend_at = cx.now() + NO_LEADER_WAIT;
             }
--- a/crates/daemon/src/session/relay.rs
+++ b/crates/daemon/src/session/relay.rs
@@ -441,7 +441,7 @@
             }
             if let Some(update) = machine.update_since(session.revision) {
                 session.revision = Some(current);
-                let message = SessionMessage::Push(update);
+                let message = SessionMessage::PushConfiguration(update);
                 outbox.send(node, PeerMessage::Session(message));
             }
         }
--- a/crates/daemon/tests/directory.rs
+++ b/crates/daemon/tests/directory.rs
@@ -3,7 +3,7 @@
 use silversail_daemon::directory::Directory;
 use silversail_model::NodeName;
 use silversail_peer::message::PROTOCOL_VERSION;
-use silversail_peer::{encode, Contact, ContactsHeld, DiscoveryMessage, HeardContact};
+use silversail_peer::{encode, Contact, ContactWithAge, ContactsVersion, DiscoveryMessage};
 use silversail_peer::{Envelope, PeerMessage};
 
 const NODES: usize = 300;
@@ -38,13 +38,13 @@
 }
 
 /// One question and its answer.
-fn ask(asker: &mut Directory, teller: &mut Directory, now: u64) -> Vec<HeardContact> {
+fn ask(asker: &mut Directory, teller: &mut Directory, now: u64) -> Vec<ContactWithAge> {
     let name = teller.own().node.clone();
     let held = asker.held_of(&name);
     let (others, has) = teller.others_for(held, now);
     asker.hear(teller.own().clone(), 0, now);
     for other in &others {
-        asker.hear(other.contact.clone(), other.heard_ago_ms, now);
+        asker.hear(other.contact.clone(), other.last_heard_age_ms, now);
     }
     asker.holds(name.clone(), has);
     if held == Some(has) {
@@ -88,7 +88,7 @@
     for round in 0..20 {
         let others = ask(&mut asker, &mut teller, round * 100);
         let (_, has) = teller.others_for(asker.held_of(&contact(0).node), 0);
-        let known = DiscoveryMessage::Known {
+        let known = DiscoveryMessage::HelloReply {
             contact: contact(0),
             sent_to: String::new(),
             others,
@@ -131,7 +131,7 @@
 fn another_process_of_the_teller_tells_all_anew() {
     let (mut asker, mut teller) = (directory(NODES), knowing(20, 0));
     ask(&mut asker, &mut teller, 100);
-    let former = ContactsHeld {
+    let former = ContactsVersion {
         incarnation: 77,
         changes: 10_000,
     };
--- a/crates/daemon/tests/waiting.rs
+++ b/crates/daemon/tests/waiting.rs
@@ -15,7 +15,7 @@
         zone: String::new(),
         moved_bytes: 0,
         regions: RegionFilter::any(),
-        wanted_in_ms: 200,
+        target_remaining_ms: 200,
         remaining_ms: 2_000,
     }
 }
@@ -49,7 +49,10 @@
     let mut orders = WaitingOrders::default();
     orders.add(1, order("s"), 1_000);
     let (_, placed) = orders.take_due(|_| true, 1_300).remove(0);
-    assert_eq!((placed.wanted_in_ms, placed.remaining_ms), (0, 1_700));
+    assert_eq!(
+        (placed.target_remaining_ms, placed.remaining_ms),
+        (0, 1_700)
+    );
 }
 
 #[test]
--- a/crates/daemon/tests/works.rs
+++ b/crates/daemon/tests/works.rs
@@ -14,7 +14,7 @@
         zone: String::new(),
         moved_bytes: 0,
         regions: RegionFilter::any(),
-        wanted_in_ms: 500,
+        target_remaining_ms: 500,
         remaining_ms: 4_000,
     }
 }
@@ -30,7 +30,10 @@
     let placed = Some((Shard::whole("s"), node("n2")));
     let renewed = works.renew(1, placed, 1_000).expect("under way");
     assert_eq!((renewed.0, renewed.1), (node("n1"), node("n2")));
-    assert_eq!((renewed.2.wanted_in_ms, renewed.2.remaining_ms), (0, 3_000));
+    assert_eq!(
+        (renewed.2.target_remaining_ms, renewed.2.remaining_ms),
+        (0, 3_000)
+    );
     works
 }
 
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/connection_monitor.rs
@@ -15,7 +15,7 @@
 
 /// What is known of the connection to a peer and of the peer's signs of life.
 #[derive(Debug, Default)]
-pub struct LinkWatch {
+pub struct ConnectionMonitor {
     /// The peer's process, once it was heard.
     incarnation: Option<u64>,
     heard_at: Option<Instant>,
@@ -24,20 +24,20 @@
     dialled_at: Option<Instant>,
 }
 
-impl LinkWatch {
+impl ConnectionMonitor {
     /// A connection was begun.
-    pub fn dialled(&mut self, now: Instant) {
+    pub fn record_dial(&mut self, now: Instant) {
         self.dialled_at = Some(now);
     }
 
     /// A message was handed to the connection.
-    pub fn sent(&mut self, now: Instant) {
+    pub fn record_send(&mut self, now: Instant) {
         self.unanswered_since.get_or_insert(now);
     }
 
     /// Whether a connection is not up though it was begun a while ago: its first packet was
     /// lost.
-    pub fn hangs(&self, is_connected: bool, now: Instant) -> bool {
+    pub fn is_connect_overdue(&self, is_connected: bool, now: Instant) -> bool {
         let age = |at: Instant| now.saturating_duration_since(at);
         !is_connected
             && self
@@ -47,7 +47,7 @@
 
     /// A message of the peer's process `incarnation` came. True when the connection to it
     /// is to be given up for a new one.
-    pub fn heard(&mut self, incarnation: u64, is_connected: bool, now: Instant) -> bool {
+    pub fn record_message(&mut self, incarnation: u64, is_connected: bool, now: Instant) -> bool {
         let is_former = self.incarnation.is_some_and(|known| known > incarnation);
         if is_former {
             return false;
@@ -57,7 +57,7 @@
         let since = |at: Option<Instant>| at.map(|at| now.saturating_duration_since(at));
         let was_silent = since(self.heard_at).is_none_or(|silence| silence >= AWAY_AFTER);
         let owed = since(self.unanswered_since).is_some_and(|owed| owed >= AWAY_AFTER);
-        let hangs = self.hangs(is_connected, now);
+        let hangs = self.is_connect_overdue(is_connected, now);
         self.heard_at = Some(now);
         self.unanswered_since = None;
         self.dialled_at.is_some() && (is_new_process || hangs || (was_silent && owed))
--- a/crates/peer/src/discovery.rs
+++ b/crates/peer/src/discovery.rs
@@ -20,16 +20,16 @@
 
 /// A contact and how long ago it was last heard, by the teller's clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeardContact {
+pub struct ContactWithAge {
     /// The contact.
     pub contact: Contact,
     /// Milliseconds since it was heard, by the teller or by whoever told it.
-    pub heard_ago_ms: u64,
+    pub last_heard_age_ms: u64,
 }
 
 /// Up to which change one process's contacts are known to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ContactsHeld {
+pub struct ContactsVersion {
     /// The process whose contacts they are.
     pub incarnation: u64,
     /// Its changes that are known.
@@ -46,19 +46,19 @@
         /// The contact address that this was sent to.
         sent_to: String,
         /// The receiver's contacts that the sender has, if it has some.
-        has: Option<ContactsHeld>,
+        has: Option<ContactsVersion>,
     },
     /// Answers a hello.
-    Known {
+    HelloReply {
         /// The sender.
         contact: Contact,
         /// The address that the hello was sent to.
         sent_to: String,
         /// Others that the sender knows: those that replicate the state, and of the rest
         /// what the receiver does not have.
-        others: Vec<HeardContact>,
+        others: Vec<ContactWithAge>,
         /// What the receiver has after this.
-        has: ContactsHeld,
+        has: ContactsVersion,
         /// Milliseconds since some of the others that the receiver has were heard.
         ages: Vec<(NodeName, u64)>,
     },
--- a/crates/peer/src/errors.rs
+++ b/crates/peer/src/errors.rs
@@ -24,5 +24,5 @@
     Malformed,
     /// The message is of another cluster.
     #[error("message of cluster '{0}'")]
-    OtherCluster(String),
+    WrongCluster(String),
 }
--- a/crates/peer/src/kind.rs
+++ b/crates/peer/src/kind.rs
@@ -33,7 +33,7 @@
 impl DiscoveryMessage {
     fn kind(&self) -> &'static str {
         match self {
-            DiscoveryMessage::Hello { .. } | DiscoveryMessage::Known { .. } => "discovery",
+            DiscoveryMessage::Hello { .. } | DiscoveryMessage::HelloReply { .. } => "discovery",
             DiscoveryMessage::Probe | DiscoveryMessage::ProbeReply => "probe",
         }
     }
@@ -44,7 +44,7 @@
         match self {
             SessionMessage::Heartbeat(_) => "heartbeat",
             SessionMessage::Reply(_) => "heartbeat_reply",
-            SessionMessage::Push(_)
+            SessionMessage::PushConfiguration(_)
             | SessionMessage::PushTraffic(_)
             | SessionMessage::PushEvacuations(_)
             | SessionMessage::PushRollouts(_) => "configuration",
@@ -66,7 +66,7 @@
             WorkMessage::Announce { .. } => "work_announce",
             WorkMessage::Accepted { .. } => "work_accepted",
             WorkMessage::Done { .. } => "work_done",
-            WorkMessage::Waits(_) => "work_waits",
+            WorkMessage::WaitEstimates(_) => "work_waits",
             WorkMessage::InputsRead { .. } => "work_inputs_read",
             WorkMessage::Cancel { .. } => "work_cancel",
             WorkMessage::Release { .. } => "work_release",
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -3,10 +3,10 @@
 pub mod backend_list;
 mod backend_list_entries;
 pub mod backend_list_update;
+pub mod connection_monitor;
 pub mod discovery;
 pub mod errors;
 mod kind;
-pub mod link;
 pub mod message;
 pub mod transport;
 pub mod work;
@@ -14,14 +14,14 @@
 pub use backend_list::{BackendList, BackendListEntry, BackendListVersion, SharedBackendList};
 pub use backend_list_entries::{BackendListEntries, EntryChange};
 pub use backend_list_update::{BackendListHistory, BackendListUpdate, BackendListUpdateError};
-pub use discovery::{Contact, ContactsHeld, DiscoveryMessage, HeardContact};
+pub use discovery::{Contact, ContactWithAge, ContactsVersion, DiscoveryMessage};
 pub use errors::PeerError;
 pub use message::{
-    Envelope, FormationMessage, GroupId, GroupMessage, PeerMessage, ProposeResult,
+    Envelope, FormationMessage, GroupId, GroupMessage, PeerMessage, ProposalResult,
     SessionHeartbeat, SessionMessage, SessionReply,
 };
 pub use transport::{decode, encode, NngTransport, SendResult, Transport};
 pub use work::{
-    PhaseWork, Piece, PieceFailure, PieceSource, ResultHandle, ShardWaits, WorkId, WorkMessage,
-    RANKS,
+    PhaseWork, Piece, PieceFailure, PieceSource, ResultHandle, ShardWaitEstimates, WorkId,
+    WorkMessage, PRIORITY_LEVELS,
 };
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -95,19 +95,19 @@
         /// The sender's identifier.
         proposal: u64,
         /// What became of it.
-        result: ProposeResult,
+        result: ProposalResult,
     },
 }
 
 /// What became of a proposal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum ProposeResult {
+pub enum ProposalResult {
     /// Committed and applied, with the state machine's reply.
     Applied(Vec<u8>),
     /// Not taken; maybe this node leads.
     NotLeader(Option<NodeName>),
     /// Taken, but another leader's entry stands in its place: not committed.
-    Replaced,
+    Superseded,
 }
 
 /// How a group forms and how a replica with an empty disk comes in.
@@ -119,7 +119,7 @@
         replica: ReplicaId,
     },
     /// Tells that the sender's disk holds nothing: former replicas of its node are gone.
-    Emptied {
+    StorageEmpty {
         /// The sender's replica.
         replica: ReplicaId,
     },
@@ -198,7 +198,7 @@
     /// Relay to node.
     Reply(Box<SessionReply>),
     /// Relay to node, at once when the configuration changes.
-    Push(ConfigurationUpdate),
+    PushConfiguration(ConfigurationUpdate),
     /// Relay to node, at once when the traffic configuration changes.
     PushTraffic(TrafficUpdate),
     /// Relay to node, at once when other zones are evacuated.
--- a/crates/peer/src/transport.rs
+++ b/crates/peer/src/transport.rs
@@ -1,7 +1,7 @@
 //! Sending and receiving envelopes over `nng` push and pull sockets.
 
+use crate::connection_monitor::ConnectionMonitor;
 use crate::errors::PeerError;
-use crate::link::LinkWatch;
 use crate::message::{Envelope, PROTOCOL_VERSION};
 use nng::options::{Options, ReconnectMaxTime, ReconnectMinTime, RecvMaxSize, SendBufferSize};
 use nng::{PipeEvent, Protocol, Socket};
@@ -46,13 +46,13 @@
     }
 
     /// Learns where a node is reached.
-    fn learn(&mut self, _node: &NodeName, _address: &str) {}
+    fn set_address(&mut self, _node: &NodeName, _address: &str) {}
 
     /// Gives up the connection to a node that has gone silent, for a new one.
     fn reconnect(&mut self, _node: &NodeName) {}
 
     /// A message of a node's process came.
-    fn heard(&mut self, _node: &NodeName, _incarnation: u64) {}
+    fn record_message(&mut self, _node: &NodeName, _incarnation: u64) {}
 }
 
 /// Encodes an envelope.
@@ -71,7 +71,7 @@
         return Err(PeerError::Malformed);
     }
     if envelope.cluster != cluster {
-        return Err(PeerError::OtherCluster(envelope.cluster));
+        return Err(PeerError::WrongCluster(envelope.cluster));
     }
     Ok(envelope)
 }
@@ -86,7 +86,7 @@
 pub struct NngTransport {
     addresses: BTreeMap<NodeName, String>,
     connections: BTreeMap<String, Connection>,
-    watches: BTreeMap<String, LinkWatch>,
+    monitors: BTreeMap<String, ConnectionMonitor>,
     /// Connections that were given up, until what they hold has left.
     retired: VecDeque<(Instant, Socket)>,
 }
@@ -104,7 +104,7 @@
         let mut transport = Self {
             addresses: peers.clone(),
             connections: BTreeMap::new(),
-            watches: BTreeMap::new(),
+            monitors: BTreeMap::new(),
             retired: VecDeque::new(),
         };
         for address in peers.values() {
@@ -116,8 +116,8 @@
 
     fn take_connection(&mut self, address: &str, connection: Connection, now: Instant) {
         self.connections.insert(address.to_owned(), connection);
-        let watch = self.watches.entry(address.to_owned()).or_default();
-        watch.dialled(now);
+        let monitor = self.monitors.entry(address.to_owned()).or_default();
+        monitor.record_dial(now);
     }
 
     fn socket(&mut self, address: &str, now: Instant) -> Option<&Socket> {
@@ -141,8 +141,8 @@
     fn renew_if_hanging(&mut self, address: &str) {
         let now = Instant::now();
         let is_up = self.is_up(address);
-        let watch = self.watches.get(address);
-        if watch.is_some_and(|watch| watch.hangs(is_up, now)) {
+        let monitor = self.monitors.get(address);
+        if monitor.is_some_and(|monitor| monitor.is_connect_overdue(is_up, now)) {
             self.retire(address, now);
         }
     }
@@ -183,17 +183,17 @@
             },
             Err(_) => SendResult::Dropped,
         };
-        if let Some(watch) = self.watches.get_mut(address) {
-            watch.sent(now);
+        if let Some(monitor) = self.monitors.get_mut(address) {
+            monitor.record_send(now);
         }
         result
     }
 
-    fn learn(&mut self, node: &NodeName, address: &str) {
+    fn set_address(&mut self, node: &NodeName, address: &str) {
         let former = self.addresses.insert(node.clone(), address.to_owned());
         if let Some(former) = former.filter(|former| former != address) {
             self.connections.remove(&former);
-            self.watches.remove(&former);
+            self.monitors.remove(&former);
         }
         // It was heard: a connection begun while it was down would come up late.
         self.renew_if_hanging(address);
@@ -205,14 +205,14 @@
         }
     }
 
-    fn heard(&mut self, node: &NodeName, incarnation: u64) {
+    fn record_message(&mut self, node: &NodeName, incarnation: u64) {
         let Some(address) = self.addresses.get(node).cloned() else {
             return;
         };
         let now = Instant::now();
         let is_up = self.is_up(&address);
-        let watch = self.watches.entry(address.clone()).or_default();
-        if watch.heard(incarnation, is_up, now) {
+        let monitor = self.monitors.entry(address.clone()).or_default();
+        if monitor.record_message(incarnation, is_up, now) {
             log::debug!(event = "peer_back", node = node.as_str(), is_up = is_up; "connection renewed");
             self.retire(&address, now);
         }
--- a/crates/peer/src/work.rs
+++ b/crates/peer/src/work.rs
@@ -73,24 +73,24 @@
     /// The regions whose back ends may make them.
     pub regions: RegionFilter,
     /// Milliseconds until the phase should be done to keep the objective.
-    pub wanted_in_ms: u64,
+    pub target_remaining_ms: u64,
     /// Milliseconds until the request's deadline.
     pub remaining_ms: u64,
 }
 
 /// Ranks for which waits are told; less urgent ones wait as the last.
-pub const RANKS: usize = 4;
+pub const PRIORITY_LEVELS: usize = 4;
 
 /// How long a phase takes at a shard now, by the node that batches it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShardWaits {
+pub struct ShardWaitEstimates {
     /// The shard.
     pub shard: Shard,
     /// Milliseconds since its node told so.
     pub age_ms: u64,
     /// Milliseconds that what is waiting or announced takes before an order of each
     /// rank gets its turn.
-    pub backlog_ms: [u32; RANKS],
+    pub backlog_ms: [u32; PRIORITY_LEVELS],
     /// Milliseconds from an order's turn to its end.
     pub call_ms: u32,
     /// Milliseconds that what is waiting now, whatever its rank, takes before a call
@@ -125,7 +125,7 @@
         /// The order.
         work: WorkId,
         /// How long the shards of the service take now.
-        waits: Vec<ShardWaits>,
+        waits: Vec<ShardWaitEstimates>,
     },
     /// Answers a submission: the results in the order of the pieces.
     Done {
@@ -134,10 +134,10 @@
         /// The results.
         result: Result<Vec<ResultHandle>, PieceFailure>,
         /// How long the shards of the service take now.
-        waits: Vec<ShardWaits>,
+        waits: Vec<ShardWaitEstimates>,
     },
     /// Between nodes that batch shards of one service: how long the sender's take now.
-    Waits(Vec<ShardWaits>),
+    WaitEstimates(Vec<ShardWaitEstimates>),
     /// The back ends have read what the pieces are made from.
     InputsRead {
         /// The order.
--- a/crates/serving/examples/batch_cost.rs
+++ b/crates/serving/examples/batch_cost.rs
@@ -44,7 +44,7 @@
         zone: String::new(),
         moved_bytes: 0,
         regions: RegionFilter::any(),
-        wanted_in_ms: 60_000,
+        target_remaining_ms: 60_000,
         remaining_ms: 60_000_000,
     }
 }
--- a/crates/serving/src/batcher/announced.rs
+++ b/crates/serving/src/batcher/announced.rs
@@ -5,7 +5,7 @@
 use super::OrderKey;
 use crate::Millis;
 use silversail_model::Shard;
-use silversail_peer::RANKS;
+use silversail_peer::PRIORITY_LEVELS;
 use std::collections::BTreeMap;
 
 /// How long an announced order counts, in milliseconds, if nothing more is heard
@@ -45,11 +45,11 @@
     }
 
     /// Pieces to come of a shard, by the rank of their requests.
-    pub(super) fn pieces_by_rank(&self, shard: &Shard, now: Millis) -> [usize; RANKS] {
-        let mut pieces = [0; RANKS];
+    pub(super) fn pieces_by_rank(&self, shard: &Shard, now: Millis) -> [usize; PRIORITY_LEVELS] {
+        let mut pieces = [0; PRIORITY_LEVELS];
         for (order, until) in self.orders.values() {
             if order.shard == *shard && *until > now {
-                pieces[usize::from(order.priority).min(RANKS - 1)] += order.pieces;
+                pieces[usize::from(order.priority).min(PRIORITY_LEVELS - 1)] += order.pieces;
             }
         }
         pieces
--- a/crates/serving/src/batcher/estimate.rs
+++ b/crates/serving/src/batcher/estimate.rs
@@ -8,7 +8,7 @@
 use silversail_model::topology::RegionFilter;
 use silversail_model::traffic::BatchSpec;
 use silversail_model::Shard;
-use silversail_peer::{PieceFailure, ShardWaits, RANKS};
+use silversail_peer::{PieceFailure, ShardWaitEstimates, PRIORITY_LEVELS};
 
 /// Least share of a full call that is expected of a service.
 const LEAST_FULLNESS: f64 = 0.2;
@@ -63,16 +63,21 @@
         if !self.is_staffed(shard, &RegionFilter::any(), table) {
             return Err(PieceFailure::NoBackend);
         }
-        let rank = usize::from(rank).min(RANKS - 1);
+        let rank = usize::from(rank).min(PRIORITY_LEVELS - 1);
         let backlog = self.backlogs_ms(shard, table, now)[rank];
         Ok(u64::from(backlog) + call_ms(spec, pieces) as u64)
     }
 
     /// How long it takes until an order has its turn, in milliseconds, by rank. Orders
     /// too late for their objective stand back and do not count.
-    fn backlogs_ms(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> [u32; RANKS] {
+    fn backlogs_ms(
+        &self,
+        shard: &Shard,
+        table: &InstanceTable,
+        now: Millis,
+    ) -> [u32; PRIORITY_LEVELS] {
         let Some(spec) = self.specs.get(&shard.service) else {
-            return [0; RANKS];
+            return [0; PRIORITY_LEVELS];
         };
         let flow = self.flow_of(shard, spec, table, now);
         let mut pieces = self.announced.pieces_by_rank(shard, now);
@@ -145,11 +150,11 @@
     }
 
     /// How long a phase takes at a shard now, by rank.
-    pub fn waits(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> ShardWaits {
+    pub fn waits(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> ShardWaitEstimates {
         let pieces = self.pace_of(shard).pieces;
         let spec = self.specs.get(&shard.service);
         let call = spec.map_or(0.0, |spec| spec.call_ms + spec.piece_ms * pieces);
-        ShardWaits {
+        ShardWaitEstimates {
             shard: shard.clone(),
             age_ms: 0,
             backlog_ms: self.backlogs_ms(shard, table, now),
--- a/crates/serving/src/batcher/order.rs
+++ b/crates/serving/src/batcher/order.rs
@@ -3,7 +3,7 @@
 use super::CallId;
 use crate::policy::Policy;
 use crate::Millis;
-use silversail_peer::{PhaseWork, Piece, PieceFailure, ResultHandle, RANKS};
+use silversail_peer::{PhaseWork, Piece, PieceFailure, ResultHandle, PRIORITY_LEVELS};
 
 /// A lower rank lets a phase wait longer by this much, in milliseconds.
 const RANK_STEP: Millis = 1_000;
@@ -56,7 +56,7 @@
             states: vec![PieceState::Waiting; work.pieces.len()],
             waiting: work.pieces.len(),
             calls: vec![0; work.pieces.len()],
-            wanted_at: now + work.wanted_in_ms,
+            wanted_at: now + work.target_remaining_ms,
             deadline: now + work.remaining_ms,
             splits_from: now + SPLIT_AFTER,
             waits_near_until: now + policy.zone_wait_ms,
@@ -78,7 +78,7 @@
 
     /// Its request's rank; the last for all beyond.
     pub(super) fn rank(&self) -> usize {
-        usize::from(self.work.priority).min(RANKS - 1)
+        usize::from(self.work.priority).min(PRIORITY_LEVELS - 1)
     }
 
     /// Orders the waiting orders: the least goes first. An order that can't be done
--- a/crates/serving/src/dispatcher.rs
+++ b/crates/serving/src/dispatcher.rs
@@ -33,7 +33,7 @@
 use silversail_decisions::{DecisionLog, Event};
 use silversail_model::topology::RegionFilter;
 use silversail_model::{RequestFingerprint, ResultCode, Topology};
-use silversail_peer::{BackendListEntries, ShardWaits, WorkId};
+use silversail_peer::{BackendListEntries, ShardWaitEstimates, WorkId};
 use silversail_rollout::Rollout;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -132,7 +132,7 @@
     }
 
     /// Takes how long shards of batched services take now.
-    pub fn set_waits(&mut self, waits: impl IntoIterator<Item = ShardWaits>, now: Millis) {
+    pub fn set_waits(&mut self, waits: impl IntoIterator<Item = ShardWaitEstimates>, now: Millis) {
         for one in waits {
             self.admission.waits.take(one, now);
         }
--- a/crates/serving/src/dispatcher/admission.rs
+++ b/crates/serving/src/dispatcher/admission.rs
@@ -6,7 +6,7 @@
 use crate::waits::WaitBook;
 use crate::Millis;
 use silversail_model::Topology;
-use silversail_peer::RANKS;
+use silversail_peer::PRIORITY_LEVELS;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -131,7 +131,7 @@
             |phase: usize, begin: u64| self.end_of(&specs[phase].service, rank, begin, now);
         let first_part = self.first_part_ms(&request.routed.route.name);
         let expected = request.phases.expected_end(end_of)? + first_part;
-        let share = self.policy.admitted_shares[usize::from(rank).min(RANKS - 1)];
+        let share = self.policy.admitted_shares[usize::from(rank).min(PRIORITY_LEVELS - 1)];
         let objective = (request.routed.route.objective_ms as f64 * share) as u64;
         if expected <= objective {
             return None;
--- a/crates/serving/src/dispatcher/request.rs
+++ b/crates/serving/src/dispatcher/request.rs
@@ -252,7 +252,7 @@
             zone: place.zone,
             moved_bytes: place.moved_bytes,
             regions: self.routed.regions.clone(),
-            wanted_in_ms: wanted_at.saturating_sub(now),
+            target_remaining_ms: wanted_at.saturating_sub(now),
             remaining_ms: self.end.saturating_sub(now),
         }
     }
--- a/crates/serving/src/policy.rs
+++ b/crates/serving/src/policy.rs
@@ -5,7 +5,7 @@
 use crate::instances::ReturnPolicy;
 use crate::regions::RegionAffinity;
 use serde::Deserialize;
-use silversail_peer::RANKS;
+use silversail_peer::PRIORITY_LEVELS;
 
 /// Least and greatest share of an objective that may be admitted on.
 const SHARES: std::ops::RangeInclusive<f64> = 0.1..=2.0;
@@ -75,7 +75,7 @@
     pub inputs_read_after_ms: u64,
     /// Share of the objective within which a chain must be expected to end, by rank: waits
     /// are told late, and bursts come between. What is less urgent is refused first.
-    pub admitted_shares: [f64; RANKS],
+    pub admitted_shares: [f64; PRIORITY_LEVELS],
     /// A caller refused under load is told to come back this much later than its chain is
     /// expected to have room, in milliseconds: bursts last some seconds.
     pub return_after_ms: u64,
--- a/crates/serving/src/waits.rs
+++ b/crates/serving/src/waits.rs
@@ -4,7 +4,7 @@
 use crate::regions::moving_ms;
 use crate::Millis;
 use silversail_model::{Distance, Shard, Topology};
-use silversail_peer::{ShardWaits, RANKS};
+use silversail_peer::{ShardWaitEstimates, PRIORITY_LEVELS};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -49,7 +49,7 @@
 pub struct WaitBook {
     topology: Arc<Topology>,
     prefers_near: bool,
-    told: BTreeMap<Shard, (ShardWaits, Millis)>,
+    told: BTreeMap<Shard, (ShardWaitEstimates, Millis)>,
 }
 
 impl WaitBook {
@@ -64,7 +64,7 @@
     }
 
     /// Takes what a batching node told, unless something newer is known.
-    pub fn take(&mut self, waits: ShardWaits, now: Millis) {
+    pub fn take(&mut self, waits: ShardWaitEstimates, now: Millis) {
         let told_at = now.saturating_sub(waits.age_ms);
         let known = self.told.get(&waits.shard);
         if known.is_none_or(|(_, at)| *at <= told_at) {
@@ -73,10 +73,10 @@
     }
 
     /// What is known of the shards of a service, with ages as of `now`.
-    pub fn of_service(&self, service: &str, now: Millis) -> Vec<ShardWaits> {
+    pub fn of_service(&self, service: &str, now: Millis) -> Vec<ShardWaitEstimates> {
         let known = self.current(service, now);
         known
-            .map(|(waits, age_ms)| ShardWaits {
+            .map(|(waits, age_ms)| ShardWaitEstimates {
                 age_ms,
                 ..waits.clone()
             })
@@ -87,7 +87,7 @@
         &'a self,
         service: &'a str,
         now: Millis,
-    ) -> impl Iterator<Item = (&'a ShardWaits, Millis)> {
+    ) -> impl Iterator<Item = (&'a ShardWaitEstimates, Millis)> {
         let told = self.told.values();
         told.filter(move |(waits, _)| waits.shard.service == service)
             .map(move |(waits, at)| (waits, now.saturating_sub(*at)))
@@ -213,7 +213,7 @@
 }
 
 /// The shards that orders of a region go to which draw two of them.
-fn shorter_of_pairs<'a>(known: &[&'a ShardWaits]) -> Vec<&'a ShardWaits> {
+fn shorter_of_pairs<'a>(known: &[&'a ShardWaitEstimates]) -> Vec<&'a ShardWaitEstimates> {
     if let [only] = known {
         return vec![only];
     }
@@ -230,14 +230,14 @@
 }
 
 /// The wait at a shard to which an order takes `way` milliseconds more.
-fn wait_at(waits: &ShardWaits, rank: u8, way: u64) -> ExpectedWait {
+fn wait_at(waits: &ShardWaitEstimates, rank: u8, way: u64) -> ExpectedWait {
     ExpectedWait {
         backlog_ms: backlog_of(waits, rank) + way,
         call_ms: u64::from(waits.call_ms),
     }
 }
 
-fn mean_wait(known: &[&ShardWaits], rank: u8, way: u64) -> Option<ExpectedWait> {
+fn mean_wait(known: &[&ShardWaitEstimates], rank: u8, way: u64) -> Option<ExpectedWait> {
     let waits: Vec<ExpectedWait> = known.iter().map(|one| wait_at(one, rank, way)).collect();
     mean_of(&waits)
 }
@@ -252,8 +252,8 @@
     })
 }
 
-fn backlog_of(waits: &ShardWaits, rank: u8) -> u64 {
-    u64::from(waits.backlog_ms[usize::from(rank).min(RANKS - 1)])
+fn backlog_of(waits: &ShardWaitEstimates, rank: u8) -> u64 {
+    u64::from(waits.backlog_ms[usize::from(rank).min(PRIORITY_LEVELS - 1)])
 }
 
 /// One of `shards` by the draw of so many of a lot.
--- a/crates/serving/tests/batcher.rs
+++ b/crates/serving/tests/batcher.rs
@@ -195,10 +195,10 @@
         .expect("taken");
     let first = batcher.next_calls(&table, 0).remove(0);
     let mut late = work(2, 8);
-    late.wanted_in_ms = 500;
+    late.target_remaining_ms = 500;
     batcher.submit(key(2), late, &table, 0).expect("taken");
     let mut in_time = work(3, 8);
-    in_time.wanted_in_ms = 900;
+    in_time.target_remaining_ms = 900;
     batcher.submit(key(3), in_time, &table, 0).expect("taken");
     batcher.call_ended(first.call, made(&first), 320);
     // The second would end at 640, after it is wanted.
@@ -291,10 +291,10 @@
 #[test]
 fn an_order_with_time_waits_a_little_for_a_maker_in_its_zone() {
     let (table, mut batcher) = (table(&[("s1", "a"), ("s2", "b")]), batcher());
-    let order = |request, wanted_in_ms| {
+    let order = |request, target_remaining_ms| {
         let mut order = work(request, 2);
         order.zone = "a".into();
-        order.wanted_in_ms = wanted_in_ms;
+        order.target_remaining_ms = target_remaining_ms;
         order
     };
     batcher
--- a/crates/serving/tests/common/batches.rs
+++ b/crates/serving/tests/common/batches.rs
@@ -54,7 +54,7 @@
         zone: String::new(),
         moved_bytes: 0,
         regions: RegionFilter::any(),
-        wanted_in_ms: 1_000,
+        target_remaining_ms: 1_000,
         remaining_ms: 4_000,
     }
 }
--- a/crates/serving/tests/dispatcher.rs
+++ b/crates/serving/tests/dispatcher.rs
@@ -6,7 +6,9 @@
 use rstest::rstest;
 use silversail_decisions::DecisionLog;
 use silversail_model::{ResultCode, Shard};
-use silversail_peer::{PieceFailure, PieceSource, ResultHandle, ShardWaits, WorkId, RANKS};
+use silversail_peer::{
+    PieceFailure, PieceSource, ResultHandle, ShardWaitEstimates, WorkId, PRIORITY_LEVELS,
+};
 use silversail_serving::dispatcher::{
     Action, Dispatcher, NotRunReason, Refusal, SendOutcome, SendPlan, UnknownReason,
 };
@@ -58,14 +60,14 @@
 /// A policy that admits on this share of an objective, whatever the rank.
 fn admitting(share: f64) -> Policy {
     Policy {
-        admitted_shares: [share; RANKS],
+        admitted_shares: [share; PRIORITY_LEVELS],
         ..Policy::default()
     }
 }
 
 /// Waits by which a chain of two phases ends after 1,650 of 2,000 ms.
-fn waits_of_encode() -> ShardWaits {
-    ShardWaits {
+fn waits_of_encode() -> ShardWaitEstimates {
+    ShardWaitEstimates {
         shard: Shard::whole("encode"),
         age_ms: 0,
         backlog_ms: [100, 900, 900, 900],
@@ -266,9 +268,9 @@
 #[rstest]
 #[case::a_small_share([1.0, 0.8, 1.0, 1.0], true, false)]
 #[case::a_large_share([0.1, 0.9, 0.1, 0.1], true, true)]
-#[case::without_admission([0.1; RANKS], false, true)]
+#[case::without_admission([0.1; PRIORITY_LEVELS], false, true)]
 fn the_share_of_the_requests_rank_decides(
-    #[case] admitted_shares: [f64; RANKS],
+    #[case] admitted_shares: [f64; PRIORITY_LEVELS],
     #[case] chain_admission: bool,
     #[case] is_admitted: bool,
 ) {
@@ -405,7 +407,7 @@
 #[test]
 fn a_request_that_is_refused_announces_nothing() {
     let mut dispatcher = dispatcher();
-    let waits = ShardWaits {
+    let waits = ShardWaitEstimates {
         shard: Shard::whole("encode"),
         age_ms: 0,
         backlog_ms: [5_000; 4],
@@ -435,7 +437,7 @@
     }
     // Two calls of 400 ms fit into 80 in 100 of 2 s before an answer that begins after
     // 150 ms, and not before one that begins after 900.
-    let waits = ShardWaits {
+    let waits = ShardWaitEstimates {
         shard: Shard::whole("encode"),
         age_ms: 0,
         backlog_ms: [0; 4],
--- a/crates/serving/tests/waits.rs
+++ b/crates/serving/tests/waits.rs
@@ -5,7 +5,7 @@
 use common::{in_regions, in_zone};
 use rstest::rstest;
 use silversail_model::{Shard, ShardPlace};
-use silversail_peer::{ShardWaits, RANKS};
+use silversail_peer::{ShardWaitEstimates, PRIORITY_LEVELS};
 use silversail_serving::waits::{OrderToPlace, WaitBook};
 use std::collections::BTreeSet;
 
@@ -15,11 +15,11 @@
     ZONES.iter().map(|zone| Shard::in_zone("s", zone)).collect()
 }
 
-fn told(zone: &str, backlog_ms: u32, age_ms: u64) -> ShardWaits {
-    ShardWaits {
+fn told(zone: &str, backlog_ms: u32, age_ms: u64) -> ShardWaitEstimates {
+    ShardWaitEstimates {
         shard: Shard::in_zone("s", zone),
         age_ms,
-        backlog_ms: [backlog_ms; RANKS],
+        backlog_ms: [backlog_ms; PRIORITY_LEVELS],
         call_ms: 300,
         queue_ms: backlog_ms,
     }
