--- a/crates/backend/src/guard.rs
+++ b/crates/backend/src/guard.rs
@@ -1,7 +1,7 @@
 //! What is asked before a call leaves for a back end, and what its answers say of it.
 
 use crate::call::CallFailure;
-use silversail_model::{NamedLimit, RequestedRest};
+use silversail_model::{AdvertisedRateLimit, RetryAfter};
 use std::time::Duration;
 
 /// Header by which a back end says in an answer that it leaves; its value is `1`.
@@ -22,7 +22,7 @@
     /// Whether it leaves.
     pub is_leaving: bool,
     /// How many requests it takes from all nodes together.
-    pub limit: NamedLimit,
+    pub limit: AdvertisedRateLimit,
 }
 
 /// Stands between calls and one back end.
@@ -71,13 +71,13 @@
 
 fn report_of(head: &ureq::Response) -> HeadReport {
     let rest = match TURNED_AWAY.contains(&head.status()) {
-        true => RequestedRest::read(head.all(RETRY_AFTER)),
-        false => RequestedRest::default(),
+        true => RetryAfter::read(head.all(RETRY_AFTER)),
+        false => RetryAfter::default(),
     };
     HeadReport {
         rest: rest.longest,
         has_unreadable_rest: rest.is_unreadable,
         is_leaving: head.all(LEAVING).contains(&"1"),
-        limit: NamedLimit::read(head.all(LIMIT)),
+        limit: AdvertisedRateLimit::read(head.all(LIMIT)),
     }
 }
--- a/crates/control/src/batch_owners.rs
+++ b/crates/control/src/batch_owners.rs
@@ -4,7 +4,7 @@
 //! nodes that batch one shard do not know of each other's calls and results.
 
 use silversail_model::topology::Topology;
-use silversail_model::{NodeName, Shard, ShardPlace};
+use silversail_model::{NodeName, Shard, ShardScope};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
@@ -44,10 +44,10 @@
 impl Dealing {
     /// How the shards of a service are dealt now.
     fn of<'a>(shards: impl Iterator<Item = &'a Shard>) -> Self {
-        let dealings = shards.map(|shard| match shard.place {
-            ShardPlace::All => Self::Whole,
-            ShardPlace::Zone(_) => Self::ByZone,
-            ShardPlace::Region { .. } => Self::ByRegion,
+        let dealings = shards.map(|shard| match shard.scope {
+            ShardScope::All => Self::Whole,
+            ShardScope::Zone(_) => Self::ByZone,
+            ShardScope::Region { .. } => Self::ByRegion,
         });
         // Back ends in zones of no known region have shards of their own beside those of
         // regions.
@@ -121,13 +121,13 @@
         // Nothing is known of its back ends: it stays as it is.
         let kept: BTreeSet<Shard> = present.cloned().collect();
         return match kept.is_empty() {
-            true => [Shard::whole(service)].into(),
+            true => [Shard::whole_service(service)].into(),
             false => kept,
         };
     };
     let dealing = Dealing::next(Dealing::of(present), makers, topology);
     let shard_of = |zone: &String| match dealing {
-        Dealing::Whole => Shard::whole(service),
+        Dealing::Whole => Shard::whole_service(service),
         Dealing::ByRegion => Shard::in_region_of(service, zone, topology),
         Dealing::ByZone => Shard::in_zone(service, zone),
     };
@@ -159,14 +159,14 @@
         let fit = candidates.iter().filter(|one| one.usable && is_fit(one));
         first_for_shard(fit.map(|one| one.node), shard)
     };
-    if shard.is_whole() {
+    if shard.is_whole_service() {
         let is_free = |one: &Candidate| one.usable && !one.leads && !taken.contains(one.node);
         let free = candidates.iter().filter(|one| is_free(one));
         let largest = free.map(|one| one.processor_percent).max();
         let is_largest = |one: &Candidate| Some(one.processor_percent) == largest;
         return first(&|one| is_free(one) && is_largest(one)).or_else(|| first(&|_| true));
     }
-    let is_near = |one: &Candidate| shard.holds(one.zone);
+    let is_near = |one: &Candidate| shard.contains_zone(one.zone);
     let is_free = |one: &Candidate| !one.replicates && !taken.contains(one.node);
     let nearest = first(&|one| is_near(one) && is_free(one));
     if reach == Reach::Near && candidates.iter().any(is_near) {
@@ -211,7 +211,7 @@
     let shards: Vec<Shard> = shards.collect();
     let keeps = |shard: &Shard, owner: &NodeName| {
         let candidate = candidates.iter().find(|one| one.node == owner);
-        candidate.is_some_and(|one| one.usable || !shard.is_whole())
+        candidate.is_some_and(|one| one.usable || !shard.is_whole_service())
     };
     let mut next: BatchOwners = owners
         .iter()
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -170,7 +170,7 @@
     assign(&mut table, &services, 1_100);
     assert_eq!(table.version(), version);
     // One stops: only its services move, and they stay when it is back.
-    let stopped = assigned[&Shard::whole("s1")].clone();
+    let stopped = assigned[&Shard::whole_service("s1")].clone();
     table.report(&report_of(stopped.as_str(), true), 1_200);
     assign(&mut table, &services, 1_200);
     let moved = table.view().batch_owners;
--- a/crates/control/tests/shards.rs
+++ b/crates/control/tests/shards.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 use silversail_control::batch_owners::{assign, BatchOwners, Candidate, MakersByZone};
 use silversail_model::topology::{RoundTrips, Topology};
-use silversail_model::{NodeName, Shard, ShardPlace};
+use silversail_model::{NodeName, Shard, ShardScope};
 use std::collections::{BTreeMap, BTreeSet};
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
@@ -48,9 +48,9 @@
 }
 
 fn zone_of(shard: &Shard) -> Option<String> {
-    match &shard.place {
-        ShardPlace::Zone(zone) => Some(zone.clone()),
-        ShardPlace::All | ShardPlace::Region { .. } => None,
+    match &shard.scope {
+        ShardScope::Zone(zone) => Some(zone.clone()),
+        ShardScope::All | ShardScope::Region { .. } => None,
     }
 }
 
@@ -350,7 +350,7 @@
     let in_place = |owners: &BatchOwners, nodes: &[(NodeName, &str, bool)]| {
         owners.iter().all(|(shard, owner)| {
             let node = nodes.iter().find(|(node, ..)| node == owner);
-            node.is_some_and(|(_, zone, replicates)| shard.holds(zone) && !replicates)
+            node.is_some_and(|(_, zone, replicates)| shard.contains_zone(zone) && !replicates)
         })
     };
     assert_eq!(owners.len(), 4);
--- a/crates/daemon/src/evacuation.rs
+++ b/crates/daemon/src/evacuation.rs
@@ -87,7 +87,7 @@
         if !is_valid_name(zone) {
             return Err(ResultCode::InvalidName);
         }
-        let zones = self.setup.topology.regions_of_zones();
+        let zones = self.setup.topology.region_by_zone();
         match zones.is_empty() || zones.contains_key(zone) {
             true => Ok(()),
             false => Err(ResultCode::UnknownZone),
--- a/crates/daemon/src/gateway/allowed.rs
+++ b/crates/daemon/src/gateway/allowed.rs
@@ -26,10 +26,10 @@
     /// Whether a shard's back ends may make pieces, and its node hold them: that one may also
     /// lie in the region of the node that the caller chose.
     pub fn has_shard(&self, shard: &Shard, owner: &NodeName) -> bool {
-        if !self.regions.is_restricting() {
+        if !self.regions.is_restricted() {
             return true;
         }
-        let zone = shard.one_zone();
+        let zone = shard.representative_zone();
         let may_make = zone.is_none_or(|zone| self.has_zone(zone));
         may_make && (owner == self.own || self.may_hold(owner))
     }
--- a/crates/daemon/src/gateway/owners.rs
+++ b/crates/daemon/src/gateway/owners.rs
@@ -36,7 +36,7 @@
     is_excluded: impl Fn(&NodeName) -> bool,
 ) -> Option<NodeName> {
     let assigned = view.batch_owners.get(shard)?;
-    if !shard.is_whole() {
+    if !shard.is_whole_service() {
         let is_live = view.nodes.iter().any(|status| status.node == *assigned);
         return Some(assigned)
             .filter(|node| is_live && !is_excluded(node))
--- a/crates/daemon/src/gateway/placing.rs
+++ b/crates/daemon/src/gateway/placing.rs
@@ -81,7 +81,7 @@
         let shard = placed.map_or(&phase.shard, |(shard, _)| shard);
         let topology = &self.setup.topology;
         let own_zone = topology.own_zone();
-        let distance = (!shard.is_whole()).then(|| shard.distance(own_zone, topology));
+        let distance = (!shard.is_whole_service()).then(|| shard.distance(own_zone, topology));
         self.setup.log.record(LogEvent::PhaseSubmitted {
             request: request.to_owned(),
             phase: phase.pieces.first().map_or(0, |piece| piece.phase),
@@ -153,8 +153,9 @@
         let maker = self.dispatcher.instances.holder(handle);
         let zone = maker.map_or("", |maker| maker.listed.zone.as_str());
         let mut shards = self.owners.iter();
-        let made_it =
-            |(shard, _): &(&Shard, &NodeName)| shard.service == service && shard.holds(zone);
+        let made_it = |(shard, _): &(&Shard, &NodeName)| {
+            shard.service == service && shard.contains_zone(zone)
+        };
         shards.find(made_it).map(|(_, owner)| owner)
     }
 
@@ -167,7 +168,7 @@
             Some((waits, _)) => waits.clone(),
             None => self.look_at_waits(shard, now),
         };
-        if shard.is_whole() {
+        if shard.is_whole_service() {
             return vec![own];
         }
         self.dispatcher.waits().of_service(&shard.service, now)
@@ -212,8 +213,9 @@
     /// The parts of services that this node batches, each with the nodes that batch the others
     /// of its service.
     fn own_shards(&self) -> Vec<(Shard, BTreeSet<NodeName>)> {
-        let is_own =
-            |(shard, owner): &(&Shard, &NodeName)| **owner == self.node && !shard.is_whole();
+        let is_own = |(shard, owner): &(&Shard, &NodeName)| {
+            **owner == self.node && !shard.is_whole_service()
+        };
         let own = self.owners.iter().filter(is_own).map(|(shard, _)| shard);
         let others_of = |service: &str| {
             let of_service = self.owners.iter().filter(|(one, _)| one.service == service);
--- a/crates/daemon/src/gateway/works.rs
+++ b/crates/daemon/src/gateway/works.rs
@@ -116,7 +116,7 @@
     /// The phase of an order that may still go to another shard of its service.
     pub fn movable_phase(&self, work: WorkId, now: Millis) -> Option<PhaseWork> {
         let submitted = self.submitted.get(&work)?;
-        let may_move = !submitted.phase.shard.is_whole() && submitted.moves < MAX_MOVES;
+        let may_move = !submitted.phase.shard.is_whole_service() && submitted.moves < MAX_MOVES;
         may_move.then(|| self.phase_of(work, now))?
     }
 
--- a/crates/daemon/src/settings/topology.rs
+++ b/crates/daemon/src/settings/topology.rs
@@ -36,7 +36,7 @@
         let own_zone = &self.own_node().zone;
         let topology = Topology::new(own_zone, regions, self.topology.round_trip_ms)
             .map_err(|error| refused(&error))?;
-        for (zone, region) in topology.regions_of_zones() {
+        for (zone, region) in topology.region_by_zone() {
             check_name(region, &format!("topology.zones.{zone}"))?;
         }
         Ok(topology)
--- a/crates/daemon/tests/allowed_places.rs
+++ b/crates/daemon/tests/allowed_places.rs
@@ -36,7 +36,7 @@
 
 fn only(regions: &[&str]) -> RegionFilter {
     let allowed = regions.iter().map(|region| (*region).to_owned()).collect();
-    RegionFilter::of_both(Some(&allowed), None)
+    RegionFilter::intersection(Some(&allowed), None)
 }
 
 /// A request that came to the node in `n1`, and may be served in the south.
@@ -100,6 +100,9 @@
         own: &own,
         regions: &regions,
     };
-    assert_eq!(places.has_makers(&Shard::whole("s"), &instances), expected);
+    assert_eq!(
+        places.has_makers(&Shard::whole_service("s"), &instances),
+        expected
+    );
     assert!(!places.has_makers(&Shard::in_zone("s", "n1"), &instances));
 }
--- a/crates/daemon/tests/entry_points.rs
+++ b/crates/daemon/tests/entry_points.rs
@@ -118,7 +118,7 @@
 fn only_allowed_regions_and_the_callers_own_are_told() {
     let nodes = nodes(&[("east-1", 2), ("north-1", 20), ("west-1", 20)]);
     let north: BTreeSet<String> = ["north".to_owned()].into();
-    let allowed = RegionFilter::of_both(Some(&north), None);
+    let allowed = RegionFilter::intersection(Some(&north), None);
     let from_east = told(
         &nodes,
         &caller("h", "east", "east-1"),
--- a/crates/daemon/tests/owners.rs
+++ b/crates/daemon/tests/owners.rs
@@ -51,8 +51,10 @@
 }
 
 fn owner(view: &ClusterView, service: &str) -> NodeName {
-    batch_owner(view, &Shard::whole(service), &"own".into(), |_| false)
-        .expect("the view names nodes")
+    batch_owner(view, &Shard::whole_service(service), &"own".into(), |_| {
+        false
+    })
+    .expect("the view names nodes")
 }
 
 #[test]
@@ -77,7 +79,7 @@
     let services = ["s".to_owned()];
     let passed_over = batch_owner(
         &assigned(2, &services),
-        &Shard::whole("s"),
+        &Shard::whole_service("s"),
         &"own".into(),
         |_| true,
     );
@@ -85,7 +87,7 @@
     let mut empty = assigned(2, &services);
     empty.nodes.clear();
     assert_eq!(
-        batch_owner(&empty, &Shard::whole("s"), &"own".into(), |_| false),
+        batch_owner(&empty, &Shard::whole_service("s"), &"own".into(), |_| false),
         None
     );
 }
@@ -95,7 +97,9 @@
 #[test]
 fn before_the_leader_has_assigned_a_service_nobody_batches_it() {
     assert_eq!(
-        batch_owner(&view(4), &Shard::whole("s"), &"own".into(), |_| false),
+        batch_owner(&view(4), &Shard::whole_service("s"), &"own".into(), |_| {
+            false
+        }),
         None
     );
 }
@@ -129,13 +133,14 @@
 fn the_owner_that_the_leader_named_is_taken_while_it_may_be_used() {
     let mut view = view(4);
     let names = view.nodes.iter().map(|status| &status.node);
-    let by_hash = first_for_shard(names, &Shard::whole("s"))
+    let by_hash = first_for_shard(names, &Shard::whole_service("s"))
         .expect("nodes")
         .clone();
     let named: NodeName = if by_hash == "n0".into() { "n1" } else { "n0" }.into();
-    view.batch_owners.insert(Shard::whole("s"), named.clone());
+    view.batch_owners
+        .insert(Shard::whole_service("s"), named.clone());
     assert_eq!(owner(&view, "s"), named);
-    let others = batch_owner(&view, &Shard::whole("s"), &"own".into(), |node| {
+    let others = batch_owner(&view, &Shard::whole_service("s"), &"own".into(), |node| {
         *node == named
     });
     assert_eq!(others, Some(by_hash.clone()));
--- a/crates/daemon/tests/views.rs
+++ b/crates/daemon/tests/views.rs
@@ -38,8 +38,14 @@
 fn a_leader_that_lost_its_memory_takes_no_node_out_at_once() {
     let mut state = NodeState::default();
     assert!(state.take_view(view(2, 9, &ALL), 1_000));
-    let owner =
-        |state: &NodeState| batch_owner(&state.view, &Shard::whole("s"), &"own".into(), |_| false);
+    let owner = |state: &NodeState| {
+        batch_owner(
+            &state.view,
+            &Shard::whole_service("s"),
+            &"own".into(),
+            |_| false,
+        )
+    };
     let before = owner(&state);
     assert!(state.take_view(view(3, 1, &[]), 5_000));
     assert_eq!(usable(&state), ["n1", "n2", "n3"]);
@@ -70,14 +76,23 @@
 fn owners_last_until_a_new_leader_names_others() {
     let mut state = NodeState::default();
     let mut first = view(2, 9, &ALL);
-    first.batch_owners.insert(Shard::whole("s"), "n3".into());
+    first
+        .batch_owners
+        .insert(Shard::whole_service("s"), "n3".into());
     assert!(state.take_view(first, 1_000));
     assert!(state.take_view(view(3, 1, &ALL[..1]), 5_000));
-    let owner =
-        |state: &NodeState| batch_owner(&state.view, &Shard::whole("s"), &"own".into(), |_| false);
+    let owner = |state: &NodeState| {
+        batch_owner(
+            &state.view,
+            &Shard::whole_service("s"),
+            &"own".into(),
+            |_| false,
+        )
+    };
     assert_eq!(owner(&state), Some("n3".into()));
     let mut next = view(3, 2, &ALL);
-    next.batch_owners.insert(Shard::whole("s"), "n1".into());
+    next.batch_owners
+        .insert(Shard::whole_service("s"), "n1".into());
     assert!(state.take_view(next, 6_000));
     assert_eq!(owner(&state), Some("n1".into()));
 }
--- a/crates/daemon/tests/waiting.rs
+++ b/crates/daemon/tests/waiting.rs
@@ -8,7 +8,7 @@
 
 fn order(service: &str) -> PhaseWork {
     PhaseWork {
-        shard: Shard::whole(service),
+        shard: Shard::whole_service(service),
         pieces: Vec::new(),
         fingerprint: RequestFingerprint::default(),
         priority: 1,
--- a/crates/daemon/tests/works.rs
+++ b/crates/daemon/tests/works.rs
@@ -7,7 +7,7 @@
 
 fn order() -> PhaseWork {
     PhaseWork {
-        shard: Shard::whole("s"),
+        shard: Shard::whole_service("s"),
         pieces: Vec::new(),
         fingerprint: RequestFingerprint::default(),
         priority: 1,
@@ -27,7 +27,7 @@
 fn given_again() -> Works {
     let mut works = Works::default();
     works.submitted(1, node("n1"), order(), 0);
-    let placed = Some((Shard::whole("s"), node("n2")));
+    let placed = Some((Shard::whole_service("s"), node("n2")));
     let renewed = works.renew(1, placed, 1_000).expect("under way");
     assert_eq!((renewed.0, renewed.1), (node("n1"), node("n2")));
     assert_eq!(
--- a/crates/model/src/rate.rs
+++ b/crates/model/src/rate.rs
@@ -30,14 +30,14 @@
 
 /// The limits that a head names.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct NamedLimit {
+pub struct AdvertisedRateLimit {
     /// The lowest of them; none where none can be read.
     pub lowest: Option<RequestRate>,
     /// Whether one can't be read.
     pub is_unreadable: bool,
 }
 
-impl NamedLimit {
+impl AdvertisedRateLimit {
     /// Reads the values of all headers of the name: several may be joined by commas on their way.
     /// Each is a number of requests a second, fractions included.
     pub fn read<'a>(values: impl IntoIterator<Item = &'a str>) -> Self {
--- a/crates/model/src/rest.rs
+++ b/crates/model/src/retry_after.rs
@@ -4,14 +4,14 @@
 
 /// The rests that a head names.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RequestedRest {
+pub struct RetryAfter {
     /// The longest of them; none where none is longer than 0.
     pub longest: Option<Duration>,
     /// Whether one can't be read.
     pub is_unreadable: bool,
 }
 
-impl RequestedRest {
+impl RetryAfter {
     /// Reads the values of all headers of the name: several may be joined by commas on their way.
     /// Each is a number of seconds, fractions included. A date counts as unreadable: the clocks of
     /// two machines need not agree.
--- a/crates/model/src/shard.rs
+++ b/crates/model/src/shard.rs
@@ -11,12 +11,12 @@
     /// The service.
     pub service: String,
     /// Where the back ends are.
-    pub place: ShardPlace,
+    pub scope: ShardScope,
 }
 
 /// Where the back ends of a shard are.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum ShardPlace {
+pub enum ShardScope {
     /// Everywhere: all back ends of the service.
     All,
     /// In one zone.
@@ -32,10 +32,10 @@
 
 impl Shard {
     /// All back ends of a service.
-    pub fn whole(service: &str) -> Self {
+    pub fn whole_service(service: &str) -> Self {
         Self {
             service: service.to_owned(),
-            place: ShardPlace::All,
+            scope: ShardScope::All,
         }
     }
 
@@ -43,7 +43,7 @@
     pub fn in_zone(service: &str, zone: &str) -> Self {
         Self {
             service: service.to_owned(),
-            place: ShardPlace::Zone(zone.to_owned()),
+            scope: ShardScope::Zone(zone.to_owned()),
         }
     }
 
@@ -53,11 +53,11 @@
         let Some(region) = topology.region_of(zone) else {
             return Self::in_zone(service, zone);
         };
-        let zones = topology.regions_of_zones().iter();
+        let zones = topology.region_by_zone().iter();
         let of_region = zones.filter(|(_, one)| one.as_str() == region);
         Self {
             service: service.to_owned(),
-            place: ShardPlace::Region {
+            scope: ShardScope::Region {
                 name: region.to_owned(),
                 zones: of_region.map(|(zone, _)| zone.clone()).collect(),
             },
@@ -65,43 +65,43 @@
     }
 
     /// Whether it is all of the service, so that there is no other shard of it.
-    pub fn is_whole(&self) -> bool {
-        self.place == ShardPlace::All
+    pub fn is_whole_service(&self) -> bool {
+        self.scope == ShardScope::All
     }
 
     /// A zone of it, which tells its region; none for a whole service.
-    pub fn one_zone(&self) -> Option<&str> {
-        match &self.place {
-            ShardPlace::All => None,
-            ShardPlace::Zone(zone) => Some(zone),
-            ShardPlace::Region { zones, .. } => zones.first().map(String::as_str),
+    pub fn representative_zone(&self) -> Option<&str> {
+        match &self.scope {
+            ShardScope::All => None,
+            ShardScope::Zone(zone) => Some(zone),
+            ShardScope::Region { zones, .. } => zones.first().map(String::as_str),
         }
     }
 
     /// Whether all its back ends are in the same zone.
-    pub fn is_of_one_zone(&self) -> bool {
-        match &self.place {
-            ShardPlace::All => false,
-            ShardPlace::Zone(_) => true,
-            ShardPlace::Region { zones, .. } => zones.len() < 2,
+    pub fn is_single_zone(&self) -> bool {
+        match &self.scope {
+            ShardScope::All => false,
+            ShardScope::Zone(_) => true,
+            ShardScope::Region { zones, .. } => zones.len() < 2,
         }
     }
 
     /// Whether a back end in `zone` belongs to it.
-    pub fn holds(&self, zone: &str) -> bool {
-        match &self.place {
-            ShardPlace::All => true,
-            ShardPlace::Zone(own) => own == zone,
-            ShardPlace::Region { zones, .. } => zones.iter().any(|own| own == zone),
+    pub fn contains_zone(&self, zone: &str) -> bool {
+        match &self.scope {
+            ShardScope::All => true,
+            ShardScope::Zone(own) => own == zone,
+            ShardScope::Region { zones, .. } => zones.iter().any(|own| own == zone),
         }
     }
 
     /// How far the nearest zone of it is from `zone`.
     pub fn distance(&self, zone: &str, topology: &Topology) -> Distance {
-        match &self.place {
-            ShardPlace::All => Distance::SameZone,
-            ShardPlace::Zone(own) => topology.distance(zone, own),
-            ShardPlace::Region { zones, .. } => {
+        match &self.scope {
+            ShardScope::All => Distance::SameZone,
+            ShardScope::Zone(own) => topology.distance(zone, own),
+            ShardScope::Region { zones, .. } => {
                 let distances = zones.iter().map(|own| topology.distance(zone, own));
                 distances.min().unwrap_or(Distance::OtherRegion)
             }
@@ -111,9 +111,9 @@
 
 impl fmt::Display for Shard {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match &self.place {
-            ShardPlace::All => formatter.write_str(&self.service),
-            ShardPlace::Zone(place) | ShardPlace::Region { name: place, .. } => {
+        match &self.scope {
+            ShardScope::All => formatter.write_str(&self.service),
+            ShardScope::Zone(place) | ShardScope::Region { name: place, .. } => {
                 write!(formatter, "{}@{place}", self.service)
             }
         }
--- a/crates/model/src/topology.rs
+++ b/crates/model/src/topology.rs
@@ -121,7 +121,7 @@
     }
 
     /// The zones with their regions.
-    pub fn regions_of_zones(&self) -> &BTreeMap<String, String> {
+    pub fn region_by_zone(&self) -> &BTreeMap<String, String> {
         &self.regions
     }
 
@@ -170,7 +170,10 @@
     }
 
     /// The regions that both of two lists name; a list that is none names all.
-    pub fn of_both(first: Option<&BTreeSet<String>>, second: Option<&BTreeSet<String>>) -> Self {
+    pub fn intersection(
+        first: Option<&BTreeSet<String>>,
+        second: Option<&BTreeSet<String>>,
+    ) -> Self {
         let allowed = match (first, second) {
             (Some(first), Some(second)) => Some(first.intersection(second).cloned().collect()),
             (one, other) => one.or(other).cloned(),
@@ -179,7 +182,7 @@
     }
 
     /// Whether any region is left out.
-    pub fn is_restricting(&self) -> bool {
+    pub fn is_restricted(&self) -> bool {
         self.allowed.is_some()
     }
 
--- a/crates/model/src/traffic.rs
+++ b/crates/model/src/traffic.rs
@@ -212,7 +212,7 @@
     },
     /// Two routes have the same host and prefix.
     #[error("routes '{first}' and '{second}' have the same host and prefix")]
-    SamePlace {
+    DuplicateMatch {
         /// One route.
         first: String,
         /// The other.
@@ -220,10 +220,10 @@
     },
     /// The weights of a route's services sum to nothing.
     #[error("the weights of route '{0}' sum to 0")]
-    NoWeight(String),
+    ZeroWeight(String),
     /// A route's timeout is 0.
     #[error("the timeout of route '{0}' is 0")]
-    NoTimeout(String),
+    ZeroTimeout(String),
     /// Two tenants share a key.
     #[error("tenants '{first}' and '{second}' share a key")]
     SharedKey {
@@ -234,10 +234,10 @@
     },
     /// What a cold back end bears is no figure above 0.
     #[error("what cold back ends of service '{0}' bear must be above 0")]
-    ColdFigures(String),
+    InvalidColdRate(String),
     /// A list of allowed regions is empty: nothing could be served.
     #[error("the allowed regions of {what} '{name}' are none")]
-    NoRegion {
+    NoAllowedRegions {
         /// Kind of object.
         what: &'static str,
         /// Its name.
@@ -273,7 +273,7 @@
             }
             let rate = service.cold.as_ref().map(|cold| cold.requests_per_second);
             if rate.is_some_and(|rate| !(rate.is_finite() && rate > 0.0)) {
-                return Err(TrafficError::ColdFigures(service.name.clone()));
+                return Err(TrafficError::InvalidColdRate(service.name.clone()));
             }
         }
         let mut places: BTreeMap<(&str, &str), &str> = BTreeMap::new();
@@ -281,7 +281,7 @@
             route.validate(&services)?;
             let place = (route.host.as_str(), route.path_prefix.as_str());
             if let Some(first) = places.insert(place, &route.name) {
-                return Err(TrafficError::SamePlace {
+                return Err(TrafficError::DuplicateMatch {
                     first: first.to_owned(),
                     second: route.name.clone(),
                 });
@@ -290,7 +290,7 @@
         let is_empty = |(_, _, allowed): &(_, _, &BTreeSet<String>)| allowed.is_empty();
         if let Some((what, name, _)) = self.region_lists().find(is_empty) {
             let name = name.to_owned();
-            return Err(TrafficError::NoRegion { what, name });
+            return Err(TrafficError::NoAllowedRegions { what, name });
         }
         self.validate_tenants()
     }
@@ -366,10 +366,10 @@
             }
         }
         if self.targets.iter().all(|target| target.weight == 0) {
-            return Err(TrafficError::NoWeight(self.name.clone()));
+            return Err(TrafficError::ZeroWeight(self.name.clone()));
         }
         if self.timeout_ms == 0 {
-            return Err(TrafficError::NoTimeout(self.name.clone()));
+            return Err(TrafficError::ZeroTimeout(self.name.clone()));
         }
         for (phase, spec) in self.phases.iter().enumerate() {
             if spec.after.iter().any(|before| *before >= phase) {
--- a/crates/model/tests/topology.rs
+++ b/crates/model/tests/topology.rs
@@ -67,7 +67,7 @@
 ) {
     let list = |name: Option<&str>| name.map(|one| [one.to_owned()].into());
     let (first, second) = (list(of_route), list(of_tenant));
-    let filter = RegionFilter::of_both(first.as_ref(), second.as_ref());
+    let filter = RegionFilter::intersection(first.as_ref(), second.as_ref());
     assert_eq!(filter.allows(Some(region)), expected);
     let is_open = of_route.is_none() && of_tenant.is_none();
     assert_eq!(filter.allows(None), is_open);
--- a/crates/serving/examples/batch_cost.rs
+++ b/crates/serving/examples/batch_cost.rs
@@ -37,7 +37,7 @@
         result_bytes: 60_000,
     };
     PhaseWork {
-        shard: Shard::whole("service"),
+        shard: Shard::whole_service("service"),
         pieces: (0..8).map(piece).collect(),
         fingerprint: RequestFingerprint::default(),
         priority: (work % 3) as u8,
@@ -88,7 +88,7 @@
             batcher.next_calls(&table, 0);
         }
         let announced = AnnouncedOrder {
-            shard: Shard::whole("service"),
+            shard: Shard::whole_service("service"),
             pieces: 8,
             priority: 1,
         };
@@ -98,7 +98,7 @@
         let began = Instant::now();
         for message in 0..MESSAGES {
             let work = 1 << 30 | message;
-            batcher.waits(&Shard::whole("service"), &table, 1);
+            batcher.waits(&Shard::whole_service("service"), &table, 1);
             batcher
                 .submit(key(work), order(work), &table, 1)
                 .expect("taken");
--- a/crates/serving/src/batcher/order.rs
+++ b/crates/serving/src/batcher/order.rs
@@ -116,7 +116,7 @@
     /// Whether it had better be made in another zone than `zone`. An order of a zone's
     /// shard has no other makers to wait for.
     pub(super) fn is_far_from(&self, zone: &str) -> bool {
-        let may_choose = !self.work.shard.is_of_one_zone() && !self.work.zone.is_empty();
+        let may_choose = !self.work.shard.is_single_zone() && !self.work.zone.is_empty();
         may_choose && self.work.zone != zone
     }
 
--- a/crates/serving/src/batcher/outcomes.rs
+++ b/crates/serving/src/batcher/outcomes.rs
@@ -214,7 +214,7 @@
         let unstaffed: BTreeSet<Shard> = self.shards.keys().filter(is_unstaffed).cloned().collect();
         let is_left_out = |order: &Order| {
             let regions = &order.work.regions;
-            regions.is_restricting() && !self.is_staffed(&order.work.shard, regions, table)
+            regions.is_restricted() && !self.is_staffed(&order.work.shard, regions, table)
         };
         let orders = self.orders.iter().filter(|(_, order)| order.is_waiting());
         let ended =
--- a/crates/serving/src/dispatcher/regions.rs
+++ b/crates/serving/src/dispatcher/regions.rs
@@ -29,7 +29,7 @@
     /// Whether a request is restricted to regions in which a service that it needs has no back
     /// end that takes work.
     pub(super) fn is_served_nowhere(&self, request: &ActiveRequest) -> bool {
-        request.routed.regions.is_restricting() && !self.has_allowed_backends(request)
+        request.routed.regions.is_restricted() && !self.has_allowed_backends(request)
     }
 
     fn has_allowed_backends(&self, request: &ActiveRequest) -> bool {
--- a/crates/serving/src/dispatcher/request.rs
+++ b/crates/serving/src/dispatcher/request.rs
@@ -159,7 +159,7 @@
 
     /// Why it can't be served where no back end can have it.
     pub(super) fn no_backend_code(&self) -> ResultCode {
-        match self.routed.regions.is_restricting() {
+        match self.routed.regions.is_restricted() {
             true => ResultCode::NoAllowedBackend,
             false => ResultCode::NoBackend,
         }
@@ -245,7 +245,7 @@
         let wanted_at = objective.saturating_sub(after_phase);
         let place = self.best_place(phase, engine_zone, instances);
         PhaseWork {
-            shard: Shard::whole(&spec.service),
+            shard: Shard::whole_service(&spec.service),
             pieces,
             fingerprint: self.fingerprint,
             priority: self.routed.priority,
@@ -260,7 +260,7 @@
     /// What a batching node is told of a phase to come.
     pub(super) fn announced_order(&self, phase: usize) -> AnnouncedOrder {
         AnnouncedOrder {
-            shard: Shard::whole(&self.routed.route.phases[phase].service),
+            shard: Shard::whole_service(&self.routed.route.phases[phase].service),
             pieces: self.phases.pieces(phase) as usize,
             priority: self.routed.priority,
         }
--- a/crates/serving/src/instances/found.rs
+++ b/crates/serving/src/instances/found.rs
@@ -3,7 +3,7 @@
 use super::store::{InstanceStore, Place, ServiceIndex};
 use super::{Instance, InstanceTable};
 use crate::selection::rank;
-use silversail_model::{Shard, ShardPlace};
+use silversail_model::{Shard, ShardScope};
 use silversail_peer::ResultHandle;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -59,10 +59,10 @@
 
     /// Back ends of a shard of a batched service.
     pub fn of_shard<'a>(&'a self, shard: &'a Shard) -> impl Iterator<Item = &'a Instance> {
-        let zones: Vec<&str> = match &shard.place {
-            ShardPlace::All => self.zones_of_service(&shard.service).collect(),
-            ShardPlace::Zone(zone) => vec![zone],
-            ShardPlace::Region { zones, .. } => zones.iter().map(String::as_str).collect(),
+        let zones: Vec<&str> = match &shard.scope {
+            ShardScope::All => self.zones_of_service(&shard.service).collect(),
+            ShardScope::Zone(zone) => vec![zone],
+            ShardScope::Region { zones, .. } => zones.iter().map(String::as_str).collect(),
         };
         zones
             .into_iter()
--- a/crates/serving/src/ports.rs
+++ b/crates/serving/src/ports.rs
@@ -2,7 +2,7 @@
 //! implements them; nothing else knows the protocols' names.
 
 use http::{HeaderMap, Method, Uri};
-use silversail_model::{ContentDigest, NamedLimit, ResultCode, TrafficConfiguration};
+use silversail_model::{AdvertisedRateLimit, ContentDigest, ResultCode, TrafficConfiguration};
 pub use silversail_peer::BackendListEntry;
 use silversail_peer::{Piece, PieceFailure, ResultHandle};
 pub use silversail_rollout::{Directive, Rollout, RolloutOrder, RolloutState, Verdict};
@@ -116,7 +116,7 @@
     /// Whether it says that it leaves and takes nothing new.
     pub is_leaving: bool,
     /// How many requests it takes from all nodes together, for as long as it says so.
-    pub limit: NamedLimit,
+    pub limit: AdvertisedRateLimit,
     /// Names of headers by which it says something of itself that is not known here.
     pub unknown: Vec<String>,
 }
--- a/crates/serving/src/routes.rs
+++ b/crates/serving/src/routes.rs
@@ -114,7 +114,7 @@
         Ok(Routed {
             service: pick_target(&route.targets, &call.id).to_owned(),
             priority: own_priority.unwrap_or(route.priority),
-            regions: RegionFilter::of_both(route.allowed_regions.as_ref(), of_tenant),
+            regions: RegionFilter::intersection(route.allowed_regions.as_ref(), of_tenant),
             route: route.clone(),
             tenant: owner.map(|owner| owner.tenant.clone()),
         })
@@ -138,7 +138,7 @@
             allowed.extend(of_route.iter().cloned());
         }
         let is_known = self.of_host(host).next().is_some();
-        RegionFilter::of_both(Some(&allowed).filter(|_| is_known), None)
+        RegionFilter::intersection(Some(&allowed).filter(|_| is_known), None)
     }
 
     fn owner(&self, call: &CallAttributes, route: &Route) -> Result<Option<&KeyOwner>, RouteError> {
--- a/crates/serving/src/waits.rs
+++ b/crates/serving/src/waits.rs
@@ -191,7 +191,7 @@
     ) -> Option<&'a Shard> {
         let near = shards
             .iter()
-            .find(|shard| shard.holds(wanted_zone))
+            .find(|shard| shard.contains_zone(wanted_zone))
             .copied();
         let (first, step) = match (order.zone, near) {
             ("", _) | (_, None) => (drawn(shards, order.lot, 0), 0),
--- a/crates/serving/tests/common/batches.rs
+++ b/crates/serving/tests/common/batches.rs
@@ -17,7 +17,7 @@
 }
 
 pub fn whole() -> Shard {
-    Shard::whole("encode")
+    Shard::whole_service("encode")
 }
 
 /// A batcher that fills 85 in 100 of the makers' room.
--- a/crates/serving/tests/common/mod.rs
+++ b/crates/serving/tests/common/mod.rs
@@ -189,7 +189,7 @@
 /// Only these regions.
 pub fn only(regions: &[&str]) -> RegionFilter {
     let allowed = regions.iter().map(|region| (*region).to_owned()).collect();
-    RegionFilter::of_both(Some(&allowed), None)
+    RegionFilter::intersection(Some(&allowed), None)
 }
 
 /// A node in a zone of a deployment that names no regions.
--- a/crates/serving/tests/dispatcher.rs
+++ b/crates/serving/tests/dispatcher.rs
@@ -68,7 +68,7 @@
 /// Waits by which a chain of two phases ends after 1,650 of 2,000 ms.
 fn waits_of_encode() -> ShardWaitEstimates {
     ShardWaitEstimates {
-        shard: Shard::whole("encode"),
+        shard: Shard::whole_service("encode"),
         age_ms: 0,
         backlog_ms: [100, 900, 900, 900],
         call_ms: 300,
@@ -408,7 +408,7 @@
 fn a_request_that_is_refused_announces_nothing() {
     let mut dispatcher = dispatcher();
     let waits = ShardWaitEstimates {
-        shard: Shard::whole("encode"),
+        shard: Shard::whole_service("encode"),
         age_ms: 0,
         backlog_ms: [5_000; 4],
         call_ms: 300,
@@ -438,7 +438,7 @@
     // Two calls of 400 ms fit into 80 in 100 of 2 s before an answer that begins after
     // 150 ms, and not before one that begins after 900.
     let waits = ShardWaitEstimates {
-        shard: Shard::whole("encode"),
+        shard: Shard::whole_service("encode"),
         age_ms: 0,
         backlog_ms: [0; 4],
         call_ms: 400,
--- a/crates/serving/tests/limits.rs
+++ b/crates/serving/tests/limits.rs
@@ -6,7 +6,7 @@
 use common::{call_of, dispatcher, instances, list_of};
 use rstest::rstest;
 use silversail_limits::{KnownLimit, LimitState, PermitGrant, Serial};
-use silversail_model::{NamedLimit, RequestRate, ResultCode};
+use silversail_model::{AdvertisedRateLimit, RequestRate, ResultCode};
 use silversail_serving::dispatcher::{Action, Dispatcher, NotRunReason, Refusal, SendOutcome};
 use silversail_serving::instances::InstanceTable;
 use silversail_serving::notices::{AnswerContext, AnswerPath, Withheld};
@@ -22,7 +22,7 @@
 
 fn limit(per_second: f64) -> SelfReport {
     SelfReport {
-        limit: NamedLimit {
+        limit: AdvertisedRateLimit {
             lowest: Some(rate(per_second)),
             is_unreadable: false,
         },
--- a/crates/serving/tests/notices.rs
+++ b/crates/serving/tests/notices.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use silversail_decisions::DecisionLog;
-use silversail_model::{NamedLimit, RequestRate};
+use silversail_model::{AdvertisedRateLimit, RequestRate};
 use silversail_serving::notices::{AnswerPath, BackendNotices, News};
 use silversail_serving::ports::SelfReport;
 use std::time::Duration;
@@ -125,7 +125,7 @@
 #[test]
 fn a_limit_is_news_where_it_is_another_than_the_one_named_before() {
     let named = |requests| SelfReport {
-        limit: NamedLimit {
+        limit: AdvertisedRateLimit {
             lowest: RequestRate::per_second(requests),
             is_unreadable: false,
         },
--- a/crates/serving/tests/regions.rs
+++ b/crates/serving/tests/regions.rs
@@ -117,7 +117,7 @@
 #[test]
 fn nodes_of_all_regions_send_a_rare_prompt_to_one_engine() {
     let table = table();
-    let regions = TWO_REGIONS.regions_of_zones().clone();
+    let regions = TWO_REGIONS.region_by_zone().clone();
     let south = Topology::new("d", regions, Default::default()).expect("valid");
     for session in SESSIONS {
         let from_north = with_prompt(RegionAffinity::Popular, session, 76.0);
--- a/crates/serving/tests/rest_seeds.rs
+++ b/crates/serving/tests/rest_seeds.rs
@@ -240,7 +240,7 @@
             *starts.entry(name).or_default() += 1;
         }
         90..=91 => {
-            let shard = Shard::whole("encode");
+            let shard = Shard::whole_service("encode");
             let table = &node.dispatcher.instances;
             node.batcher.take_over(&shard, table, now);
         }
--- a/crates/serving/tests/rests.rs
+++ b/crates/serving/tests/rests.rs
@@ -6,7 +6,7 @@
 use common::{call, call_of, dispatcher, dispatcher_with, in_zone, instances, list_of, traffic};
 use rstest::rstest;
 use silversail_decisions::DecisionLog;
-use silversail_model::{NamedLimit, ResultCode};
+use silversail_model::{AdvertisedRateLimit, ResultCode};
 use silversail_peer::{BackendListEntry, PieceFailure, ResultHandle};
 use silversail_serving::dispatcher::{
     Action, Dispatcher, NotRunReason, Refusal, SendOutcome, UnknownReason,
@@ -39,7 +39,7 @@
     has_unreadable_rest: false,
     has_unreadable_pace: false,
     is_leaving: true,
-    limit: NamedLimit {
+    limit: AdvertisedRateLimit {
         lowest: None,
         is_unreadable: false,
     },
--- a/crates/serving/tests/waits.rs
+++ b/crates/serving/tests/waits.rs
@@ -4,7 +4,7 @@
 
 use common::{in_regions, in_zone};
 use rstest::rstest;
-use silversail_model::{Shard, ShardPlace};
+use silversail_model::{Shard, ShardScope};
 use silversail_peer::{ShardWaitEstimates, PRIORITY_LEVELS};
 use silversail_serving::waits::{OrderToPlace, WaitBook};
 use std::collections::BTreeSet;
@@ -50,8 +50,8 @@
     let choose = |lot| {
         let order = order(zone, 0, lot);
         let chosen = book.choose(&all, &order, now).expect("there are shards");
-        match &chosen.place {
-            ShardPlace::Zone(zone) => zone.clone(),
+        match &chosen.scope {
+            ShardScope::Zone(zone) => zone.clone(),
             other => panic!("{other:?}"),
         }
     };
@@ -153,7 +153,7 @@
     let all = shards();
     let all: Vec<&Shard> = all.iter().collect();
     let chosen = book.choose(&all, &order("", 10_000_000, 5), 1_000);
-    let zone = chosen.and_then(|shard| shard.one_zone().map(str::to_owned));
+    let zone = chosen.and_then(|shard| shard.representative_zone().map(str::to_owned));
     assert_eq!(zone.is_some_and(|zone| zone == "c" || zone == "d"), leaves);
 }
 
