--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -2,7 +2,7 @@
 
 use crate::errors::CliError;
 use argh::FromArgs;
-use silversail_decisions::explain::{describe, Explanation, Lines};
+use silversail_decisions::explain::{format_line, Explanation, LogLines};
 use std::collections::BTreeMap;
 
 /// Tells from processes' decision logs why a request was lost, or what the
@@ -33,7 +33,7 @@
 impl Explain {
     /// Reads the files and prints the explanation.
     pub fn run(self) -> Result<(), CliError> {
-        let mut lines = Lines::default();
+        let mut lines = LogLines::default();
         for path in &self.files {
             let text = std::fs::read(path).map_err(|error| CliError::File {
                 path: path.clone(),
@@ -61,10 +61,10 @@
         return Err(CliError::Invalid(message));
     };
     for line in &explanation.path {
-        println!("{}", describe(line, first.at_ms));
+        println!("{}", format_line(line, first.at_ms));
     }
-    match explanation.lost_by {
-        Some(line) => println!("lost by: {}", describe(line, first.at_ms).trim_start()),
+    match explanation.failed_by {
+        Some(line) => println!("lost by: {}", format_line(line, first.at_ms).trim_start()),
         None if explanation.has_end => println!("not lost"),
         None => println!("its end is not among the lines"),
     }
@@ -74,18 +74,18 @@
     Ok(())
 }
 
-fn print_belief(lines: &Lines, subject: &str) {
-    let beliefs = lines.belief(subject);
+fn print_belief(lines: &LogLines, subject: &str) {
+    let beliefs = lines.state_changes(subject);
     let start = beliefs.first().map_or(0, |line| line.at_ms);
     for line in beliefs {
-        println!("{}", describe(line, start));
+        println!("{}", format_line(line, start));
     }
 }
 
-fn print_lost(lines: &Lines) {
+fn print_lost(lines: &LogLines) {
     let mut by_cause: BTreeMap<String, (usize, &str)> = BTreeMap::new();
-    for (request, line) in lines.lost() {
-        let cause = describe(line, line.at_ms);
+    for (request, line) in lines.failed_requests() {
+        let cause = format_line(line, line.at_ms);
         let event = cause.split_whitespace().nth(3).unwrap_or_default();
         let reason = cause
             .split_whitespace()
@@ -101,7 +101,7 @@
     }
 }
 
-fn print_gaps(lines: &Lines) {
+fn print_gaps(lines: &LogLines) {
     let gaps = lines.gaps;
     if gaps.dropped > 0 {
         println!(
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -35,7 +35,7 @@
 /// Starts the decision log, where the settings want it.
 pub fn start_decisions(settings: &LogSettings, node: &str) -> io::Result<DecisionLog> {
     if !settings.decisions {
-        return Ok(DecisionLog::off());
+        return Ok(DecisionLog::disabled());
     }
     DecisionLog::start(node, LogLimits::default(), io::stdout())
 }
--- a/crates/daemon/tests/allowed_places.rs
+++ b/crates/daemon/tests/allowed_places.rs
@@ -78,7 +78,7 @@
 #[case::allowed(&["south"], true)]
 #[case::none_there(&["east"], false)]
 fn a_shard_without_allowed_makers_is_not_staffed(#[case] regions: &[&str], #[case] expected: bool) {
-    let mut instances = InstanceTable::new(DecisionLog::off());
+    let mut instances = InstanceTable::new(DecisionLog::disabled());
     let listed = ["n1", "s1"].map(|zone| BackendListEntry {
         version: "v1".to_owned(),
         id: format!("maker-{zone}"),
--- a/crates/decisions/src/event_class.rs
+++ b/crates/decisions/src/event_class.rs
@@ -6,11 +6,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EventClass {
     /// A step of a request that goes well; sampled under load.
-    Step,
+    RequestStep,
     /// A refusal, failure or retry of a request.
-    Failure,
+    RequestFailure,
     /// A change of what the process believes, or of its life.
-    Belief,
+    StateChange,
 }
 
 impl Event {
@@ -21,18 +21,18 @@
             | Event::PhaseSubmitted { .. }
             | Event::Sent { .. }
             | Event::BatchSent { .. }
-            | Event::BatchEnded { .. } => EventClass::Step,
-            Event::PhaseDone { outcome, .. } if outcome == "made" => EventClass::Step,
+            | Event::BatchEnded { .. } => EventClass::RequestStep,
+            Event::PhaseDone { outcome, .. } if outcome == "made" => EventClass::RequestStep,
             Event::Answered { end, status, .. } if end == "whole" && *status < 400 => {
-                EventClass::Step
+                EventClass::RequestStep
             }
             Event::Refused { .. }
             | Event::WaitsForRest { .. }
             | Event::PhaseDone { .. }
             | Event::SendFailed { .. }
             | Event::Answered { .. }
-            | Event::CallerGone { .. } => EventClass::Failure,
-            _ => EventClass::Belief,
+            | Event::CallerGone { .. } => EventClass::RequestFailure,
+            _ => EventClass::StateChange,
         }
     }
 
--- a/crates/decisions/src/explain.rs
+++ b/crates/decisions/src/explain.rs
@@ -2,11 +2,11 @@
 
 use crate::event::Event;
 use crate::event_class::EventClass;
-use crate::writer::Line;
+use crate::writer::LogLine;
 
 /// Why a path may be told in part only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Gaps {
+pub struct MissingLines {
     /// Lines of the files that are no decision lines.
     pub unreadable: usize,
     /// Lines that processes say they dropped.
@@ -15,33 +15,33 @@
 
 /// The lines of several processes, in the order of their clocks.
 #[derive(Debug, Default)]
-pub struct Lines {
-    lines: Vec<Line>,
+pub struct LogLines {
+    lines: Vec<LogLine>,
     /// What is known to be missing.
-    pub gaps: Gaps,
+    pub gaps: MissingLines,
 }
 
 /// What became of a request, by its lines.
 #[derive(Debug, PartialEq)]
 pub struct Explanation<'a> {
     /// Its lines in order.
-    pub path: Vec<&'a Line>,
+    pub path: Vec<&'a LogLine>,
     /// The first decision that lost it; none where it went well or nothing is
     /// known.
-    pub lost_by: Option<&'a Line>,
+    pub failed_by: Option<&'a LogLine>,
     /// Whether its arrival is among the lines.
     pub has_arrival: bool,
     /// Whether its end is among the lines.
     pub has_end: bool,
 }
 
-impl Lines {
+impl LogLines {
     /// Takes in the text of a log file. A line may have other text before its
     /// JSON object, as when a collector adds times and names.
     pub fn read(&mut self, text: &str) {
         for text in text.lines().filter(|line| !line.trim().is_empty()) {
             let object = text.find('{').map(|start| &text[start..]);
-            match object.and_then(|object| serde_json::from_str::<Line>(object).ok()) {
+            match object.and_then(|object| serde_json::from_str::<LogLine>(object).ok()) {
                 Some(line) => self.take(line),
                 None => self.gaps.unreadable += 1,
             }
@@ -49,7 +49,7 @@
         self.lines.sort_by_key(|line| line.at_ms);
     }
 
-    fn take(&mut self, line: Line) {
+    fn take(&mut self, line: LogLine) {
         if let Event::Dropped {
             steps,
             failures,
@@ -63,27 +63,27 @@
 
     /// The path of a request.
     pub fn request(&self, id: &str) -> Explanation<'_> {
-        let path: Vec<&Line> = self
+        let path: Vec<&LogLine> = self
             .lines
             .iter()
             .filter(|line| is_about(&line.event, id))
             .collect();
         // A request that was served in the end was lost by nothing on its way.
         let is_served = path.iter().any(|line| serves(&line.event));
-        let lost_by = path
+        let failed_by = path
             .iter()
             .copied()
             .find(|line| !is_served && loses(&line.event));
         let is_arrival =
-            |line: &&Line| matches!(line.event, Event::Admitted { .. } | Event::Refused { .. });
-        let is_end = |line: &&Line| {
+            |line: &&LogLine| matches!(line.event, Event::Admitted { .. } | Event::Refused { .. });
+        let is_end = |line: &&LogLine| {
             matches!(
                 line.event,
                 Event::Answered { .. } | Event::Refused { .. } | Event::CallerGone { .. }
             )
         };
         Explanation {
-            lost_by,
+            failed_by,
             has_arrival: path.iter().any(is_arrival),
             has_end: path.iter().any(is_end),
             path,
@@ -92,10 +92,10 @@
 
     /// What the processes believed of a subject: a back end, service, node or
     /// group; the lines of beliefs that name it.
-    pub fn belief(&self, subject: &str) -> Vec<&Line> {
+    pub fn state_changes(&self, subject: &str) -> Vec<&LogLine> {
         let lines = self.lines.iter();
         lines
-            .filter(|line| line.event.class() == EventClass::Belief)
+            .filter(|line| line.event.class() == EventClass::StateChange)
             .filter(|line| {
                 serde_json::to_string(&line.event).is_ok_and(|text| text.contains(subject))
             })
@@ -104,7 +104,7 @@
 
     /// Requests that were lost, with the decision that lost each, for a start
     /// where no id is known.
-    pub fn lost(&self) -> Vec<(&str, &Line)> {
+    pub fn failed_requests(&self) -> Vec<(&str, &LogLine)> {
         let failures = self.lines.iter().filter(|line| loses(&line.event));
         failures
             .filter_map(|line| Some((line.event.request()?, line)))
@@ -136,7 +136,7 @@
 }
 
 /// One line for people: time from `start_ms`, node, event and its inputs.
-pub fn describe(line: &Line, start_ms: u64) -> String {
+pub fn format_line(line: &LogLine, start_ms: u64) -> String {
     let mut fields = match serde_json::to_value(&line.event) {
         Ok(serde_json::Value::Object(fields)) => fields,
         _ => serde_json::Map::new(),
--- a/crates/decisions/src/writer.rs
+++ b/crates/decisions/src/writer.rs
@@ -52,7 +52,7 @@
 
 /// A line as it is written and read again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct LogLine {
     /// Milliseconds since the Unix epoch, by the node's clock.
     pub at_ms: u64,
     /// The node.
@@ -64,7 +64,7 @@
 
 #[derive(Default)]
 struct Queue {
-    lines: Vec<Line>,
+    lines: Vec<LogLine>,
     counts: LogCounts,
     reported: LogCounts,
     second: u64,
@@ -88,7 +88,7 @@
 
 impl DecisionLog {
     /// A log that writes nothing.
-    pub fn off() -> Self {
+    pub fn disabled() -> Self {
         Self { shared: None }
     }
 
@@ -128,7 +128,7 @@
         }
         queue.counts.taken += 1;
         let was_empty = queue.lines.is_empty();
-        queue.lines.push(Line {
+        queue.lines.push(LogLine {
             at_ms,
             node: shared.node.clone(),
             event,
@@ -166,14 +166,14 @@
 impl Queue {
     fn has_place(&mut self, event: &Event, second: u64, limits: &LogLimits) -> bool {
         let share = match event.class() {
-            EventClass::Step => limits.queue / 2,
-            EventClass::Failure => limits.queue * 3 / 4,
-            EventClass::Belief => limits.queue,
+            EventClass::RequestStep => limits.queue / 2,
+            EventClass::RequestFailure => limits.queue * 3 / 4,
+            EventClass::StateChange => limits.queue,
         };
         if self.lines.len() >= share {
             return false;
         }
-        if event.class() != EventClass::Step {
+        if event.class() != EventClass::RequestStep {
             return true;
         }
         if self.second != second {
@@ -191,9 +191,9 @@
 impl LogCounts {
     fn drop_one(&mut self, class: EventClass) {
         match class {
-            EventClass::Step => self.dropped_steps += 1,
-            EventClass::Failure => self.dropped_failures += 1,
-            EventClass::Belief => self.dropped_beliefs += 1,
+            EventClass::RequestStep => self.dropped_steps += 1,
+            EventClass::RequestFailure => self.dropped_failures += 1,
+            EventClass::StateChange => self.dropped_beliefs += 1,
         }
     }
 
@@ -250,7 +250,7 @@
 }
 
 /// Waits for lines; none when the log is closed and empty.
-fn next_lines(shared: &Shared) -> Option<Vec<Line>> {
+fn next_lines(shared: &Shared) -> Option<Vec<LogLine>> {
     let mut queue = shared.queue.lock().ok()?;
     while queue.lines.is_empty() {
         if queue.closed {
@@ -261,7 +261,7 @@
     let mut lines = std::mem::take(&mut queue.lines);
     if let Some(event) = queue.counts.dropped_since(&queue.reported) {
         queue.reported = queue.counts;
-        lines.push(Line {
+        lines.push(LogLine {
             at_ms: wall_clock_ms(),
             node: shared.node.clone(),
             event,
--- a/crates/decisions/tests/explain.rs
+++ b/crates/decisions/tests/explain.rs
@@ -1,12 +1,12 @@
 //! Explaining a lost request from the lines of several processes.
 
 use rstest::rstest;
-use silversail_decisions::explain::{describe, Lines};
-use silversail_decisions::writer::Line;
+use silversail_decisions::explain::{format_line, LogLines};
+use silversail_decisions::writer::LogLine;
 use silversail_decisions::Event;
 
 fn line(at_ms: u64, node: &str, event: Event) -> String {
-    let line = Line {
+    let line = LogLine {
         at_ms,
         node: node.into(),
         event,
@@ -72,8 +72,8 @@
 }
 
 /// The caller's node and the batching node, whose lines a collector marked.
-fn logs() -> Lines {
-    let mut lines = Lines::default();
+fn logs() -> LogLines {
+    let mut lines = LogLines::default();
     let caller = [
         line(1_000, "n1", admitted("r1")),
         line(1_310, "n1", phase_done("r1", "Failed")),
@@ -98,7 +98,7 @@
         .map(|line| line.node.as_str())
         .collect();
     assert_eq!(nodes, ["n1", "n2", "n1", "n1"]);
-    let text = describe(explanation.path[1], 1_000);
+    let text = format_line(explanation.path[1], 1_000);
     assert!(
         text.contains("10 ms") && text.contains("batch_sent"),
         "{text}"
@@ -118,7 +118,7 @@
 ) {
     let lines = logs();
     let explanation = lines.request(request);
-    assert_eq!(explanation.lost_by.map(|line| line.at_ms), lost_at);
+    assert_eq!(explanation.failed_by.map(|line| line.at_ms), lost_at);
     assert_eq!(explanation.has_arrival, has_arrival);
     assert_eq!(explanation.has_end, has_end);
 }
@@ -135,7 +135,7 @@
         end: "whole".into(),
     };
     lines.read(&line(1_490, "n1", answered));
-    assert_eq!(lines.request("r2").lost_by, None);
+    assert_eq!(lines.request("r2").failed_by, None);
 }
 
 #[test]
@@ -162,9 +162,9 @@
         source: "broken".into(),
     };
     lines.read(&line(1_451, "n1", suspect));
-    assert_eq!(lines.belief("e1").len(), 1);
-    assert_eq!(lines.belief("e2").len(), 0);
-    assert_eq!(lines.lost().len(), 3);
+    assert_eq!(lines.state_changes("e1").len(), 1);
+    assert_eq!(lines.state_changes("e2").len(), 0);
+    assert_eq!(lines.failed_requests().len(), 3);
 }
 
 /// Every kind of event reads back as it was written, and docs name each.
--- a/crates/decisions/tests/writer.rs
+++ b/crates/decisions/tests/writer.rs
@@ -1,6 +1,6 @@
 //! The decision log is bounded and never blocks.
 
-use silversail_decisions::writer::{is_sampled, Line};
+use silversail_decisions::writer::{is_sampled, LogLine};
 use silversail_decisions::{DecisionLog, Event, LogLimits};
 use std::io::{self, Write};
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -43,7 +43,7 @@
 }
 
 impl Kept {
-    fn lines(&self) -> Vec<Line> {
+    fn lines(&self) -> Vec<LogLine> {
         let bytes = self.0.lock().expect("not poisoned").clone();
         let text = String::from_utf8(bytes).expect("text");
         text.lines()
@@ -51,7 +51,7 @@
             .collect()
     }
 
-    fn wait_for(&self, is_enough: impl Fn(&[Line]) -> bool) -> Vec<Line> {
+    fn wait_for(&self, is_enough: impl Fn(&[LogLine]) -> bool) -> Vec<LogLine> {
         let end = Instant::now() + Duration::from_secs(30);
         loop {
             let lines = self.lines();
@@ -123,7 +123,7 @@
     for number in 0..200 {
         log.record(failure(number));
     }
-    let accounted = |lines: &[Line]| -> u64 {
+    let accounted = |lines: &[LogLine]| -> u64 {
         let counts = lines.iter().map(|line| match &line.event {
             Event::Dropped { failures, .. } => *failures,
             event => u64::from(event.request().is_some()),
@@ -151,7 +151,7 @@
             log.record(step(number));
         }
         let taken = log.counts().taken as usize;
-        let steps = |lines: &[Line]| {
+        let steps = |lines: &[LogLine]| {
             let requests = lines.iter().filter_map(|line| line.event.request());
             requests.map(str::to_owned).collect::<Vec<String>>()
         };
--- a/crates/serving/examples/back_end_count.rs
+++ b/crates/serving/examples/back_end_count.rs
@@ -86,7 +86,7 @@
 
     let before = private_kilobytes();
     let held = whole.applied_to(None).expect("it is whole");
-    let mut table = InstanceTable::new(DecisionLog::off());
+    let mut table = InstanceTable::new(DecisionLog::disabled());
     table.follow(&held.entries);
     let memory = private_kilobytes().saturating_sub(before);
 
--- a/crates/serving/examples/batch_cost.rs
+++ b/crates/serving/examples/batch_cost.rs
@@ -75,10 +75,10 @@
         result_lifetime_ms: 4_000,
     };
     for waiting in [1, 100, 1_000] {
-        let mut table = InstanceTable::new(DecisionLog::off());
+        let mut table = InstanceTable::new(DecisionLog::disabled());
         let listed = (0..MAKERS).map(maker);
         table.replace(&listed.collect::<Vec<_>>());
-        let mut batcher = Batcher::new(Policy::default(), DecisionLog::off());
+        let mut batcher = Batcher::new(Policy::default(), DecisionLog::disabled());
         batcher.set_specs([("service".to_owned(), spec.clone())].into());
         // All makers are at work, and so many orders wait.
         for work in 0..(MAKERS as u64 * 5 + waiting) {
@@ -115,13 +115,13 @@
 
 /// Orders of one zone's shard of a service with six zones, as many a second as makers end calls.
 fn with_idle_makers(in_zone: usize, spec: &BatchSpec) {
-    let mut table = InstanceTable::new(DecisionLog::off());
+    let mut table = InstanceTable::new(DecisionLog::disabled());
     let listed = (0..6 * in_zone).map(|number| BackendListEntry {
         zone: format!("zone-{}", number % 6),
         ..maker(number)
     });
     table.replace(&listed.collect::<Vec<_>>());
-    let mut batcher = Batcher::new(Policy::default(), DecisionLog::off());
+    let mut batcher = Batcher::new(Policy::default(), DecisionLog::disabled());
     batcher.set_specs([("service".to_owned(), spec.clone())].into());
     let shard = Shard::in_zone("service", "zone-0");
     let under_way = in_zone / 4;
--- a/crates/serving/examples/returns.rs
+++ b/crates/serving/examples/returns.rs
@@ -102,17 +102,17 @@
 
 impl Model {
     fn new(trouble: Trouble, nodes: usize, way: Way, seed: u64) -> Self {
-        let all = BackendNotices::new(DecisionLog::off());
+        let all = BackendNotices::new(DecisionLog::disabled());
         let list: Vec<BackendListEntry> = (0..ENGINES).map(listed).collect();
         let names: Vec<String> = (0..nodes).map(|node| format!("n{node}")).collect();
         let table = |own: &String| {
-            let own_notices = || BackendNotices::new(DecisionLog::off());
+            let own_notices = || BackendNotices::new(DecisionLog::disabled());
             let notices = if way.told_to_all {
                 all.clone()
             } else {
                 own_notices()
             };
-            let mut table = InstanceTable::with_notices(notices, DecisionLog::off());
+            let mut table = InstanceTable::with_notices(notices, DecisionLog::disabled());
             table.set_senders(own, names.clone());
             table.set_returns(way.returns);
             table.replace(&list);
--- a/crates/serving/tests/allowed_regions.rs
+++ b/crates/serving/tests/allowed_regions.rs
@@ -36,8 +36,13 @@
 /// A dispatcher in the north.
 fn dispatcher(traffic: &TrafficConfiguration) -> Dispatcher {
     let topology = in_regions("a", &ZONES);
-    let mut dispatcher =
-        Dispatcher::new(topology, LIMITS, Policy::default(), 1, DecisionLog::off());
+    let mut dispatcher = Dispatcher::new(
+        topology,
+        LIMITS,
+        Policy::default(),
+        1,
+        DecisionLog::disabled(),
+    );
     dispatcher.set_routes(RouteTable::new(traffic));
     dispatcher.instances.replace(&instances());
     dispatcher
--- a/crates/serving/tests/back_end_count.rs
+++ b/crates/serving/tests/back_end_count.rs
@@ -34,7 +34,7 @@
 }
 
 fn table(count: usize) -> InstanceTable {
-    let mut table = InstanceTable::new(DecisionLog::off());
+    let mut table = InstanceTable::new(DecisionLog::disabled());
     table.replace(&entries(count));
     table
 }
@@ -78,7 +78,7 @@
 #[rstest]
 fn a_change_of_the_list_looks_at_what_changed(#[values(1_000, 10_000, 20_000)] count: usize) {
     let all = list_of(&entries(count));
-    let mut table = InstanceTable::new(DecisionLog::off());
+    let mut table = InstanceTable::new(DecisionLog::disabled());
     table.follow(&all);
     table.hold_back_new_versions(0);
     table.forget_gone(0);
--- a/crates/serving/tests/batcher_rollouts.rs
+++ b/crates/serving/tests/batcher_rollouts.rs
@@ -22,7 +22,7 @@
 impl Owner {
     /// Owns these makers, each with its version.
     fn of(makers: &[(&str, &str)]) -> Self {
-        let mut table = InstanceTable::new(DecisionLog::off());
+        let mut table = InstanceTable::new(DecisionLog::disabled());
         let listed = makers.iter();
         let listed = listed.map(|(id, version)| of_version(id, "encode", version));
         table.replace(&listed.collect::<Vec<_>>());
--- a/crates/serving/tests/burst.rs
+++ b/crates/serving/tests/burst.rs
@@ -64,14 +64,14 @@
                 LIMITS,
                 Policy::default(),
                 1,
-                DecisionLog::off(),
+                DecisionLog::disabled(),
             );
             node.set_routes(RouteTable::new(&configuration));
             node.instances.replace(&listed);
             node
         };
         let nodes = (0..NODES).map(|_| node()).collect();
-        let mut batcher = Batcher::new(Policy::default(), DecisionLog::off());
+        let mut batcher = Batcher::new(Policy::default(), DecisionLog::disabled());
         let specs = SERVICES.map(|name| (name.to_owned(), batch_spec()));
         batcher.set_specs(specs.into());
         Self {
--- a/crates/serving/tests/cold.rs
+++ b/crates/serving/tests/cold.rs
@@ -24,7 +24,7 @@
 
 /// A node's table of one warm and some cold back ends; `view` are the nodes that it knows.
 fn table(node: usize, view: Range<usize>, ids: &[(&str, bool)]) -> InstanceTable {
-    let mut table = InstanceTable::new(DecisionLog::off());
+    let mut table = InstanceTable::new(DecisionLog::disabled());
     let listed = ids.iter().map(|(id, cold)| {
         let mut one = instance(id, "pool", "a");
         one.cold = *cold;
--- a/crates/serving/tests/common/batches.rs
+++ b/crates/serving/tests/common/batches.rs
@@ -10,7 +10,7 @@
 use silversail_serving::policy::Policy;
 
 pub fn table(makers: &[(&str, &str)]) -> InstanceTable {
-    let mut table = InstanceTable::new(DecisionLog::off());
+    let mut table = InstanceTable::new(DecisionLog::disabled());
     let listed = makers.iter().map(|(id, zone)| instance(id, "encode", zone));
     table.replace(&listed.collect::<Vec<_>>());
     table
@@ -26,7 +26,7 @@
         room_share: 0.85,
         ..Policy::default()
     };
-    let mut batcher = Batcher::new(policy, DecisionLog::off());
+    let mut batcher = Batcher::new(policy, DecisionLog::disabled());
     batcher.set_specs([("encode".to_owned(), batch_spec())].into());
     batcher
 }
--- a/crates/serving/tests/dispatcher.rs
+++ b/crates/serving/tests/dispatcher.rs
@@ -83,7 +83,7 @@
         LIMITS,
         Policy::default(),
         1,
-        DecisionLog::off(),
+        DecisionLog::disabled(),
     );
     let refusal = answered(&dispatcher.arrive(1, call("r"), 0));
     assert_eq!(refusal.code, ResultCode::NoTrafficConfiguration);
--- a/crates/serving/tests/notices.rs
+++ b/crates/serving/tests/notices.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 fn notices() -> BackendNotices {
-    BackendNotices::new(DecisionLog::off())
+    BackendNotices::new(DecisionLog::disabled())
 }
 
 fn rest(millis: u64) -> SelfReport {
--- a/crates/serving/tests/quarantine.rs
+++ b/crates/serving/tests/quarantine.rs
@@ -146,9 +146,9 @@
 
 #[test]
 fn waiting_orders_of_a_refused_request_end_and_calls_name_their_suspects() {
-    let mut batcher = Batcher::new(Policy::default(), DecisionLog::off());
+    let mut batcher = Batcher::new(Policy::default(), DecisionLog::disabled());
     batcher.set_specs([("encode".to_owned(), common::batch_spec())].into());
-    let mut table = InstanceTable::new(DecisionLog::off());
+    let mut table = InstanceTable::new(DecisionLog::disabled());
     table.replace(&instances());
     let submit = |batcher: &mut Batcher, number: u64, path: &str| {
         let key = OrderKey {
--- a/crates/serving/tests/regions.rs
+++ b/crates/serving/tests/regions.rs
@@ -23,7 +23,7 @@
 
 /// Three engines in each zone, each named after it.
 fn table() -> InstanceTable {
-    let mut table = InstanceTable::new(DecisionLog::off());
+    let mut table = InstanceTable::new(DecisionLog::disabled());
     let listed = ZONES.iter().flat_map(|zone| {
         (0..3).map(move |number| instance(&format!("{zone}{number}"), "pool", zone))
     });
--- a/crates/serving/tests/request_regions.rs
+++ b/crates/serving/tests/request_regions.rs
@@ -15,8 +15,13 @@
 /// A node in zone `a` in the north; engines `e2` and `e3` lie in `b` in the south.
 fn dispatcher() -> Dispatcher {
     let topology = in_regions("a", &[("a", "north"), ("b", "south")]);
-    let mut dispatcher =
-        Dispatcher::new(topology, LIMITS, Policy::default(), 1, DecisionLog::off());
+    let mut dispatcher = Dispatcher::new(
+        topology,
+        LIMITS,
+        Policy::default(),
+        1,
+        DecisionLog::disabled(),
+    );
     dispatcher.set_routes(RouteTable::new(&traffic()));
     dispatcher.instances.replace(&instances());
     dispatcher
--- a/crates/serving/tests/rest_seeds.rs
+++ b/crates/serving/tests/rest_seeds.rs
@@ -54,7 +54,7 @@
 
 impl Node {
     fn new() -> Self {
-        let log = DecisionLog::off;
+        let log = DecisionLog::disabled;
         let policy = Policy::default();
         let mut dispatcher = Dispatcher::new(in_zone("a"), LIMITS, policy, 1, log());
         dispatcher.set_routes(RouteTable::new(&traffic()));
--- a/crates/serving/tests/rests.rs
+++ b/crates/serving/tests/rests.rs
@@ -75,7 +75,7 @@
         window: 10_000,
     };
     let policy = Policy::default();
-    let mut dispatcher = Dispatcher::new(in_zone("a"), limits, policy, 1, DecisionLog::off());
+    let mut dispatcher = Dispatcher::new(in_zone("a"), limits, policy, 1, DecisionLog::disabled());
     dispatcher.set_routes(RouteTable::new(&traffic()));
     dispatcher.instances.replace(&instances());
     dispatcher
@@ -286,7 +286,7 @@
 #[test]
 fn nodes_come_back_spread_over_a_share_of_the_rest() {
     let returns_at = |node: &str| {
-        let mut table = InstanceTable::new(DecisionLog::off());
+        let mut table = InstanceTable::new(DecisionLog::disabled());
         table.set_senders(node, vec![node.to_owned()]);
         table.set_returns(ReturnPolicy {
             first_alone: true,
--- a/crates/serving/tests/selection.rs
+++ b/crates/serving/tests/selection.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeSet;
 
 fn table() -> InstanceTable {
-    let mut table = InstanceTable::new(DecisionLog::off());
+    let mut table = InstanceTable::new(DecisionLog::disabled());
     table.replace(&instances());
     table
 }
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -115,8 +115,8 @@
             outbox: Rc::new(RefCell::new(outbox)),
             state: SharedNodeState::default(),
             metrics,
-            log: DecisionLog::off(),
-            stage_notices: BackendNotices::new(DecisionLog::off()),
+            log: DecisionLog::disabled(),
+            stage_notices: BackendNotices::new(DecisionLog::disabled()),
             clock,
             directory: Rc::new(RefCell::new(directory)),
         };
--- a/crates/simulation/tests/evacuations.rs
+++ b/crates/simulation/tests/evacuations.rs
@@ -174,7 +174,7 @@
         topology: Arc::new(topology.expect("a valid topology")),
         state: node.state.clone(),
         proposer: (*node.actors.control_proposer).clone(),
-        log: DecisionLog::off(),
+        log: DecisionLog::disabled(),
     };
     let stakker = &mut node.stakker;
     let actor = actor!(stakker, EvacuationActor::init(setup), ret_nop!());
--- a/crates/simulation/tests/rollouts/harness.rs
+++ b/crates/simulation/tests/rollouts/harness.rs
@@ -264,7 +264,7 @@
         let setup = RolloutSetup {
             state: node.state.clone(),
             proposer: (*node.actors.control_proposer).clone(),
-            log: DecisionLog::off(),
+            log: DecisionLog::disabled(),
             metrics: Arc::new(Metrics::new()),
             clock: node.clock,
         };
