--- a/crates/decisions/src/event.rs
+++ b/crates/decisions/src/event.rs
@@ -1,9 +1,9 @@
-//! The events, one variant for each kind of decision.
+//! Events of the decision log, one variant per kind of decision.
 
 use serde::{Deserialize, Serialize};
 
-/// One decision with the inputs that decided it. Ages are in milliseconds. Keys,
-/// prompts and answers never stand in an event.
+/// A decision and the inputs that it was based on. Ages are in milliseconds. Events never
+/// contain API keys, prompts or response bodies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
@@ -11,455 +11,460 @@
     Started {
         /// Version of the program.
         version: String,
-        /// Its incarnation.
+        /// Incarnation number of the process; higher after each restart.
         incarnation: u64,
     },
-    /// The process was told to stop, or goes one step further.
+    /// The process was asked to shut down, or reached the next shutdown step.
     Stopping {
-        /// The step.
+        /// Shutdown step that begins.
         step: String,
     },
-    /// The settings were read again.
+    /// The settings file was reloaded.
     Reloaded {
-        /// What changed.
+        /// Settings that changed.
         change: String,
     },
-    /// A request was taken in and its way decided.
+    /// A request was admitted and matched to a route and a service.
     Admitted {
-        /// The caller's identifier.
+        /// Request identifier sent by the caller.
         request: String,
-        /// The route.
+        /// Matched route.
         route: String,
-        /// The service.
+        /// Service selected for the request.
         service: String,
-        /// Version of the traffic configuration.
+        /// Version of the traffic configuration that was applied.
         version: u64,
-        /// Milliseconds until the request's end.
+        /// Milliseconds until the request's deadline.
         remaining_ms: u64,
-        /// Phases that come first.
+        /// Number of phases that run before the request is sent to an engine.
         phases: usize,
-        /// What the request asks for and whose it is, as a digest; the same for attempts that
-        /// are the same request come again.
+        /// Digest of tenant, target and body; equal for repeated attempts of the same
+        /// request.
         #[serde(default)]
         fingerprint: String,
     },
-    /// A request was refused or given up.
+    /// A request was rejected or abandoned.
     Refused {
-        /// The caller's identifier.
+        /// Request identifier sent by the caller.
         request: String,
-        /// HTTP status.
+        /// HTTP status returned to the caller.
         status: u16,
-        /// Numbered code.
+        /// Numbered result code.
         code: u16,
-        /// Its reason.
+        /// Machine-readable reason of the code.
         reason: String,
-        /// Version of the traffic configuration; 0 for none.
+        /// Version of the traffic configuration; 0 if none was loaded.
         version: u64,
         /// Milliseconds since the request arrived.
         after_ms: u64,
-        /// Sends to engines before.
+        /// Number of sends to engines so far.
         sends: u32,
-        /// When the caller is told to come back.
+        /// Retry delay returned to the caller, in milliseconds.
         retry_after_ms: u64,
     },
-    /// A phase's pieces were handed to the node that batches its service.
+    /// The pieces of a phase were submitted to the node that batches its service.
     PhaseSubmitted {
-        /// The caller's identifier.
+        /// Request identifier sent by the caller.
         request: String,
-        /// Number of the phase.
+        /// Index of the phase in the route.
         phase: u32,
-        /// The service.
+        /// Service that runs the phase.
         service: String,
-        /// How many pieces.
+        /// Number of pieces submitted.
         pieces: usize,
-        /// The batching node.
+        /// Node that batches the service.
         owner: String,
-        /// Milliseconds until the request's end.
+        /// Milliseconds until the request's deadline.
         remaining_ms: u64,
-        /// How far the back ends are: `same_zone`, `same_region` or `other_region`; empty where
-        /// they are those of all zones.
+        /// Distance to the back ends: `same_zone`, `same_region` or `other_region`; empty if
+        /// the batching node uses the back ends of all zones.
         distance: String,
     },
-    /// A phase ended.
+    /// A phase finished or failed.
     PhaseDone {
-        /// The caller's identifier.
+        /// Request identifier sent by the caller.
         request: String,
-        /// Number of the phase.
+        /// Index of the phase in the route.
         phase: u32,
-        /// `made`, or why not.
+        /// `made`, or the reason of the failure.
         outcome: String,
-        /// How long it took.
+        /// Duration in milliseconds.
         took_ms: u64,
     },
     /// A batch was sent to a back end.
     BatchSent {
-        /// The back end.
+        /// Back end that receives the batch.
         backend: String,
-        /// The service.
+        /// Service of the back end.
         service: String,
-        /// Pieces in the call.
+        /// Number of pieces in the batch.
         pieces: usize,
-        /// Pieces that go on waiting.
+        /// Number of pieces that stay queued.
         waiting: usize,
-        /// Room taken at the back end, in bytes.
+        /// Result memory in use at the back end, in bytes.
         room_taken: u64,
-        /// The requests of the pieces.
+        /// Identifiers of the requests that the pieces belong to.
         requests: Vec<String>,
     },
-    /// A batch ended.
+    /// A batch finished or failed.
     BatchEnded {
-        /// The back end.
+        /// Back end that ran the batch.
         backend: String,
-        /// `made`, or why not: `not_run`, `unreachable`, `unknown`, or how many pieces failed by reason.
+        /// `made`, or the reason of the failure: `not_run`, `unreachable`, `unknown`, or the
+        /// number of failed pieces by reason.
         outcome: String,
-        /// How long it took.
+        /// Duration in milliseconds.
         took_ms: u64,
     },
     /// A request was sent to an engine.
     Sent {
-        /// The caller's identifier.
+        /// Request identifier sent by the caller.
         request: String,
-        /// The back end.
+        /// Selected back end.
         backend: String,
-        /// Version of its software; empty where the list does not tell.
+        /// Software version of the back end; empty if the back-end list has none.
         version: String,
-        /// Which send of this request.
+        /// Attempt number of this send for the request.
         send: u32,
-        /// Requests that this node has under way there.
+        /// Requests of this node in flight at the back end.
         in_flight: u32,
-        /// Requests that the back end last told of, running and waiting.
+        /// Running and queued requests in the back end's last load report.
         reported: u32,
-        /// Age of that report; none where there is none.
+        /// Age of that report in milliseconds; absent if there is no report.
         report_age_ms: Option<u64>,
-        /// Milliseconds until the request's end.
+        /// Milliseconds until the request's deadline.
         remaining_ms: u64,
-        /// How far the back end is: `same_zone`, `same_region` or `other_region`.
+        /// Distance to the back end: `same_zone`, `same_region` or `other_region`.
         distance: String,
     },
-    /// A request waits, as all engines that may have it rest, or have limits and this node no
-    /// permit.
+    /// A request is queued because every eligible engine is in a Retry-After pause or is
+    /// rate-limited without a permit for this node.
     WaitsForRest {
-        /// The caller's identifier.
+        /// Request identifier sent by the caller.
         request: String,
-        /// The service.
+        /// Service of the engines.
         service: String,
-        /// Milliseconds until the first of them is back.
+        /// Milliseconds until the first engine is available again.
         for_ms: u64,
     },
-    /// A send ended without an answer for the caller.
+    /// A send to an engine failed without a response for the caller.
     SendFailed {
-        /// The caller's identifier.
+        /// Request identifier sent by the caller.
         request: String,
-        /// The back end.
+        /// Back end that the request was sent to.
         backend: String,
-        /// What is known: `not_run` or `unknown`.
+        /// Whether the request ran: `not_run` or `unknown`.
         outcome: String,
-        /// Why.
+        /// Cause of the failure.
         reason: String,
-        /// How long it took.
+        /// Duration of the send in milliseconds.
         took_ms: u64,
-        /// What comes next: `retry` or `give_up`.
+        /// Next action: `retry` or `give_up`.
         next: String,
-        /// What decided it.
+        /// Condition that selected the next action.
         why: String,
     },
-    /// The answer reached the caller.
+    /// A response was sent to the caller.
     Answered {
-        /// The caller's identifier.
+        /// Request identifier sent by the caller.
         request: String,
-        /// The back end.
+        /// Back end that responded.
         backend: String,
-        /// HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// Milliseconds from arrival to the answer's head.
+        /// Milliseconds from the request's arrival to the response headers.
         head_ms: u64,
-        /// Milliseconds from arrival to the end.
+        /// Milliseconds from the request's arrival to the end of the response.
         total_ms: u64,
-        /// `whole`, or what broke it off.
+        /// `whole`, or the reason why the response is incomplete.
         end: String,
     },
-    /// The caller left.
+    /// The caller disconnected before the response was complete.
     CallerGone {
-        /// The caller's identifier.
+        /// Request identifier sent by the caller.
         request: String,
         /// Milliseconds since the request arrived.
         after_ms: u64,
-        /// Sends to engines before.
+        /// Number of sends to engines so far.
         sends: u32,
     },
-    /// A back end appeared, changed state or went.
+    /// A back end was added, changed state or was removed.
     Backend {
-        /// The back end.
+        /// Identity of the back end.
         backend: String,
-        /// Its service.
+        /// Service that it belongs to.
         service: String,
         /// `ready`, `cold`, `draining`, `gone`, `suspect`, `full`, `slow` or `trusted`.
         state: String,
-        /// What it was learnt from.
+        /// Origin of the information.
         source: String,
-        /// Version of its software; empty where the list does not tell.
+        /// Software version of the back end; empty if the back-end list has none.
         version: String,
     },
-    /// A list changed so many back ends that they are told by number.
+    /// A new back-end list changed too many back ends for one event each; only their number is
+    /// logged.
     BackendsListed {
-        /// Their service.
+        /// Service of the back ends.
         service: String,
         /// `ready`, `cold`, `draining` or `gone`.
         state: String,
-        /// How many came to that state.
+        /// Number of back ends that entered the state.
         backends: usize,
     },
-    /// A back end that turned a request away asked this node to send nothing for a while.
+    /// A back end rejected a request with a Retry-After pause, during which this node sends it
+    /// nothing.
     RestBegan {
-        /// The back end.
+        /// Back end that asked for the pause.
         backend: String,
-        /// For how long.
+        /// Duration of the pause in milliseconds.
         for_ms: u64,
-        /// What was answered: `request`, `batch`, `free`, `stage` or `load`.
+        /// Kind of call that was answered: `request`, `batch`, `free`, `stage` or `load`.
         path: String,
     },
-    /// A back end's rest is over.
+    /// The Retry-After pause of a back end ended.
     RestEnded {
-        /// The back end.
+        /// Back end that may be used again.
         backend: String,
     },
-    /// A back end said in an answer that it leaves.
+    /// A back end announced in a response that it is shutting down.
     LeavingTold {
-        /// The back end.
+        /// Back end that shuts down.
         backend: String,
-        /// What was answered, as in `rest_began`.
+        /// Kind of call that was answered, as in `rest_began`.
         path: String,
     },
-    /// How many requests a second a back end takes from all nodes together is another than
-    /// before, by what this node knows.
+    /// The cluster-wide request rate limit of a back end changed, as known to this node.
     LimitChanged {
-        /// The back end.
+        /// Back end with the limit.
         backend: String,
-        /// Requests a second before; none where it had no limit.
+        /// Previous limit in requests per second; absent if there was none.
         before: Option<f64>,
-        /// Requests a second from now on; none where it has no limit any more.
+        /// New limit in requests per second; absent if the limit was removed.
         per_second: Option<f64>,
-        /// What was answered, as in `rest_began`; `peer` where another node told.
+        /// Kind of call that was answered, as in `rest_began`; `peer` if another node sent the
+        /// limit.
         path: String,
-        /// The node that told so; empty where the back end did.
+        /// Node that sent the limit; empty if the back end did.
         told_by: String,
     },
-    /// A back end says something of itself that this node can't read; told once for each name.
+    /// A back end sent a status header that this node can't parse; logged once per header name.
     UnknownHeader {
-        /// The back end that said it first.
+        /// First back end that sent the header.
         backend: String,
         /// Name of the header.
         name: String,
     },
-    /// Other entries of the list of back ends than before name none; told by the node that read it.
+    /// The set of invalid entries that were skipped in the back-end list changed; logged by the
+    /// node that read the list.
     ListEntriesLeftOut {
-        /// Why, each with how many; none where all name one again.
+        /// Reasons with the number of entries each; empty if all entries are valid again.
         reasons: Vec<String>,
     },
-    /// Connections to a back end broke off, and it was asked whether it has ended.
+    /// Connections to a back end broke, and the node probed whether the back end has crashed.
     BrokeOff {
-        /// The back end.
+        /// Back end with the broken connections.
         backend: String,
-        /// Its service.
+        /// Service that it belongs to.
         service: String,
-        /// `crash` where its machine refuses connections, `connection` where the back end
-        /// accepts one, `unknown` where nothing came.
+        /// `crash` if its machine refuses connections, `connection` if the back end accepts
+        /// one, `unknown` if the probe timed out.
         cause: String,
-        /// Milliseconds since the first of them broke off.
+        /// Milliseconds since the first connection broke.
         after_ms: u64,
-        /// The requests.
+        /// Identifiers of the affected requests.
         requests: Vec<String>,
-        /// What each of them is, as in their `admitted` lines.
+        /// Fingerprints of the requests, as in their `admitted` events.
         fingerprints: Vec<String>,
     },
-    /// A crash of a back end was committed; told by the leader.
+    /// A crash of a back end was committed to the replicated state; logged by the leader.
     CrashRecorded {
-        /// The back end.
+        /// Back end that crashed.
         backend: String,
-        /// What the requests are that broke off there.
+        /// Fingerprints of the requests that the crash interrupted.
         fingerprints: Vec<String>,
-        /// The nodes that told of it.
+        /// Nodes that reported the crash.
         told_by: Vec<String>,
     },
-    /// A request is refused from now on as it crashes back ends; told by the leader.
+    /// A request was quarantined because it crashes back ends; logged by the leader.
     QuarantineBegun {
-        /// What it is, as in its `admitted` lines.
+        /// Fingerprint of the request, as in its `admitted` events.
         fingerprint: String,
-        /// The crashes that decided it, as `backend@milliseconds since 1970`.
+        /// Crashes attributed to the request, as `backend@milliseconds since 1970`.
         crashes: Vec<String>,
     },
-    /// A request is refused no more; told by the leader.
+    /// A request left the quarantine; logged by the leader.
     QuarantineEnded {
-        /// What it is.
+        /// Fingerprint of the request.
         fingerprint: String,
     },
-    /// Other requests are refused on this node.
+    /// A new quarantine list took effect on this node.
     QuarantineInForce {
         /// Revision of the list.
         revision: u64,
-        /// How many are refused.
+        /// Number of quarantined requests.
         refused: usize,
-        /// How many one crash more would have refused.
+        /// Number of requests that one more crash would quarantine.
         watched: usize,
     },
-    /// A version of a service has another part in its rollout, as this node knows it.
+    /// The rollout role of a service version changed, as known to this node.
     VersionRole {
-        /// The service.
+        /// Service in rollout.
         service: String,
-        /// The version.
+        /// Software version whose role changed.
         version: String,
-        /// `ordinary`, `baseline`, `candidate`, `retired`, or `held_back` while no order names a new one.
+        /// `ordinary`, `baseline`, `candidate`, `retired`, or `held_back` for a new version
+        /// that no rollout order names yet.
         role: String,
     },
-    /// A dependency was lost or came back.
+    /// A dependency became unavailable or available again.
     Dependency {
-        /// Its name.
+        /// Name of the dependency.
         name: String,
-        /// Whether it works.
+        /// Whether the dependency is available.
         works: bool,
-        /// What was seen.
+        /// Error or condition that was observed.
         detail: String,
     },
-    /// A traffic configuration came into force.
+    /// A traffic configuration took effect.
     TrafficInForce {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
-        /// The one before; 0 for none.
+        /// Previous version; 0 for none.
         before: u64,
     },
-    /// An operator ordered a zone to be evacuated, or to be used again.
+    /// An operator requested that a zone is evacuated or used again.
     EvacuationOrdered {
-        /// The zone.
+        /// Zone named in the request.
         zone: String,
-        /// Whether it is to be evacuated.
+        /// Whether the zone is to be evacuated.
         evacuated: bool,
-        /// Revision of the evacuated zones that this node held; 0 for none.
+        /// Revision of the evacuated zones known to this node; 0 for none.
         revision: u64,
-        /// `committed`, or why not.
+        /// `committed`, or the reason of the failure.
         outcome: String,
     },
-    /// Other zones are evacuated on this node.
+    /// A new set of evacuated zones took effect on this node.
     EvacuationsInForce {
-        /// Their revision.
+        /// Revision of the set.
         revision: u64,
-        /// The evacuated zones.
+        /// Names of the evacuated zones.
         zones: Vec<String>,
-        /// Back ends of those zones that the list names.
+        /// Number of listed back ends in these zones.
         backends: usize,
     },
-    /// An operator ordered a rollout, or that one be taken back.
+    /// An operator requested a rollout or a rollback.
     RolloutOrdered {
-        /// The service.
+        /// Service to roll out.
         service: String,
-        /// Version that its traffic is to move to; empty where a rollout is taken back.
+        /// Version that receives the traffic; empty for a rollback.
         target_version: String,
-        /// Time within which it is to end; 0 where a rollout is taken back.
+        /// Maximum duration of the rollout in milliseconds; 0 for a rollback.
         duration_ms: u64,
-        /// Number of the service's latest rollout that this node knew; 0 for none.
+        /// Number of the service's latest rollout known to this node; 0 for none.
         seen: u64,
-        /// `committed`, or why not.
+        /// `committed`, or the reason of the failure.
         outcome: String,
     },
-    /// Another directive of a rollout was committed; told by the leader.
+    /// A new directive of a rollout was committed; logged by the leader.
     RolloutDirective {
         /// Number of the rollout.
         rollout: u64,
-        /// The service.
+        /// Service in rollout.
         service: String,
-        /// Counts the directives.
+        /// Sequence number of the directive.
         step: u32,
-        /// Share of each route's requests that may go to the candidate, in thousandths.
+        /// Maximum share of each route's requests for the candidate, in thousandths.
         share_permille: u16,
-        /// Routes whose requests all go to the candidate.
+        /// Routes with all of their requests on the candidate.
         moved_routes: Vec<String>,
-        /// Answers of the candidate so far.
+        /// Number of responses from the candidate so far.
         candidate_answers: u64,
-        /// How many of them were bad.
+        /// Number of these responses that were bad.
         candidate_bad: u64,
-        /// Answers of the baseline so far.
+        /// Number of responses from the baseline so far.
         baseline_answers: u64,
-        /// How many of them were bad.
+        /// Number of these responses that were bad.
         baseline_bad: u64,
-        /// Milliseconds since the order.
+        /// Milliseconds since the rollout was ordered.
         elapsed_ms: u64,
     },
-    /// A rollout ended; told by the leader.
+    /// A rollout ended; logged by the leader.
     RolloutEnded {
         /// Number of the rollout.
         rollout: u64,
-        /// The service.
+        /// Service in rollout.
         service: String,
-        /// Version that was ordered.
+        /// Version that was rolled out.
         target_version: String,
         /// `completed` or `rolled_back`.
         state: String,
-        /// Why.
+        /// Cause of the end.
         reason: String,
-        /// Route that decided; empty for all together.
+        /// Route whose responses decided; empty for all routes together.
         route: String,
-        /// Answers of the candidate that were counted.
+        /// Number of counted responses from the candidate.
         candidate_answers: u64,
-        /// How many of them were bad.
+        /// Number of these responses that were bad.
         candidate_bad: u64,
-        /// Answers of the baseline that were counted.
+        /// Number of counted responses from the baseline.
         baseline_answers: u64,
-        /// How many of them were bad.
+        /// Number of these responses that were bad.
         baseline_bad: u64,
-        /// Milliseconds since the order.
+        /// Milliseconds since the rollout was ordered.
         elapsed_ms: u64,
     },
-    /// Other rollouts, or another state of one, are in force on this node.
+    /// A new set of rollouts or rollout states took effect on this node.
     RolloutsInForce {
-        /// Their revision.
+        /// Revision of the set.
         revision: u64,
-        /// Each latest rollout, as `service=state:version`.
+        /// Latest rollout of each service, as `service=state:version`.
         rollouts: Vec<String>,
     },
-    /// The view of live nodes changed.
+    /// The membership view changed.
     View {
-        /// Its version, as `term.sequence`.
+        /// Version of the view, as `term.sequence`.
         version: String,
-        /// How many nodes are usable.
+        /// Number of usable nodes.
         usable: usize,
         /// Nodes that became usable.
         joined: Vec<String>,
-        /// Nodes that are usable no more.
+        /// Nodes that are no longer usable.
         left: Vec<String>,
     },
-    /// The leader of a group changed, as this node knows it.
+    /// The leader of a replication group changed, as known to this node.
     Leader {
-        /// The group.
+        /// Replication group.
         group: String,
-        /// Its leader; empty for none.
+        /// Node that leads the group; empty for none.
         leader: String,
-        /// The term.
+        /// Consensus term of the leader.
         term: u64,
     },
-    /// The batching node of a service changed, as this node sees it.
+    /// The node that batches a service changed, as known to this node.
     BatchOwner {
-        /// The service.
+        /// Service with its zone or region, if it is divided.
         service: String,
-        /// The node; empty for none.
+        /// Node that batches the service; empty for none.
         owner: String,
     },
-    /// Something else that a component tells.
+    /// A log record of a component that has no event type of its own.
     Note {
         /// `error`, `warn`, `info` or `debug`.
         level: String,
-        /// What happened, as a name.
+        /// Event name of the record.
         name: String,
-        /// Its inputs, as `name=value`.
+        /// Key-value pairs of the record, as `name=value`.
         inputs: Vec<String>,
-        /// In words.
+        /// Text of the record.
         message: String,
     },
-    /// Lines were dropped, as more came than the log takes.
+    /// Events were dropped because the log's queue or rate limit was exceeded.
     Dropped {
-        /// Steps of requests.
+        /// Number of dropped request steps.
         steps: u64,
-        /// Failures.
+        /// Number of dropped request failures.
         failures: u64,
-        /// Beliefs.
+        /// Number of dropped state changes.
         beliefs: u64,
     },
 }
--- a/crates/decisions/src/event_class.rs
+++ b/crates/decisions/src/event_class.rs
@@ -1,20 +1,20 @@
-//! How important events are, and what they are about.
+//! Classification of events by importance and by request.
 
 use crate::event::Event;
 
-/// How important an event is when not all can be kept.
+/// Importance of an event when the log has to drop some; later variants are kept longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EventClass {
-    /// A step of a request that goes well; sampled under load.
+    /// Regular progress of a request; sampled under load.
     RequestStep,
-    /// A refusal, failure or retry of a request.
+    /// Rejection, failure or retry of a request.
     RequestFailure,
-    /// A change of what the process believes, or of its life.
+    /// Change of the process's state or of its knowledge of the cluster.
     StateChange,
 }
 
 impl Event {
-    /// How important the event is.
+    /// Class by which the log decides what to drop first.
     pub fn class(&self) -> EventClass {
         match self {
             Event::Admitted { .. }
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The request that the event is about, where it is about one.
+    /// Identifier of the request that the event belongs to, if it belongs to one.
     pub fn request(&self) -> Option<&str> {
         match self {
             Event::Admitted { request, .. }
--- a/crates/decisions/src/explain.rs
+++ b/crates/decisions/src/explain.rs
@@ -1,55 +1,56 @@
-//! The way of a request, or of a belief, through the lines of several processes.
+//! Reconstructs the history of a request, or of an object's state, from the decision logs of
+//! several processes.
 
 use crate::event::Event;
 use crate::event_class::EventClass;
 use crate::writer::LogLine;
 
-/// Why a path may be told in part only.
+/// Counts of log lines that are missing, so that an explanation may be incomplete.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MissingLines {
-    /// Lines of the files that are no decision lines.
+    /// Lines of the input that are not decision log lines.
     pub unreadable: usize,
-    /// Lines that processes say they dropped.
+    /// Lines that the processes reported as dropped.
     pub dropped: u64,
 }
 
-/// The lines of several processes, in the order of their clocks.
+/// Decision log lines of several processes, ordered by wall-clock timestamp.
 #[derive(Debug, Default)]
 pub struct LogLines {
     lines: Vec<LogLine>,
-    /// What is known to be missing.
+    /// Lines known to be missing.
     pub gaps: MissingLines,
 }
 
-/// What became of a request, by its lines.
+/// History and result of one request.
 #[derive(Debug, PartialEq)]
 pub struct Explanation<'a> {
-    /// Its lines in order.
+    /// Log lines of the request, ordered by time.
     pub path: Vec<&'a LogLine>,
-    /// The first decision that lost it; none where it went well or nothing is
-    /// known.
+    /// The first decision that made the request fail; none if it succeeded or no decision is
+    /// in the logs.
     pub failed_by: Option<&'a LogLine>,
-    /// Whether its arrival is among the lines.
+    /// Whether the logs contain the request's arrival.
     pub has_arrival: bool,
-    /// Whether its end is among the lines.
+    /// Whether the logs contain the request's end.
     pub has_end: bool,
 }
 
 impl LogLines {
-    /// Takes in the text of a log file. A line may have other text before its
-    /// JSON object, as when a collector adds times and names.
+    /// Adds the text of a log file. A line may have a prefix before its JSON object, such as
+    /// the timestamp and host name that a log collector adds.
     pub fn read(&mut self, text: &str) {
         for text in text.lines().filter(|line| !line.trim().is_empty()) {
             let object = text.find('{').map(|start| &text[start..]);
             match object.and_then(|object| serde_json::from_str::<LogLine>(object).ok()) {
-                Some(line) => self.take(line),
+                Some(line) => self.add_line(line),
                 None => self.gaps.unreadable += 1,
             }
         }
         self.lines.sort_by_key(|line| line.at_ms);
     }
 
-    fn take(&mut self, line: LogLine) {
+    fn add_line(&mut self, line: LogLine) {
         if let Event::Dropped {
             steps,
             failures,
@@ -61,19 +62,19 @@
         self.lines.push(line);
     }
 
-    /// The path of a request.
+    /// History and result of the request `id`.
     pub fn request(&self, id: &str) -> Explanation<'_> {
         let path: Vec<&LogLine> = self
             .lines
             .iter()
             .filter(|line| is_about(&line.event, id))
             .collect();
-        // A request that was served in the end was lost by nothing on its way.
-        let is_served = path.iter().any(|line| serves(&line.event));
+        // Failed attempts of a request that succeeded in the end are not reported as its failure.
+        let is_successful = path.iter().any(|line| is_complete_response(&line.event));
         let failed_by = path
             .iter()
             .copied()
-            .find(|line| !is_served && loses(&line.event));
+            .find(|line| !is_successful && is_terminal_failure(&line.event));
         let is_arrival =
             |line: &&LogLine| matches!(line.event, Event::Admitted { .. } | Event::Refused { .. });
         let is_end = |line: &&LogLine| {
@@ -90,8 +91,8 @@
         }
     }
 
-    /// What the processes believed of a subject: a back end, service, node or
-    /// group; the lines of beliefs that name it.
+    /// State changes whose lines contain `subject`, the name of a back end, service, node or
+    /// group.
     pub fn state_changes(&self, subject: &str) -> Vec<&LogLine> {
         let lines = self.lines.iter();
         lines
@@ -102,10 +103,12 @@
             .collect()
     }
 
-    /// Requests that were lost, with the decision that lost each, for a start
-    /// where no id is known.
+    /// Failing decisions of all requests, each with its request identifier.
     pub fn failed_requests(&self) -> Vec<(&str, &LogLine)> {
-        let failures = self.lines.iter().filter(|line| loses(&line.event));
+        let failures = self
+            .lines
+            .iter()
+            .filter(|line| is_terminal_failure(&line.event));
         failures
             .filter_map(|line| Some((line.event.request()?, line)))
             .collect()
@@ -119,8 +122,8 @@
     }
 }
 
-/// Whether a decision loses its request.
-fn loses(event: &Event) -> bool {
+/// Whether a decision makes its request fail.
+fn is_terminal_failure(event: &Event) -> bool {
     match event {
         Event::Refused { .. } | Event::CallerGone { .. } => true,
         Event::SendFailed { next, .. } => next == "give_up",
@@ -130,12 +133,12 @@
     }
 }
 
-/// Whether an event is a whole answer of success.
-fn serves(event: &Event) -> bool {
+/// Whether an event is a complete successful response.
+fn is_complete_response(event: &Event) -> bool {
     matches!(event, Event::Answered { end, status, .. } if end == "whole" && *status < 400)
 }
 
-/// One line for people: time from `start_ms`, node, event and its inputs.
+/// Formats a line for display: time since `start_ms`, node, event name and inputs.
 pub fn format_line(line: &LogLine, start_ms: u64) -> String {
     let mut fields = match serde_json::to_value(&line.event) {
         Ok(serde_json::Value::Object(fields)) => fields,
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,8 +1,8 @@
-//! What a process decided and believed, as structured lines on standard output.
+//! Decision log: routing, membership and configuration decisions of a process as JSON lines.
 //!
-//! Each decision is a typed [`Event`]; one writer turns events into lines. The
-//! queue to the writer is bounded and never blocks: what does not fit is
-//! dropped, least important class first, and counted.
+//! Each decision is a typed [`Event`]; a writer thread serializes events to lines. The
+//! queue to the writer is bounded and never blocks: events that do not fit are
+//! dropped, the least important class first, and counted.
 
 pub mod event;
 mod event_class;
--- a/crates/decisions/src/writer.rs
+++ b/crates/decisions/src/writer.rs
@@ -1,4 +1,4 @@
-//! The writer: a bounded queue and one thread that writes lines.
+//! The log writer: a bounded queue and a thread that writes JSON lines.
 
 use crate::event::Event;
 use crate::event_class::EventClass;
@@ -10,20 +10,19 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Time for which lines are gathered before they are written together.
-const GATHER: Duration = Duration::from_millis(100);
+/// Interval between writes; lines recorded meanwhile are written together.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the log takes.
+/// Limits on queued and sampled lines.
 #[derive(Clone, Copy, Debug)]
 pub struct LogLimits {
-    /// Most lines that wait for the writer. Steps may fill a half, failures
-    /// three quarters, beliefs all of it.
+    /// Maximum number of lines queued for the writer. Request steps may fill one half of it,
+    /// request failures three quarters, state changes all of it.
     pub queue: usize,
-    /// Most steps in a second that are written whatever their request; above
-    /// it only those of sampled requests.
+    /// Request steps per second above which only those of sampled requests are written.
     pub steps_per_second: u32,
-    /// Of so many requests one is sampled, by a hash of its identifier that is
-    /// the same on all nodes.
+    /// One of this many requests is sampled, by a hash of its identifier that is the same on
+    /// all nodes.
     pub sample_one_of: u64,
 }
 
@@ -37,27 +36,27 @@
     }
 }
 
-/// Lines written and dropped, for the metrics.
+/// Counts of accepted and dropped lines, for the metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogCounts {
-    /// Lines taken.
+    /// Lines accepted into the queue.
     pub taken: u64,
-    /// Steps of requests dropped, sampling included.
+    /// Request steps dropped, including those dropped by sampling.
     pub dropped_steps: u64,
-    /// Failures dropped.
+    /// Request failures dropped because the queue was full.
     pub dropped_failures: u64,
-    /// Beliefs dropped.
+    /// State changes dropped because the queue was full.
     pub dropped_beliefs: u64,
 }
 
-/// A line as it is written and read again.
+/// A line of the decision log in its JSON form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogLine {
     /// Milliseconds since the Unix epoch, by the node's clock.
     pub at_ms: u64,
-    /// The node.
+    /// Name of the node that recorded the event.
     pub node: String,
-    /// What happened.
+    /// The recorded event.
     #[serde(flatten)]
     pub event: Event,
 }
@@ -70,7 +69,7 @@
     second: u64,
     steps_in_second: u32,
     closed: bool,
-    ended: bool,
+    writer_ended: bool,
 }
 
 struct Shared {
@@ -80,19 +79,22 @@
     node: String,
 }
 
-/// Takes events; clones write to the same place.
+/// Handle for recording events; clones share the queue and the writer.
 #[derive(Clone)]
 pub struct DecisionLog {
     shared: Option<Arc<Shared>>,
 }
 
 impl DecisionLog {
-    /// A log that writes nothing.
+    /// Creates a log that discards all events.
     pub fn disabled() -> Self {
         Self { shared: None }
     }
 
-    /// A log of `node` that writes lines to `output` from a thread of its own.
+    /// Starts a log for `node` whose writer thread writes lines to `output`.
+    ///
+    /// # Errors
+    /// If the writer thread can't be started.
     pub fn start(
         node: &str,
         limits: LogLimits,
@@ -113,7 +115,7 @@
         })
     }
 
-    /// Takes an event. Never waits for the output.
+    /// Queues an event or drops it. Never blocks on the output.
     pub fn record(&self, event: Event) {
         let Some(shared) = &self.shared else {
             return;
@@ -122,8 +124,8 @@
             return;
         };
         let at_ms = wall_clock_ms();
-        if !queue.has_place(&event, at_ms / 1_000, &shared.limits) {
-            queue.counts.drop_one(event.class());
+        if !queue.try_reserve(&event, at_ms / 1_000, &shared.limits) {
+            queue.counts.count_dropped(event.class());
             return;
         }
         queue.counts.taken += 1;
@@ -139,15 +141,18 @@
         }
     }
 
-    /// Lines taken and dropped so far.
+    /// Lines accepted and dropped since the start.
     pub fn counts(&self) -> LogCounts {
-        let queue = self.shared.as_ref().and_then(|one| one.queue.lock().ok());
+        let queue = self
+            .shared
+            .as_ref()
+            .and_then(|shared| shared.queue.lock().ok());
         queue.map_or(LogCounts::default(), |queue| queue.counts)
     }
 
-    /// Ends the writer and waits, for `longest` at most, until it has written what
-    /// was taken.
-    pub fn close(&self, longest: Duration) {
+    /// Closes the log and waits, at most `timeout`, until the writer has written all queued
+    /// lines.
+    pub fn close(&self, timeout: Duration) {
         let Some(shared) = &self.shared else {
             return;
         };
@@ -158,19 +163,19 @@
         shared.wake.notify_all();
         let waited = shared
             .wake
-            .wait_timeout_while(queue, longest, |queue| !queue.ended);
+            .wait_timeout_while(queue, timeout, |queue| !queue.writer_ended);
         drop(waited);
     }
 }
 
 impl Queue {
-    fn has_place(&mut self, event: &Event, second: u64, limits: &LogLimits) -> bool {
-        let share = match event.class() {
+    fn try_reserve(&mut self, event: &Event, second: u64, limits: &LogLimits) -> bool {
+        let capacity = match event.class() {
             EventClass::RequestStep => limits.queue / 2,
             EventClass::RequestFailure => limits.queue * 3 / 4,
             EventClass::StateChange => limits.queue,
         };
-        if self.lines.len() >= share {
+        if self.lines.len() >= capacity {
             return false;
         }
         if event.class() != EventClass::RequestStep {
@@ -189,7 +194,7 @@
 }
 
 impl LogCounts {
-    fn drop_one(&mut self, class: EventClass) {
+    fn count_dropped(&mut self, class: EventClass) {
         match class {
             EventClass::RequestStep => self.dropped_steps += 1,
             EventClass::RequestFailure => self.dropped_failures += 1,
@@ -203,14 +208,14 @@
             failures: self.dropped_failures - before.dropped_failures,
             beliefs: self.dropped_beliefs - before.dropped_beliefs,
         };
-        let dropped = |counts: &LogCounts| {
+        let total_dropped = |counts: &LogCounts| {
             counts.dropped_steps + counts.dropped_failures + counts.dropped_beliefs
         };
-        (dropped(self) > dropped(before)).then_some(event)
+        (total_dropped(self) > total_dropped(before)).then_some(event)
     }
 }
 
-/// Whether a request's steps are kept under load; the same on all nodes.
+/// Whether the steps of a request are logged under load; the same on all nodes.
 pub fn is_sampled(request: &str, one_of: u64) -> bool {
     let mut hasher = DefaultHasher::new();
     request.hash(&mut hasher);
@@ -221,7 +226,7 @@
     loop {
         let Some(lines) = next_lines(shared) else {
             if let Ok(mut queue) = shared.queue.lock() {
-                queue.ended = true;
+                queue.writer_ended = true;
             }
             shared.wake.notify_all();
             return;
@@ -232,24 +237,24 @@
                 bytes.push(b'\n');
             }
         }
-        // An output that is gone takes the lines with it.
+        // Write errors are ignored: there is no other place to report them.
         let _ = output.write_all(&bytes);
         let _ = output.flush();
-        gather(shared);
+        wait_for_flush_interval(shared);
     }
 }
 
-/// Lets lines gather, unless the log is closed.
-fn gather(shared: &Shared) {
+/// Waits for the flush interval, or until the log is closed.
+fn wait_for_flush_interval(shared: &Shared) {
     if let Ok(queue) = shared.queue.lock() {
         let waited = shared
             .wake
-            .wait_timeout_while(queue, GATHER, |queue| !queue.closed);
+            .wait_timeout_while(queue, FLUSH_INTERVAL, |queue| !queue.closed);
         drop(waited);
     }
 }
 
-/// Waits for lines; none when the log is closed and empty.
+/// Waits for queued lines; none when the log is closed and the queue is empty.
 fn next_lines(shared: &Shared) -> Option<Vec<LogLine>> {
     let mut queue = shared.queue.lock().ok()?;
     while queue.lines.is_empty() {
@@ -273,5 +278,5 @@
 fn wall_clock_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |passed| passed.as_millis() as u64)
+        .map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
--- a/crates/decisions/tests/explain.rs
+++ b/crates/decisions/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Explaining a lost request from the lines of several processes.
+//! Reconstructing the history of a failed request from the logs of several processes.
 
 use rstest::rstest;
 use silversail_decisions::explain::{format_line, LogLines};
@@ -33,7 +33,10 @@
         pieces: 2,
         waiting: 9,
         room_taken: 10,
-        requests: requests.iter().map(|one| (*one).to_owned()).collect(),
+        requests: requests
+            .iter()
+            .map(|request| (*request).to_owned())
+            .collect(),
     }
 }
 
@@ -71,7 +74,8 @@
     }
 }
 
-/// The caller's node and the batching node, whose lines a collector marked.
+/// Logs of the node that admitted the requests and of the batching node, whose line has a log
+/// collector's prefix.
 fn logs() -> LogLines {
     let mut lines = LogLines::default();
     let caller = [
@@ -82,14 +86,14 @@
         line(1_450, "n1", send_failed("r2", "retry")),
         line(1_460, "n1", send_failed("r2", "give_up")),
     ];
-    let marked = line(1_010, "n2", batch(&["r1", "r9"]));
-    lines.read(&format!("   1.01 n2 {marked}not a decision\n"));
+    let prefixed = line(1_010, "n2", batch(&["r1", "r9"]));
+    lines.read(&format!("   1.01 n2 {prefixed}not a decision\n"));
     lines.read(&caller.concat());
     lines
 }
 
 #[test]
-fn the_path_is_told_over_processes_in_order() {
+fn request_history_merges_the_processes_by_time() {
     let lines = logs();
     let explanation = lines.request("r1");
     let nodes: Vec<&str> = explanation
@@ -110,21 +114,21 @@
 #[case("r1", Some(1_310), true, true)]
 #[case("r2", Some(1_460), true, false)]
 #[case("r9", None, false, false)]
-fn the_first_decision_that_lost_a_request_is_named(
+fn the_first_failing_decision_of_a_request_is_reported(
     #[case] request: &str,
-    #[case] lost_at: Option<u64>,
+    #[case] failed_at: Option<u64>,
     #[case] has_arrival: bool,
     #[case] has_end: bool,
 ) {
     let lines = logs();
     let explanation = lines.request(request);
-    assert_eq!(explanation.failed_by.map(|line| line.at_ms), lost_at);
+    assert_eq!(explanation.failed_by.map(|line| line.at_ms), failed_at);
     assert_eq!(explanation.has_arrival, has_arrival);
     assert_eq!(explanation.has_end, has_end);
 }
 
 #[test]
-fn a_request_that_is_served_in_the_end_is_lost_by_nothing() {
+fn a_request_that_succeeds_after_a_retry_has_no_failing_decision() {
     let mut lines = logs();
     let answered = Event::Answered {
         request: "r2".into(),
@@ -139,7 +143,7 @@
 }
 
 #[test]
-fn gaps_are_told() {
+fn dropped_and_unreadable_lines_are_counted() {
     let mut lines = logs();
     let dropped = Event::Dropped {
         steps: 5,
@@ -152,7 +156,7 @@
 }
 
 #[test]
-fn beliefs_are_found_by_their_subject() {
+fn state_changes_are_found_by_the_name_of_their_subject() {
     let mut lines = logs();
     let suspect = Event::Backend {
         backend: "e1".into(),
@@ -167,9 +171,9 @@
     assert_eq!(lines.failed_requests().len(), 3);
 }
 
-/// Every kind of event reads back as it was written, and docs name each.
+/// Guards against events and fields that are missing from the operators' documentation.
 #[test]
-fn the_operators_page_names_each_event_and_its_inputs() {
+fn the_decision_log_page_documents_each_event_and_field() {
     let page = include_str!("../../../docs/DECISION_LOG.md");
     let source = include_str!("../src/event.rs");
     let mut event = String::new();
@@ -200,7 +204,7 @@
 
 fn is_field(name: &str) -> bool {
     let mut characters = name.chars();
-    characters.all(|one| one.is_ascii_lowercase() || one == '_')
+    characters.all(|character| character.is_ascii_lowercase() || character == '_')
 }
 
 fn snake_case(name: &str) -> String {
--- a/crates/decisions/tests/writer.rs
+++ b/crates/decisions/tests/writer.rs
@@ -1,4 +1,4 @@
-//! The decision log is bounded and never blocks.
+//! Queue limits and sampling of the decision log.
 
 use silversail_decisions::writer::{is_sampled, LogLine};
 use silversail_decisions::{DecisionLog, Event, LogLimits};
@@ -7,13 +7,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// An output that tells when the writer waits in it, and waits until released.
-struct Blocked {
+/// Output that signals each write and blocks it until released.
+struct BlockingOutput {
     entered: Sender<()>,
     released: Receiver<()>,
 }
 
-impl Write for Blocked {
+impl Write for BlockingOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.entered.send(());
         let _ = self.released.recv();
@@ -26,9 +26,9 @@
 }
 
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct BufferOutput(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for BufferOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0
             .lock()
@@ -42,7 +42,7 @@
     }
 }
 
-impl Kept {
+impl BufferOutput {
     fn lines(&self) -> Vec<LogLine> {
         let bytes = self.0.lock().expect("not poisoned").clone();
         let text = String::from_utf8(bytes).expect("text");
@@ -51,11 +51,11 @@
             .collect()
     }
 
-    fn wait_for(&self, is_enough: impl Fn(&[LogLine]) -> bool) -> Vec<LogLine> {
-        let end = Instant::now() + Duration::from_secs(30);
+    fn wait_for(&self, is_complete: impl Fn(&[LogLine]) -> bool) -> Vec<LogLine> {
+        let deadline = Instant::now() + Duration::from_secs(30);
         loop {
             let lines = self.lines();
-            if is_enough(&lines) || Instant::now() > end {
+            if is_complete(&lines) || Instant::now() > deadline {
                 return lines;
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -69,7 +69,7 @@
     sample_one_of: 4,
 };
 
-fn step(number: usize) -> Event {
+fn request_step(number: usize) -> Event {
     Event::Admitted {
         request: format!("r{number}"),
         route: "route".into(),
@@ -81,7 +81,7 @@
     }
 }
 
-fn failure(number: usize) -> Event {
+fn request_failure(number: usize) -> Event {
     Event::CallerGone {
         request: format!("r{number}"),
         after_ms: 1,
@@ -89,76 +89,76 @@
     }
 }
 
-fn belief(version: u64) -> Event {
+fn state_change(version: u64) -> Event {
     Event::TrafficInForce { version, before: 0 }
 }
 
 #[test]
-fn an_output_that_nobody_reads_costs_the_least_important_lines_first() {
+fn a_blocked_output_drops_the_least_important_lines_first() {
     let (entered, is_entered) = channel();
     let (_release, released) = channel();
-    let output = Blocked { entered, released };
+    let output = BlockingOutput { entered, released };
     let log = DecisionLog::start("n1", LIMITS, output).expect("a thread");
-    // The writer takes this one and waits in the output.
-    log.record(belief(0));
+    // The writer takes this line from the queue and blocks in the output.
+    log.record(state_change(0));
     is_entered.recv().expect("the writer writes");
     for number in 0..100 {
-        log.record(step(number));
+        log.record(request_step(number));
     }
     assert_eq!(log.counts().dropped_steps, 80);
     for number in 0..100 {
-        log.record(failure(number));
+        log.record(request_failure(number));
     }
     assert_eq!(log.counts().dropped_failures, 90);
     for version in 0..15 {
-        log.record(belief(version));
+        log.record(state_change(version));
     }
     assert_eq!(log.counts().dropped_beliefs, 5);
 }
 
 #[test]
-fn lines_are_whole_and_what_was_dropped_is_told() {
-    let kept = Kept::default();
-    let log = DecisionLog::start("n1", LIMITS, kept.clone()).expect("a thread");
+fn lines_are_complete_and_dropped_lines_are_reported() {
+    let output = BufferOutput::default();
+    let log = DecisionLog::start("n1", LIMITS, output.clone()).expect("a thread");
     for number in 0..200 {
-        log.record(failure(number));
+        log.record(request_failure(number));
     }
-    let accounted = |lines: &[LogLine]| -> u64 {
+    let count_accounted = |lines: &[LogLine]| -> u64 {
         let counts = lines.iter().map(|line| match &line.event {
             Event::Dropped { failures, .. } => *failures,
             event => u64::from(event.request().is_some()),
         });
         counts.sum()
     };
-    let lines = kept.wait_for(|lines| accounted(lines) == 200);
-    assert_eq!(accounted(&lines), 200);
+    let lines = output.wait_for(|lines| count_accounted(lines) == 200);
+    assert_eq!(count_accounted(&lines), 200);
     assert!(lines.len() < 200);
     assert!(lines.iter().all(|line| line.node == "n1"));
 }
 
 #[test]
-fn under_load_the_same_requests_are_kept_on_every_node() {
+fn all_nodes_sample_the_same_requests_under_load() {
     let limits = LogLimits {
         queue: 100_000,
         steps_per_second: 0,
         sample_one_of: 4,
     };
-    let mut seen = Vec::new();
+    let mut sampled_by_node = Vec::new();
     for node in ["n1", "n2"] {
-        let kept = Kept::default();
-        let log = DecisionLog::start(node, limits, kept.clone()).expect("a thread");
+        let output = BufferOutput::default();
+        let log = DecisionLog::start(node, limits, output.clone()).expect("a thread");
         for number in 0..400 {
-            log.record(step(number));
+            log.record(request_step(number));
         }
         let taken = log.counts().taken as usize;
         let steps = |lines: &[LogLine]| {
             let requests = lines.iter().filter_map(|line| line.event.request());
             requests.map(str::to_owned).collect::<Vec<String>>()
         };
-        let requests = steps(&kept.wait_for(|lines| steps(lines).len() >= taken));
+        let requests = steps(&output.wait_for(|lines| steps(lines).len() >= taken));
         assert!((50..150).contains(&requests.len()), "{}", requests.len());
         assert!(requests.iter().all(|request| is_sampled(request, 4)));
-        seen.push(requests);
+        sampled_by_node.push(requests);
     }
-    assert_eq!(seen[0], seen[1]);
+    assert_eq!(sampled_by_node[0], sampled_by_node[1]);
 }
