--- a/crates/model/src/fingerprint.rs
+++ b/crates/model/src/fingerprint.rs
@@ -1,19 +1,19 @@
-//! Which attempts of callers are the same request come again.
+//! Fingerprints that identify repeated attempts of the same request.
 //!
-//! Each attempt has an identifier of its own; what makes it the same request is what it asks for:
-//! its target, its body, and whose it is. Headers that a caller may set freely are left out.
+//! Each attempt has its own identifier, so the fingerprint covers the tenant, the target and the
+//! body. Headers are not part of it, as a caller can change them freely.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::fmt;
 use std::str::FromStr;
 
-/// SHA-256 of a request's target (path and query) and body. Host and method are no part of it.
+/// SHA-256 digest of a request's target (path and query) and body. Host and method are excluded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ContentDigest([u8; 32]);
 
 impl ContentDigest {
-    /// The digest of a request for `target` with a whole `body`, as the caller sent them.
+    /// Computes the digest of `target` and the complete `body`, as received from the caller.
     pub fn of(target: &str, body: &[u8]) -> Self {
         let mut hasher = Sha256::new();
         update_with_text(&mut hasher, target);
@@ -22,15 +22,15 @@
     }
 }
 
-/// Length of a fingerprint, in bytes: two of 2^40 requests are alike with a chance of 2^-49.
+/// Length of a fingerprint, in bytes; the probability of a collision among 2^40 requests is 2^-49.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// Identifies what a request asks for, and whose it is; the same on all nodes.
+/// Identifies a request by tenant, target and body; the same on all nodes.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestFingerprint([u8; FINGERPRINT_BYTES]);
 
 impl RequestFingerprint {
-    /// The fingerprint of a request of `tenant`; none on routes that need no key.
+    /// Computes the fingerprint of a request. `tenant` is none on routes that need no API key.
     pub fn of(tenant: Option<&str>, content: &ContentDigest) -> Self {
         let mut hasher = Sha256::new();
         hasher.update([u8::from(tenant.is_some())]);
@@ -43,7 +43,7 @@
     }
 }
 
-/// Takes in a text behind its length, so that two texts in a row have one reading.
+/// Hashes a text with its length as prefix, so that adjacent texts can't be confused.
 fn update_with_text(hasher: &mut Sha256, text: &str) {
     hasher.update((text.len() as u64).to_le_bytes());
     hasher.update(text.as_bytes());
@@ -64,9 +64,9 @@
     }
 }
 
-/// Why a text is no fingerprint.
+/// Error of parsing a fingerprint from text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a fingerprint has 32 hexadecimal digits")]
+#[error("a fingerprint must consist of 32 hexadecimal digits")]
 pub struct FingerprintError;
 
 impl FromStr for RequestFingerprint {
--- a/crates/model/src/identifiers.rs
+++ b/crates/model/src/identifiers.rs
@@ -1,4 +1,4 @@
-//! Names of the objects that operators and settings refer to.
+//! Typed names of the objects in settings and configuration.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -11,7 +11,7 @@
         pub struct $name(pub String);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -40,7 +40,7 @@
     BackendName
 );
 name_type!(
-    /// Name of a pipeline.
+    /// Name of a pipeline, unique in the configuration.
     PipelineName
 );
 name_type!(
@@ -48,19 +48,19 @@
     StageName
 );
 name_type!(
-    /// Name of a tenant.
+    /// Name of a tenant, unique in the configuration.
     TenantName
 );
 name_type!(
-    /// Identifier of a configuration change, chosen once by the operator and
-    /// kept over resends.
+    /// Identifier of a configuration change, chosen by the operator and reused when the
+    /// change is sent again.
     ChangeId
 );
 
-/// Longest name that validation accepts, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Whether `text` is usable as a name: 1 to [`MAX_NAME_BYTES`] bytes of ASCII
+/// Whether `text` is a valid name: 1 to [`MAX_NAME_BYTES`] bytes of ASCII
 /// letters, digits, `-`, `_` and `.`.
 pub fn is_valid_name(text: &str) -> bool {
     !text.is_empty()
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,5 +1,5 @@
-//! The vocabulary shared by every package: identifiers, labels and selectors,
-//! the configuration with its validation, and the numbered result codes.
+//! Data types shared by all packages: identifiers, labels and selectors, the
+//! configuration with its validation, the topology, and the numbered result codes.
 
 pub mod codes;
 pub mod configuration;
--- a/crates/model/src/retry_after.rs
+++ b/crates/model/src/retry_after.rs
@@ -1,37 +1,37 @@
-//! How long a back end that turns something away wants nothing, as `Retry-After` names it.
+//! Parsing of `Retry-After` headers in the responses of back ends.
 
 use std::time::Duration;
 
-/// The rests that a head names.
+/// Delays in the `Retry-After` headers of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryAfter {
-    /// The longest of them; none where none is longer than 0.
+    /// The longest delay; none if no delay is longer than 0.
     pub longest: Option<Duration>,
-    /// Whether one can't be read.
+    /// Whether at least one value is invalid.
     pub is_unreadable: bool,
 }
 
 impl RetryAfter {
-    /// Reads the values of all headers of the name: several may be joined by commas on their way.
-    /// Each is a number of seconds, fractions included. A date counts as unreadable: the clocks of
-    /// two machines need not agree.
+    /// Parses the values of all `Retry-After` headers; a proxy may have joined several values by
+    /// commas. Each value is a decimal number of seconds. A date counts as invalid, because the
+    /// clocks of two machines may differ.
     pub fn read<'a>(values: impl IntoIterator<Item = &'a str>) -> Self {
-        let mut rest = Self::default();
+        let mut retry_after = Self::default();
         for part in values.into_iter().flat_map(|value| value.split(',')) {
-            match read_seconds(part) {
-                Some(length) if length.is_zero() => {}
-                Some(length) => rest.longest = rest.longest.max(Some(length)),
-                None => rest.is_unreadable = true,
+            match parse_seconds(part) {
+                Some(delay) if delay.is_zero() => {}
+                Some(delay) => retry_after.longest = retry_after.longest.max(Some(delay)),
+                None => retry_after.is_unreadable = true,
             }
         }
-        rest
+        retry_after
     }
 }
 
-/// Reads seconds; none where they are no number, negative or without end. More than a duration
-/// holds is the longest duration: a rest is never shortened.
-fn read_seconds(part: &str) -> Option<Duration> {
+/// Parses seconds; none if they are negative, infinite or not a number. A value above the maximum
+/// duration becomes the maximum duration.
+fn parse_seconds(part: &str) -> Option<Duration> {
     let seconds: f64 = part.trim().parse().ok()?;
-    let is_length = seconds.is_finite() && seconds >= 0.0;
-    is_length.then(|| Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
+    let is_valid = seconds.is_finite() && seconds >= 0.0;
+    is_valid.then(|| Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
 }
--- a/crates/model/src/selector.rs
+++ b/crates/model/src/selector.rs
@@ -1,4 +1,4 @@
-//! Labels and the selectors that match them.
+//! Labels of objects and selectors over them.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 }
 
 impl Operator {
-    /// Whether this operator needs `values`.
+    /// Whether this operator compares with `values`.
     pub fn takes_values(self) -> bool {
         matches!(self, Operator::In | Operator::NotIn)
     }
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Requirement {
-    /// Label key.
+    /// Key of the label.
     pub key: String,
-    /// Comparison.
+    /// Comparison to apply to the label.
     pub operator: Operator,
     /// Values for `in` and `not_in`.
     #[serde(default)]
@@ -53,7 +53,7 @@
     }
 }
 
-/// A conjunction of conditions on labels. The empty selector matches all.
+/// A conjunction of conditions on labels. An empty selector matches all objects.
 ///
 /// ```
 /// use silversail_model::{Labels, Selector};
@@ -67,7 +67,7 @@
     /// Labels that must be present with exactly these values.
     #[serde(default)]
     pub equals: Labels,
-    /// Further conditions.
+    /// Further conditions, all of which must hold.
     #[serde(default)]
     pub requirements: Vec<Requirement>,
 }
@@ -75,10 +75,14 @@
 impl Selector {
     /// Whether `labels` satisfy every condition.
     pub fn matches(&self, labels: &Labels) -> bool {
-        let equal = self
+        let equals_match = self
             .equals
             .iter()
             .all(|(key, value)| labels.get(key) == Some(value));
-        equal && self.requirements.iter().all(|one| one.matches(labels))
+        equals_match
+            && self
+                .requirements
+                .iter()
+                .all(|requirement| requirement.matches(labels))
     }
 }
--- a/crates/model/src/traffic.rs
+++ b/crates/model/src/traffic.rs
@@ -1,31 +1,31 @@
-//! The published traffic configuration: routes of pass-through requests, the
-//! services behind them, tenants' keys and limits on callers. The operator
-//! numbers its versions; the highest one is in force.
+//! The traffic configuration: routes of proxied requests, the services behind
+//! them, tenants' API keys and limits on callers. The operator numbers its
+//! versions; the highest version is in effect.
 
 use crate::identifiers::TenantName;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Version that the operator chose; higher ones prevail.
+/// Version number set by the operator; the highest version is in effect.
 pub type TrafficVersion = u64;
 
-/// What a request may do at an engine.
+/// Execution semantics of a route's requests at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// A request may run more than once.
     Repeatable,
-    /// Runs at most once for each attempt of a caller.
+    /// A request runs at most once per attempt of the caller.
     AtMostOnce,
-    /// Answers with a stream of events.
+    /// The response is a stream of events.
     Stream {
-        /// Whether another engine may go on where one stopped.
+        /// Whether another engine may resume an interrupted stream.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Whether a request may run again after one that may have run.
+    /// Whether a request may be sent again after an attempt with an unknown outcome.
     pub fn is_idempotent(self) -> bool {
         matches!(
             self,
@@ -33,138 +33,138 @@
         )
     }
 
-    /// Whether the answer is a stream.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, RouteKind::Stream { .. })
     }
 }
 
-/// A service that takes a share of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteTarget {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Its share relative to the others'.
+    /// Share of the requests, relative to the weights of the route's other targets.
     pub weight: u32,
 }
 
-/// Work that must be done before a request can run.
+/// A processing step that must finish before the request is sent to an engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PhaseSpec {
-    /// Service that does it.
+    /// Service that runs the phase.
     pub service: String,
-    /// Numbers of the phases whose results it needs.
+    /// Indexes of the phases whose results this phase takes as input.
     pub after: Vec<usize>,
     /// Approximate size of one result, in bytes.
     pub result_bytes: u64,
 }
 
-/// Where requests of a host and path go.
+/// Routing rule for the requests of a host and path prefix.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route in logs and metrics.
     pub name: String,
-    /// Host that the request names.
+    /// Host that the request must name.
     pub host: String,
-    /// Beginning of the path.
+    /// Prefix that the request's path must have.
     pub path_prefix: String,
-    /// What a request may do.
+    /// Execution semantics of the route's requests.
     pub kind: RouteKind,
-    /// Longest time that a request is held, in milliseconds.
+    /// Maximum duration of a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer earns its full credit, in milliseconds.
+    /// Target response time (service-level objective), in milliseconds.
     pub objective_ms: u64,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Services, with weights.
+    /// Services that receive the requests, with their weights.
     pub targets: Vec<RouteTarget>,
-    /// Most engines that one attempt of a caller may be sent to.
+    /// Maximum number of engines that one request of a caller is sent to.
     pub max_attempts: u32,
-    /// Work before the request.
+    /// Phases that run before the request is sent to an engine.
     pub phases: Vec<PhaseSpec>,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub open: bool,
-    /// Whether requests name the parts of their prompt.
+    /// Whether requests declare the parts of their prompt, for prefix caching.
     pub has_prefix: bool,
-    /// The only regions that may serve, store or cache its requests; all where there is none.
+    /// Regions that may process, store or cache the requests; none allows all regions.
     pub allowed_regions: Option<BTreeSet<String>>,
 }
 
-/// What a batch stage's engines can do, each.
+/// Capacity of each back end of a batched service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BatchSpec {
-    /// Calls at work at once.
+    /// Calls that run concurrently.
     pub slots: u32,
-    /// Calls that may wait.
+    /// Calls that may be queued.
     pub queue: u32,
-    /// Most pieces in a call.
+    /// Maximum number of pieces in a call.
     pub pieces: usize,
-    /// Time of a call, whatever it carries, in milliseconds.
+    /// Fixed time per call, in milliseconds.
     pub call_ms: f64,
-    /// Time of a piece, in milliseconds.
+    /// Additional time per piece, in milliseconds.
     pub piece_ms: f64,
-    /// Room for results, in bytes.
+    /// Memory for results, in bytes.
     pub room_bytes: u64,
-    /// How long a result is kept, in milliseconds.
+    /// Time after which a result is evicted, in milliseconds.
     pub result_lifetime_ms: u64,
 }
 
-/// What a service's model engines can do, each.
+/// Capacity of each model engine of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Requests at work at once.
+    /// Requests that run concurrently.
     pub slots: u32,
-    /// Memory for prompts and answers, in tokens.
+    /// Memory for prompts and generated text, in tokens.
     pub token_capacity: u64,
 }
 
-/// What a service's back ends bear while they are cold, each.
+/// Limits of each back end of a service during warm-up.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ColdSpec {
-    /// Requests a second from all nodes together; above 0.
+    /// Requests per second from all nodes together; must be above 0.
     pub requests_per_second: f64,
 }
 
-/// A service that back ends belong to.
+/// A group of equivalent back ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Name, unique among services.
     pub name: String,
-    /// Path of its health check.
+    /// HTTP path of the health check.
     pub health_path: String,
-    /// Most connections of a back end, from all callers together.
+    /// Maximum number of connections to each back end, from all callers together.
     pub max_connections: u32,
-    /// Where its back ends are model engines.
+    /// Capacity of the back ends, if they are model engines.
     pub engine: Option<EngineSpec>,
-    /// Where its back ends take pieces in batches.
+    /// Capacity of the back ends, if they process batches.
     pub batch: Option<BatchSpec>,
-    /// Where its back ends bear less while they are cold.
+    /// Limits of the back ends during warm-up, if they have any.
     pub cold: Option<ColdSpec>,
 }
 
-/// A tenant and the hashes of its keys.
+/// A tenant with the hashes of its API keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantKeys {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: TenantName,
-    /// Hashes of its keys: see [`crate::traffic::hash_key`].
+    /// Hashes of the API keys, made by [`crate::traffic::hash_key`].
     pub key_hashes: Vec<KeyHash>,
-    /// Rank that takes precedence over the routes'.
+    /// Priority that overrides the route's priority.
     pub priority: Option<u8>,
-    /// The only regions that may serve, store or cache its requests; all where there is none.
+    /// Regions that may process, store or cache the requests; none allows all regions.
     pub allowed_regions: Option<BTreeSet<String>>,
 }
 
-/// What callers may send.
+/// Limits on the requests and connections of callers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Largest head, in bytes.
+    /// Maximum size of the request headers, in bytes.
     pub header_bytes: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of the request body, in bytes.
     pub body_bytes: usize,
-    /// Longest wait for a head, in milliseconds.
+    /// Timeout for receiving the request headers, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Longest rest of a connection, in milliseconds.
+    /// Timeout of an idle connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -185,86 +185,89 @@
     pub routes: Vec<Route>,
     /// Its services.
     pub services: Vec<ServiceSpec>,
-    /// Tenants; where there are none, no request needs a key.
+    /// Tenants; without any, no request needs an API key.
     pub tenants: Vec<TenantKeys>,
-    /// Limits on callers.
+    /// Limits that apply to all callers.
     pub limits: CallerLimits,
 }
 
-/// What is wrong with a published configuration.
+/// Validation error of a traffic configuration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TrafficError {
-    /// A name stands twice.
-    #[error("{what} '{name}' stands twice")]
+    /// Two objects of one kind have the same name.
+    #[error("{what} '{name}' is declared twice")]
     Duplicate {
         /// Kind of object.
         what: &'static str,
-        /// The name.
+        /// The duplicate name.
         name: String,
     },
     /// A route or phase names a service that is not declared.
-    #[error("route '{route}' names the unknown service '{service}'")]
+    #[error("route '{route}' refers to service '{service}', which is not declared")]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The service.
+        /// Name of the undeclared service.
         service: String,
     },
-    /// Two routes have the same host and prefix.
-    #[error("routes '{first}' and '{second}' have the same host and prefix")]
+    /// Two routes match the same host and path prefix.
+    #[error("routes '{first}' and '{second}' have the same host and path prefix")]
     DuplicateMatch {
-        /// One route.
+        /// Route that was declared first.
         first: String,
-        /// The other.
+        /// Route that was declared second.
         second: String,
     },
-    /// The weights of a route's services sum to nothing.
-    #[error("the weights of route '{0}' sum to 0")]
+    /// The weights of a route's targets are all 0.
+    #[error("the target weights of route '{0}' sum to 0")]
     ZeroWeight(String),
     /// A route's timeout is 0.
-    #[error("the timeout of route '{0}' is 0")]
+    #[error("the timeout of route '{0}' must be above 0")]
     ZeroTimeout(String),
-    /// Two tenants share a key.
-    #[error("tenants '{first}' and '{second}' share a key")]
+    /// Two tenants have the same API key.
+    #[error("tenants '{first}' and '{second}' have the same API key")]
     SharedKey {
-        /// One tenant.
+        /// Tenant that was declared first.
         first: String,
-        /// The other.
+        /// Tenant that was declared second.
         second: String,
     },
-    /// What a cold back end bears is no figure above 0.
-    #[error("what cold back ends of service '{0}' bear must be above 0")]
+    /// The request rate for cold back ends is not a positive number.
+    #[error("requests_per_second for cold back ends of service '{0}' must be above 0")]
     InvalidColdRate(String),
-    /// A list of allowed regions is empty: nothing could be served.
-    #[error("the allowed regions of {what} '{name}' are none")]
+    /// A list of allowed regions is empty, so that no request could be served.
+    #[error("the allowed regions of {what} '{name}' are empty")]
     NoAllowedRegions {
         /// Kind of object.
         what: &'static str,
-        /// Its name.
+        /// Name of the object.
         name: String,
     },
-    /// An allowed region is not among those of the deployment.
+    /// An allowed region does not exist in the deployment.
     #[error("{what} '{name}' allows the unknown region '{region}'")]
     UnknownRegion {
         /// Kind of object.
         what: &'static str,
-        /// Its name.
+        /// Name of the object.
         name: String,
-        /// The region.
+        /// Name of the unknown region.
         region: String,
     },
-    /// A phase waits for one that does not come before it.
-    #[error("phase {phase} of route '{route}' comes after a phase that does not precede it")]
+    /// A phase depends on itself or on a later phase.
+    #[error("phase {phase} of route '{route}' depends on a phase that does not precede it")]
     PhaseOrder {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// Number of the phase.
+        /// Index of the phase.
         phase: usize,
     },
 }
 
 impl TrafficConfiguration {
-    /// Checks what the types can't.
+    /// Checks names, references, weights, timeouts, regions and keys.
+    ///
+    /// # Errors
+    /// The first error found.
     pub fn validate(&self) -> Result<(), TrafficError> {
         let mut services = BTreeSet::new();
         for service in &self.services {
@@ -276,11 +279,11 @@
                 return Err(TrafficError::InvalidColdRate(service.name.clone()));
             }
         }
-        let mut places: BTreeMap<(&str, &str), &str> = BTreeMap::new();
+        let mut route_matches: BTreeMap<(&str, &str), &str> = BTreeMap::new();
         for route in &self.routes {
             route.validate(&services)?;
-            let place = (route.host.as_str(), route.path_prefix.as_str());
-            if let Some(first) = places.insert(place, &route.name) {
+            let route_match = (route.host.as_str(), route.path_prefix.as_str());
+            if let Some(first) = route_matches.insert(route_match, &route.name) {
                 return Err(TrafficError::DuplicateMatch {
                     first: first.to_owned(),
                     second: route.name.clone(),
@@ -295,14 +298,16 @@
         self.validate_tenants()
     }
 
-    /// Checks that all allowed regions are among `known`. The configuration itself does not
-    /// tell which regions there are: whoever knows the topology asks this.
+    /// Checks that all allowed regions are among `known`, the regions of the topology, which
+    /// is not part of this configuration.
     ///
     /// # Errors
-    /// Names the first region that is not known.
+    /// [`TrafficError::UnknownRegion`] for the first region that is not in `known`.
     pub fn check_regions(&self, known: &BTreeSet<&str>) -> Result<(), TrafficError> {
         for (what, name, allowed) in self.region_lists() {
-            let unknown = allowed.iter().find(|one| !known.contains(one.as_str()));
+            let unknown = allowed
+                .iter()
+                .find(|region| !known.contains(region.as_str()));
             if let Some(region) = unknown {
                 return Err(TrafficError::UnknownRegion {
                     what,
@@ -314,7 +319,7 @@
         Ok(())
     }
 
-    /// The lists of allowed regions, each with the kind and name of what it restricts.
+    /// The lists of allowed regions, each with the kind and name of the object it restricts.
     fn region_lists(&self) -> impl Iterator<Item = (&'static str, &str, &BTreeSet<String>)> {
         let of_routes = self.routes.iter().filter_map(|route| {
             let allowed = route.allowed_regions.as_ref()?;
@@ -347,7 +352,7 @@
         Ok(())
     }
 
-    /// The service of this name.
+    /// The service with the given name.
     pub fn service(&self, name: &str) -> Option<&ServiceSpec> {
         self.services.iter().find(|service| service.name == name)
     }
@@ -355,9 +360,9 @@
 
 impl Route {
     fn validate(&self, services: &BTreeSet<&str>) -> Result<(), TrafficError> {
-        let phases = self.phases.iter().map(|phase| &phase.service);
-        let named = self.targets.iter().map(|target| &target.service);
-        for service in named.chain(phases) {
+        let phase_services = self.phases.iter().map(|phase| &phase.service);
+        let target_services = self.targets.iter().map(|target| &target.service);
+        for service in target_services.chain(phase_services) {
             if !services.contains(service.as_str()) {
                 return Err(TrafficError::UnknownService {
                     route: self.name.clone(),
@@ -372,7 +377,7 @@
             return Err(TrafficError::ZeroTimeout(self.name.clone()));
         }
         for (phase, spec) in self.phases.iter().enumerate() {
-            if spec.after.iter().any(|before| *before >= phase) {
+            if spec.after.iter().any(|predecessor| *predecessor >= phase) {
                 return Err(TrafficError::PhaseOrder {
                     route: self.name.clone(),
                     phase,
