--- a/crates/peer/src/backend_list.rs
+++ b/crates/peer/src/backend_list.rs
@@ -1,72 +1,73 @@
-//! The list of back ends, read by one node for all.
+//! The back-end list, which one node reads from its source and distributes to all nodes.
 
 use crate::backend_list_entries::BackendListEntries;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A back end on the list.
+/// An entry of the back-end list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendListEntry {
-    /// Identity of this start of the back end: its name, and its time of start where that is
-    /// known. All that is kept of a back end is kept under this, so that a new start, also under
-    /// the same name, begins with nothing.
+    /// Identity of one run of the back end: its name and, if known, its start time. All state of
+    /// a back end is stored under this identity, so that a restart under the same name begins
+    /// without state.
     pub id: String,
-    /// What the back end calls itself; it may start again under this name.
+    /// Name of the back end, which stays the same after a restart.
     pub name: String,
-    /// Its service.
+    /// Service that the back end belongs to.
     pub service: String,
-    /// IP address and port.
+    /// IP address and port for requests.
     pub address: String,
-    /// Its zone.
+    /// Zone of the back end.
     pub zone: String,
-    /// Version of its software; empty where the list does not tell.
+    /// Software version; empty if the source of the list has none.
     pub version: String,
-    /// Requests that it works on at once.
+    /// Number of requests that the back end processes concurrently.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether the back end is shutting down and accepts no new requests.
     pub draining: bool,
-    /// Whether it is cold: it bears few requests until a later list says that it is warm.
-    /// How long its spell lasts is not kept, as that differs in each read of the list.
+    /// Whether the back end is warming up and accepts only few requests. The remaining warm-up
+    /// time is not stored, because it would change the entry in each read of the list.
     pub cold: bool,
-    /// When it started, in milliseconds since the Unix epoch by its own clock; none where the
-    /// list does not tell.
+    /// Start time in milliseconds since the Unix epoch, by the back end's clock; none if the
+    /// source of the list has none.
     pub started_at_ms: Option<u64>,
 }
 
-/// Orders listings: a later leader's is newer. What another node read while the leader's
-/// reads did not arrive comes after the leader's listing that it held.
+/// Version of a back-end list. A list of a later leader is newer. A list that another node read
+/// itself, because it received none from the leader, is newer than the leader's list that the
+/// node had before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct BackendListVersion {
-    /// Term of the leader that read it.
+    /// Consensus term of the leader that read the list.
     pub term: u64,
-    /// Counts its changes up in that term.
+    /// Number of changes of the list in that term.
     pub sequence: u64,
-    /// Of a read of another node: the change since the leader's listing, counted in the
-    /// high half, and its process, so that two nodes do not give the same number to
-    /// different entries. 0 for the leader's.
+    /// 0 for a list of the leader. For a list that another node read: the number of changes
+    /// since the leader's list in the upper 32 bits and the node's incarnation in the lower 32
+    /// bits, so that two nodes do not use the same version for different entries.
     pub fallback: u64,
 }
 
 impl BackendListVersion {
-    /// The version that the process `incarnation` gives to other entries that it read
-    /// while the leader's reads did not arrive.
-    pub fn fallback_of(former: Self, incarnation: u64) -> Self {
-        let changes = (former.fallback >> 32) + 1;
+    /// Version of a changed list that process `incarnation` read itself, while it received none
+    /// from the leader.
+    pub fn fallback_of(previous: Self, incarnation: u64) -> Self {
+        let changes = (previous.fallback >> 32) + 1;
         Self {
             fallback: (changes << 32) | (incarnation & 0xFFFF_FFFF),
-            ..former
+            ..previous
         }
     }
 }
 
-/// The list as one node read it for all.
+/// The back-end list at one version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackendList {
-    /// Its version.
+    /// Version of the list.
     pub version: BackendListVersion,
-    /// All entries.
+    /// Entries by identity.
     pub entries: BackendListEntries,
 }
 
-/// A listing shared inside a process.
+/// A back-end list that is shared inside a process.
 pub type SharedBackendList = Arc<BackendList>;
--- a/crates/peer/src/backend_list_entries.rs
+++ b/crates/peer/src/backend_list_entries.rs
@@ -1,27 +1,27 @@
-//! The entries of a list of back ends, in a map whose versions share what they have in common: a
-//! list of thousands of back ends changes by a few of them each second, and neither taking in
-//! such a change nor finding it between two versions looks at all entries.
+//! Entries of a back-end list in a persistent map whose versions share unchanged entries. A list
+//! with thousands of entries changes by a few each second; applying or computing such a change
+//! does not visit all entries.
 
 use crate::backend_list::BackendListEntry;
 use imbl::ordmap::DiffItem;
 use imbl::OrdMap;
 use std::sync::Arc;
 
-/// Entries by their identity, in its order. A clone costs as much for 10,000 entries as for ten.
+/// Entries ordered by identity. Cloning takes constant time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BackendListEntries(OrdMap<Arc<str>, Arc<BackendListEntry>>);
 
-/// What is different of one entry in a later version of the list.
+/// Change of one entry between two versions of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EntryChange<'a> {
-    /// It came, or says something else now.
+    /// The entry was added or changed; holds the new entry.
     Upserted(&'a Arc<BackendListEntry>),
-    /// It is gone.
+    /// The entry was removed; holds its identity.
     Removed(&'a str),
 }
 
 impl EntryChange<'_> {
-    /// The identity of the entry.
+    /// Identity of the changed entry.
     pub fn id(&self) -> &str {
         match self {
             Self::Upserted(entry) => &entry.id,
@@ -31,38 +31,38 @@
 }
 
 impl BackendListEntries {
-    /// How many entries there are.
+    /// Number of entries.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there is none.
+    /// Whether the list has no entries.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// All entries, by identity.
+    /// Iterates over the entries in the order of their identities.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<BackendListEntry>> {
         self.0.values()
     }
 
-    /// An entry by its identity.
+    /// Returns the entry with identity `id`.
     pub fn get(&self, id: &str) -> Option<&Arc<BackendListEntry>> {
         self.0.get(id)
     }
 
-    /// Takes in an entry, in place of the one of the same identity.
+    /// Inserts an entry, replacing any entry of the same identity.
     pub fn insert(&mut self, entry: BackendListEntry) {
         self.0.insert(Arc::from(entry.id.as_str()), Arc::new(entry));
     }
 
-    /// Takes out an entry.
+    /// Removes the entry with identity `id`, if there is one.
     pub fn remove(&mut self, id: &str) {
         self.0.remove(id);
     }
 
-    /// What leads from this version to `next`. Costs as much as both have not in common, where
-    /// one was made from the other.
+    /// Changes from this version to `next`. If one version was derived from the other, the cost
+    /// is proportional to the number of changes.
     pub fn changes_to<'a>(&'a self, next: &'a Self) -> impl Iterator<Item = EntryChange<'a>> {
         self.0.diff(&next.0).filter_map(|item| match item {
             DiffItem::Add(_, entry) => Some(EntryChange::Upserted(entry)),
@@ -73,8 +73,8 @@
         })
     }
 
-    /// A version with the `entries` of a new read of the list, which has in common with this one
-    /// all that the read left as it was.
+    /// Creates a version with the `entries` of a new read, which shares all unchanged entries with
+    /// this version.
     pub fn with_read(&self, entries: impl IntoIterator<Item = BackendListEntry>) -> Self {
         let read: Self = entries.into_iter().collect();
         let mut next = self.clone();
@@ -93,10 +93,10 @@
 
 impl FromIterator<BackendListEntry> for BackendListEntries {
     fn from_iter<T: IntoIterator<Item = BackendListEntry>>(entries: T) -> Self {
-        let mut all = Self::default();
+        let mut list = Self::default();
         for entry in entries {
-            all.insert(entry);
+            list.insert(entry);
         }
-        all
+        list
     }
 }
--- a/crates/peer/src/backend_list_update.rs
+++ b/crates/peer/src/backend_list_update.rs
@@ -1,8 +1,7 @@
-//! The list of back ends as differences: what changed since a version that the receiver
-//! holds.
+//! Incremental updates of the back-end list, relative to the version that the receiver has.
 //!
-//! The whole list, sent to all nodes at each change of one back end, would fill the links of the
-//! nodes that pass it on.
+//! Sending the full list to all nodes at each change would saturate the network links of the
+//! relays.
 
 use crate::backend_list::{BackendList, BackendListEntry, BackendListVersion, SharedBackendList};
 use crate::backend_list_entries::BackendListEntries;
@@ -11,72 +10,72 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Changes of the list for which a difference can be told: a minute of one each second.
-const REMEMBERED_CHANGES: usize = 60;
+/// Number of list changes kept for incremental updates; one minute at one change per second.
+const MAX_CHANGES: usize = 60;
 
-/// What turns a listing into another one. Packed once for all receivers.
+/// Update from one back-end list version to another. Compressed once for all receivers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendListUpdate {
-    /// The only version that it can be applied to; none for a whole listing.
+    /// The version that the update applies to; none for a full list.
     pub base: Option<BackendListVersion>,
-    /// The version that it leads to.
+    /// The version after the update.
     pub version: BackendListVersion,
-    packed: Arc<Vec<u8>>,
+    compressed: Arc<Vec<u8>>,
 }
 
-/// What an update holds, before it is packed.
+/// Content of an update before compression.
 #[derive(Serialize, Deserialize)]
 struct Content {
-    /// Entries that came or changed.
+    /// Added and changed entries.
     entries: Vec<BackendListEntry>,
-    /// Identities of entries that are gone.
-    gone: Vec<String>,
+    /// Identities of removed entries.
+    removed: Vec<String>,
 }
 
-/// Why an update can't be applied; the next heartbeat tells what is held.
+/// Error of applying an update; the next heartbeat requests the missing changes again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BackendListUpdateError {
-    /// The listing held is not its base.
-    #[error("the listing held is not the base {0:?}")]
-    OtherBase(BackendListVersion),
-    /// It can't be unpacked.
-    #[error("the update can't be unpacked")]
+    /// The update applies to the given version, which the receiver does not have.
+    #[error("back-end list update applies to another version than the current one: {0:?}")]
+    BaseMismatch(BackendListVersion),
+    /// The content can't be decompressed or decoded.
+    #[error("back-end list update can't be decompressed or decoded")]
     Malformed,
 }
 
 impl BackendListUpdate {
-    /// A whole listing.
-    pub fn whole(listing: &BackendList) -> Self {
+    /// Creates an update with the full list.
+    pub fn full(list: &BackendList) -> Self {
         let content = Content {
-            entries: listing.entries.iter().map(|one| (**one).clone()).collect(),
-            gone: Vec::new(),
+            entries: list.entries.iter().map(|entry| (**entry).clone()).collect(),
+            removed: Vec::new(),
         };
-        Self::packed(None, listing.version, &content)
+        Self::compress(None, list.version, &content)
     }
 
-    fn packed(
+    fn compress(
         base: Option<BackendListVersion>,
         version: BackendListVersion,
         content: &Content,
     ) -> Self {
-        let plain = postcard::to_stdvec(content).expect("encoding into memory does not fail");
-        let packed = packing::pack(&plain).expect("packing into memory does not fail");
+        let encoded = postcard::to_stdvec(content).expect("encoding into memory does not fail");
+        let compressed = packing::pack(&encoded).expect("compression into memory does not fail");
         Self {
             base,
             version,
-            packed: Arc::new(packed),
+            compressed: Arc::new(compressed),
         }
     }
 
-    /// Its size on the way, about, in bytes.
+    /// Approximate size of the encoded update, in bytes.
     pub fn size(&self) -> usize {
-        self.packed.len()
+        self.compressed.len()
     }
 
-    /// The listing that this leads to from `held`.
+    /// Applies the update to the receiver's list `held`.
     ///
     /// # Errors
-    /// [`BackendListUpdateError`] where `held` is not the base, or the update is damaged.
+    /// [`BackendListUpdateError`] if `held` is not the base, or if the update is corrupt.
     pub fn applied_to(
         &self,
         held: Option<&BackendList>,
@@ -84,12 +83,13 @@
         let mut entries = match (self.base, held) {
             (None, _) => BackendListEntries::default(),
             (Some(base), Some(held)) if held.version == base => held.entries.clone(),
-            (Some(base), _) => return Err(BackendListUpdateError::OtherBase(base)),
+            (Some(base), _) => return Err(BackendListUpdateError::BaseMismatch(base)),
         };
-        let plain = packing::unpack(&self.packed).map_err(|_| BackendListUpdateError::Malformed)?;
+        let encoded =
+            packing::unpack(&self.compressed).map_err(|_| BackendListUpdateError::Malformed)?;
         let content: Content =
-            postcard::from_bytes(&plain).map_err(|_| BackendListUpdateError::Malformed)?;
-        for id in &content.gone {
+            postcard::from_bytes(&encoded).map_err(|_| BackendListUpdateError::Malformed)?;
+        for id in &content.removed {
             entries.remove(id);
         }
         for entry in content.entries {
@@ -102,42 +102,42 @@
     }
 }
 
-/// One change of the list.
+/// A change from one version of the list to the next.
 struct Change {
     from: BackendListVersion,
-    touched: BTreeSet<String>,
+    changed_ids: BTreeSet<String>,
 }
 
-/// The newest listing with its last changes, for receivers that hold older ones.
+/// The newest list with its recent changes, from which updates for older versions are made.
 #[derive(Default)]
 pub struct BackendListHistory {
     newest: Option<SharedBackendList>,
     changes: VecDeque<Change>,
-    /// Updates to the newest listing that were made already, by what the receiver holds.
-    made: BTreeMap<Option<BackendListVersion>, BackendListUpdate>,
+    /// Cached updates to the newest list, by the version that the receiver has.
+    cached_updates: BTreeMap<Option<BackendListVersion>, BackendListUpdate>,
 }
 
 impl BackendListHistory {
-    /// The newest listing.
+    /// The newest list, if any was recorded.
     pub fn newest(&self) -> Option<&SharedBackendList> {
         self.newest.as_ref()
     }
 
-    /// Takes the listing that replaces the one held.
+    /// Records `next` as the newest list.
     pub fn follow(&mut self, next: SharedBackendList) {
-        let Some(before) = self.newest.replace(next.clone()) else {
+        let Some(previous) = self.newest.replace(next.clone()) else {
             return;
         };
-        if before.version == next.version {
+        if previous.version == next.version {
             return;
         }
-        self.made.clear();
-        if self.changes.len() == REMEMBERED_CHANGES {
+        self.cached_updates.clear();
+        if self.changes.len() == MAX_CHANGES {
             self.changes.pop_front();
         }
         self.changes.push_back(Change {
-            from: before.version,
-            touched: before
+            from: previous.version,
+            changed_ids: previous
                 .entries
                 .changes_to(&next.entries)
                 .map(|change| change.id().to_owned())
@@ -145,8 +145,8 @@
         });
     }
 
-    /// What a receiver that holds `held` lacks: a difference where the changes since are
-    /// remembered, else the whole. None where it lacks nothing.
+    /// Update for a receiver that has version `held`: incremental if the changes since that
+    /// version are recorded, else the full list. None if the receiver is up to date.
     pub fn since(&mut self, held: Option<BackendListVersion>) -> Option<BackendListUpdate> {
         let newest = self.newest.as_ref()?;
         if held == Some(newest.version) {
@@ -157,33 +157,33 @@
             .iter()
             .position(|change| Some(change.from) == held);
         let key = held.filter(|_| position.is_some());
-        if let Some(made) = self.made.get(&key) {
-            return Some(made.clone());
+        if let Some(update) = self.cached_updates.get(&key) {
+            return Some(update.clone());
         }
         let update = match position {
-            Some(first) => difference(held, newest, self.changes.range(first..)),
-            None => BackendListUpdate::whole(newest),
+            Some(first) => incremental_update(held, newest, self.changes.range(first..)),
+            None => BackendListUpdate::full(newest),
         };
-        self.made.insert(key, update.clone());
+        self.cached_updates.insert(key, update.clone());
         Some(update)
     }
 }
 
-fn difference<'a>(
+fn incremental_update<'a>(
     base: Option<BackendListVersion>,
     newest: &BackendList,
     changes: impl Iterator<Item = &'a Change>,
 ) -> BackendListUpdate {
-    let touched: BTreeSet<&String> = changes.flat_map(|change| &change.touched).collect();
+    let changed_ids: BTreeSet<&String> = changes.flat_map(|change| &change.changed_ids).collect();
     let mut content = Content {
         entries: Vec::new(),
-        gone: Vec::new(),
+        removed: Vec::new(),
     };
-    for id in touched {
+    for id in changed_ids {
         match newest.entries.get(id) {
             Some(entry) => content.entries.push((**entry).clone()),
-            None => content.gone.push(id.clone()),
+            None => content.removed.push(id.clone()),
         }
     }
-    BackendListUpdate::packed(base, newest.version, &content)
+    BackendListUpdate::compress(base, newest.version, &content)
 }
--- a/crates/peer/src/connection_monitor.rs
+++ b/crates/peer/src/connection_monitor.rs
@@ -1,65 +1,65 @@
-//! When the connection to a peer is given up for a new one.
+//! Decides when the connection to a peer is replaced.
 //!
-//! A connection to a machine that lost power or was cut off hangs: what it holds is sent
-//! again after seconds only, also once the machine is back. A message of the peer shows
-//! that it is back.
+//! After a power loss or a network partition, TCP retransmits on the old connection with a
+//! backoff of seconds, even if the peer is reachable again. A message from the peer shows
+//! that it is reachable, so the connection is replaced then.
 
 use std::time::{Duration, Instant};
 
-/// A connection that is not up after this time, though the peer is: its first packet was
-/// lost, and the system sends the next one after a second.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(100);
-/// Silence of a peer that owes an answer after which it counts as having been away: five
-/// times the interval of heartbeats between voters, more than two of a session's.
-const AWAY_AFTER: Duration = Duration::from_millis(1_000);
+/// Timeout for connecting to a reachable peer; shorter than the one second after which the
+/// operating system retransmits a lost SYN.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Time without messages after which a peer with unanswered messages counts as unreachable:
+/// five heartbeat intervals between voters, more than two of a session.
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// What is known of the connection to a peer and of the peer's signs of life.
+/// State of the connection to a peer and times of the messages exchanged with it.
 #[derive(Debug, Default)]
 pub struct ConnectionMonitor {
-    /// The peer's process, once it was heard.
+    /// Latest incarnation from which a message was received.
     incarnation: Option<u64>,
-    heard_at: Option<Instant>,
-    /// When the first message was sent that nothing was heard after.
+    last_received_at: Option<Instant>,
+    /// Time of the first message sent since the last one received.
     unanswered_since: Option<Instant>,
     dialled_at: Option<Instant>,
 }
 
 impl ConnectionMonitor {
-    /// A connection was begun.
+    /// Records the start of a connection attempt.
     pub fn record_dial(&mut self, now: Instant) {
         self.dialled_at = Some(now);
     }
 
-    /// A message was handed to the connection.
+    /// Records that a message was passed to the connection.
     pub fn record_send(&mut self, now: Instant) {
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// Whether a connection is not up though it was begun a while ago: its first packet was
-    /// lost.
+    /// Whether the connection attempt has exceeded its timeout, as after the loss of its first
+    /// packet.
     pub fn is_connect_overdue(&self, is_connected: bool, now: Instant) -> bool {
         let age = |at: Instant| now.saturating_duration_since(at);
-        !is_connected
-            && self
-                .dialled_at
-                .is_some_and(|at| age(at) >= CONNECT_PATIENCE)
+        !is_connected && self.dialled_at.is_some_and(|at| age(at) >= CONNECT_TIMEOUT)
     }
 
-    /// A message of the peer's process `incarnation` came. True when the connection to it
-    /// is to be given up for a new one.
+    /// Records a message received from the peer's process `incarnation`. Returns whether the
+    /// connection to the peer has to be replaced.
     pub fn record_message(&mut self, incarnation: u64, is_connected: bool, now: Instant) -> bool {
-        let is_former = self.incarnation.is_some_and(|known| known > incarnation);
-        if is_former {
+        let is_outdated = self.incarnation.is_some_and(|known| known > incarnation);
+        if is_outdated {
             return false;
         }
-        let former = self.incarnation.replace(incarnation);
-        let is_new_process = former.is_some_and(|known| known < incarnation);
-        let since = |at: Option<Instant>| at.map(|at| now.saturating_duration_since(at));
-        let was_silent = since(self.heard_at).is_none_or(|silence| silence >= AWAY_AFTER);
-        let owed = since(self.unanswered_since).is_some_and(|owed| owed >= AWAY_AFTER);
-        let hangs = self.is_connect_overdue(is_connected, now);
-        self.heard_at = Some(now);
+        let previous = self.incarnation.replace(incarnation);
+        let is_new_process = previous.is_some_and(|known| known < incarnation);
+        let elapsed_since = |at: Option<Instant>| at.map(|at| now.saturating_duration_since(at));
+        let was_silent = elapsed_since(self.last_received_at)
+            .is_none_or(|silence| silence >= UNREACHABLE_TIMEOUT);
+        let has_unanswered = elapsed_since(self.unanswered_since)
+            .is_some_and(|elapsed| elapsed >= UNREACHABLE_TIMEOUT);
+        let is_connect_overdue = self.is_connect_overdue(is_connected, now);
+        self.last_received_at = Some(now);
         self.unanswered_since = None;
-        self.dialled_at.is_some() && (is_new_process || hangs || (was_silent && owed))
+        self.dialled_at.is_some()
+            && (is_new_process || is_connect_overdue || (was_silent && has_unanswered))
     }
 }
--- a/crates/peer/src/discovery.rs
+++ b/crates/peer/src/discovery.rs
@@ -1,69 +1,70 @@
-//! How nodes that know a few contact addresses learn of all others.
+//! Discovery of all nodes of a cluster from a few contact addresses.
 
 use serde::{Deserialize, Serialize};
 use silversail_model::NodeName;
 
-/// What a node tells of itself so that others can reach it.
+/// Address and properties that a node announces to other nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Contact {
-    /// Its name.
+    /// Name of the node.
     pub node: NodeName,
-    /// Its process; of two contacts of one node the higher is the newer.
+    /// Incarnation of the node's process; of two contacts of a node the higher one is newer.
     pub incarnation: u64,
-    /// IP address and port for other processes.
+    /// IP address and port for messages of other nodes.
     pub peer_address: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Whether it has a disk and so replicates the cluster's state.
+    /// Whether the node has a disk and replicates the cluster's state.
     pub replicates: bool,
 }
 
-/// A contact and how long ago it was last heard, by the teller's clock.
+/// A contact and the time since the last message from it, by the clock of the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContactWithAge {
-    /// The contact.
+    /// Contact of the node.
     pub contact: Contact,
-    /// Milliseconds since it was heard, by the teller or by whoever told it.
+    /// Milliseconds since the sender, or the node that the sender has the contact from, last
+    /// received a message from the node.
     pub last_heard_age_ms: u64,
 }
 
-/// Up to which change one process's contacts are known to another.
+/// Version of one process's contacts, up to which another process knows them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContactsVersion {
-    /// The process whose contacts they are.
+    /// Incarnation of the process that holds the contacts.
     pub incarnation: u64,
-    /// Its changes that are known.
+    /// Number of changes of the contacts that are included.
     pub changes: u64,
 }
 
-/// Messages of discovery.
+/// Messages of the discovery protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DiscoveryMessage {
-    /// Tells the sender's contact and asks for all that the receiver knows.
+    /// Announces the sender's contact and requests the contacts known to the receiver.
     Hello {
-        /// The sender.
+        /// Contact of the sender.
         contact: Contact,
-        /// The contact address that this was sent to.
+        /// Contact address that this message was sent to.
         sent_to: String,
-        /// The receiver's contacts that the sender has, if it has some.
+        /// Version of the receiver's contacts that the sender already has, if any.
         has: Option<ContactsVersion>,
     },
-    /// Answers a hello.
+    /// Reply to [`DiscoveryMessage::Hello`].
     HelloReply {
-        /// The sender.
+        /// Contact of the sender.
         contact: Contact,
-        /// The address that the hello was sent to.
+        /// Address that the hello was sent to.
         sent_to: String,
-        /// Others that the sender knows: those that replicate the state, and of the rest
-        /// what the receiver does not have.
+        /// Contacts of other nodes: all that replicate the state, and those of the rest that
+        /// the receiver does not have.
         others: Vec<ContactWithAge>,
-        /// What the receiver has after this.
+        /// Version of the sender's contacts that the receiver has after this message.
         has: ContactsVersion,
-        /// Milliseconds since some of the others that the receiver has were heard.
+        /// Milliseconds since the last message from nodes whose contacts the receiver has.
         ages: Vec<(NodeName, u64)>,
     },
-    /// Asks for a sign of life.
+    /// Checks whether the receiver is alive.
     Probe,
-    /// Answers a probe.
+    /// Reply to [`DiscoveryMessage::Probe`].
     ProbeReply,
 }
--- a/crates/peer/src/errors.rs
+++ b/crates/peer/src/errors.rs
@@ -1,28 +1,28 @@
 //! Errors of the peer transport.
 
-/// Why the transport can't work or a message can't be used.
+/// Error of the transport or of a received message.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerError {
-    /// The listening address can't be used.
-    #[error("listen on {address}: {source}")]
+    /// The listener can't be started.
+    #[error("can't listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// Listening address, as `IP:PORT`.
         address: String,
-        /// The library's answer.
+        /// Error of the socket library.
         source: nng::Error,
     },
-    /// A socket can't be made or dialled.
-    #[error("connect to {address}: {source}")]
+    /// A socket can't be created or connected.
+    #[error("can't connect to {address}: {source}")]
     Connect {
-        /// The address.
+        /// Address of the peer, as `IP:PORT`.
         address: String,
-        /// The library's answer.
+        /// Error of the socket library.
         source: nng::Error,
     },
-    /// The bytes are no message of this version.
-    #[error("message can't be decoded")]
+    /// The bytes are not a message of this protocol version.
+    #[error("peer message can't be decoded in this protocol version")]
     Malformed,
-    /// The message is of another cluster.
-    #[error("message of cluster '{0}'")]
+    /// The sender belongs to the named cluster instead of this one.
+    #[error("peer message belongs to another cluster, '{0}'")]
     WrongCluster(String),
 }
--- a/crates/peer/src/kind.rs
+++ b/crates/peer/src/kind.rs
@@ -1,4 +1,4 @@
-//! Names of the kinds of messages, under which they are counted.
+//! Message kinds, used as labels of the message metrics.
 
 use crate::discovery::DiscoveryMessage;
 use crate::message::{GroupMessage, PeerMessage, SessionMessage};
@@ -6,7 +6,7 @@
 use silversail_limits::LimitMessage;
 
 impl PeerMessage {
-    /// Name of the message's kind.
+    /// Label of the message's kind in metrics; several message types share one kind.
     pub fn kind(&self) -> &'static str {
         match self {
             PeerMessage::Group { message, .. } => message.kind(),
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,4 +1,4 @@
-//! Messages between silversail processes and their transport.
+//! Messages between silversail processes, and the transport that carries them.
 
 pub mod backend_list;
 mod backend_list_entries;
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -1,4 +1,4 @@
-//! What silversail processes tell each other.
+//! Messages exchanged between silversail processes.
 
 use crate::backend_list::BackendListVersion;
 use crate::backend_list_update::BackendListUpdate;
@@ -15,30 +15,30 @@
 use silversail_quarantine::{QuarantineRevision, SharedQuarantineList};
 use std::fmt;
 
-/// Version of the message format; other versions are dropped.
+/// Version of the message format; messages of other versions are dropped.
 pub const PROTOCOL_VERSION: u8 = 9;
 
-/// A message with its sender.
+/// A message with its sender and cluster.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
     /// [`PROTOCOL_VERSION`] of the sender.
     pub version: u8,
-    /// Name of the cluster from the settings.
+    /// Cluster name from the sender's settings.
     pub cluster: String,
-    /// Sending node.
+    /// Name of the sending node.
     pub from: NodeName,
-    /// Sending process.
+    /// Incarnation of the sending process.
     pub incarnation: u64,
-    /// Content.
+    /// The message itself.
     pub message: PeerMessage,
 }
 
 /// A replication group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum GroupId {
-    /// Configuration.
+    /// The group that replicates the configuration.
     Control,
-    /// One part of the claim ledger; keys are spread over the parts by hash.
+    /// The group of one partition of the claim ledger; keys are assigned to partitions by hash.
     Ledger(u16),
 }
 
@@ -46,7 +46,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             GroupId::Control => formatter.write_str("control"),
-            GroupId::Ledger(part) => write!(formatter, "ledger-{part}"),
+            GroupId::Ledger(partition) => write!(formatter, "ledger-{partition}"),
         }
     }
 }
@@ -54,175 +54,174 @@
 /// Content of an [`Envelope`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Of a replication group.
+    /// A message of a replication group.
     Group {
-        /// Which group.
+        /// Identifier of the replication group.
         group: GroupId,
-        /// The message.
+        /// Message for the group's replica on the receiving node.
         message: GroupMessage,
     },
-    /// Of a node's session with its relay.
+    /// A message of the session between a node and its relay, or of a relay and the leader.
     Session(SessionMessage),
-    /// How nodes learn of each other.
+    /// A message of the discovery protocol.
     Discovery(DiscoveryMessage),
-    /// Work that nodes hand to each other.
+    /// A message about batch work that one node submits to another.
     Work(WorkMessage),
-    /// Limits of back ends that hold for all nodes together.
+    /// A message about cluster-wide rate limits of back ends.
     Limits(LimitMessage),
 }
 
-/// Messages to or between the members of a group.
+/// Messages of a replication group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum GroupMessage {
-    /// Between replicas.
+    /// A consensus message between replicas.
     Consensus {
-        /// Cluster identity drawn when the group formed; others are dropped.
+        /// Random identifier set when the group was formed; messages with another one are
+        /// dropped.
         cluster_id: u64,
-        /// The message.
+        /// Message of the consensus protocol.
         message: Message,
     },
-    /// Before a replica is a member.
+    /// A message from or to a replica that is not a member yet.
     Formation(FormationMessage),
-    /// Asks the leader to commit a command.
+    /// Requests that the leader commits a command.
     Propose {
-        /// Identifies the proposal at the sender.
+        /// Identifier of the proposal, unique at the sender.
         proposal: u64,
-        /// The command.
+        /// Encoded command of the state machine.
         command: Vec<u8>,
     },
-    /// Answers a proposal.
+    /// Reply to [`GroupMessage::Propose`].
     ProposeReply {
-        /// The sender's identifier.
+        /// Identifier from the proposal.
         proposal: u64,
-        /// What became of it.
+        /// Outcome of the proposal.
         result: ProposalResult,
     },
 }
 
-/// What became of a proposal.
+/// Outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ProposalResult {
-    /// Committed and applied, with the state machine's reply.
+    /// The command was committed and applied; holds the state machine's encoded reply.
     Applied(Vec<u8>),
-    /// Not taken; maybe this node leads.
+    /// The receiver is not the leader; holds the leader if it is known.
     NotLeader(Option<NodeName>),
-    /// Taken, but another leader's entry stands in its place: not committed.
+    /// The log entry was overwritten by another leader's entry and was not committed.
     Superseded,
 }
 
-/// How a group forms and how a replica with an empty disk comes in.
+/// Messages for forming a group and for adding a replica with an empty disk.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FormationMessage {
-    /// Asks what the receiver holds, telling the sender's identity.
+    /// Requests the state of the receiver.
     Probe {
-        /// The sender's replica.
+        /// Replica identity of the sender.
         replica: ReplicaId,
     },
-    /// Tells that the sender's disk holds nothing: former replicas of its node are gone.
+    /// Announces that the sender's disk is empty, so that earlier replicas of its node are lost.
     StorageEmpty {
-        /// The sender's replica.
+        /// Replica identity of the sender.
         replica: ReplicaId,
     },
-    /// Answers a probe.
+    /// Reply to [`FormationMessage::Probe`].
     ProbeReply {
-        /// The sender's replica.
+        /// Replica identity of the sender.
         replica: ReplicaId,
-        /// The snapshot that the group started from or has reached, data left
-        /// out; none when the sender holds nothing.
+        /// Initial or latest snapshot of the group without its data; none if the sender has no
+        /// state.
         formed: Option<Snapshot>,
     },
-    /// The group's first state, sent when every voter of the settings holds
-    /// nothing.
+    /// Initial snapshot of the group, sent when no voter in the settings has any state.
     Form(Snapshot),
-    /// Asks the leader to make the sender a member.
+    /// Requests that the leader adds the sender as a member.
     Join(JoinRequest),
 }
 
-/// A node's heartbeat to its relay.
+/// Heartbeat of a node to its relay.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SessionHeartbeat {
-    /// The sender's clock, echoed in the reply.
+    /// Sender's clock at the time of sending; returned in the reply.
     pub sent_at: Millis,
-    /// State of the node.
+    /// Status report of the node.
     pub report: NodeReport,
-    /// Version of the view that it has.
+    /// Version of the node's membership view.
     pub view: ViewVersion,
-    /// Version of the listing that it has.
+    /// Version of the node's back-end list.
     pub backend_list: Option<BackendListVersion>,
 }
 
-/// A relay's answer to a heartbeat.
+/// Reply of a relay to a heartbeat, with the state that the node does not have yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SessionReply {
-    /// The process that sent the heartbeat.
+    /// Incarnation of the process that sent the heartbeat.
     pub incarnation: u64,
-    /// `sent_at` of the heartbeat.
+    /// `sent_at` from the heartbeat.
     pub echo: Millis,
-    /// How old the relay's configuration may be, in milliseconds; none when no
-    /// quorum has confirmed it.
+    /// Maximum age of the relay's configuration, in milliseconds; none if no quorum has
+    /// confirmed it.
     pub age: Option<Millis>,
-    /// The relay's revision.
+    /// Revision of the relay's configuration.
     pub revision: Revision,
-    /// What the node lacks.
+    /// Configuration changes that the node does not have.
     pub update: Option<ConfigurationUpdate>,
     /// Version of the relay's traffic configuration.
     pub traffic_version: Option<TrafficVersion>,
-    /// The relay's traffic configuration, where the node's is older.
+    /// Traffic configuration changes, if the node's version is older.
     pub traffic: Option<TrafficUpdate>,
-    /// Revision of the relay's evacuated zones.
+    /// Revision of the relay's set of evacuated zones.
     pub evacuations_revision: EvacuationRevision,
-    /// The relay's evacuated zones, where the node's are older.
+    /// Evacuated zones, if the node's revision is older.
     pub evacuations: Option<SharedEvacuations>,
     /// Revision of the relay's rollouts.
     pub rollouts_revision: RolloutsRevision,
-    /// The relay's rollouts, where the node's are older.
+    /// Rollouts, if the node's revision is older.
     pub rollouts: Option<SharedRollouts>,
-    /// Revision of the relay's list of refused requests.
+    /// Revision of the relay's quarantine list.
     pub quarantine_revision: QuarantineRevision,
-    /// That list, where the node's is older.
+    /// Quarantine list, if the node's revision is older.
     pub quarantine: Option<SharedQuarantineList>,
-    /// What the node's view lacks.
+    /// Changes of the membership view that the node does not have.
     pub view: Option<Box<ViewUpdate>>,
-    /// Version of the relay's listing, and how long ago the leader last read the
-    /// same, in milliseconds.
+    /// Version of the relay's back-end list, and the time since the leader last confirmed it,
+    /// in milliseconds.
     pub backend_list_age: Option<(BackendListVersion, Millis)>,
-    /// What the node's listing lacks.
+    /// Changes of the back-end list that the node does not have.
     pub backend_list: Option<BackendListUpdate>,
 }
 
-/// Messages of sessions.
+/// Messages of the sessions between nodes, relays and the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum SessionMessage {
-    /// Node to relay.
+    /// Node to relay: periodic heartbeat.
     Heartbeat(SessionHeartbeat),
-    /// Relay to node.
+    /// Relay to node: reply to a heartbeat.
     Reply(Box<SessionReply>),
-    /// Relay to node, at once when the configuration changes.
+    /// Relay to node: sent immediately when the configuration changes.
     PushConfiguration(ConfigurationUpdate),
-    /// Relay to node, at once when the traffic configuration changes.
+    /// Relay to node: sent immediately when the traffic configuration changes.
     PushTraffic(TrafficUpdate),
-    /// Relay to node, at once when other zones are evacuated.
+    /// Relay to node: sent immediately when the set of evacuated zones changes.
     PushEvacuations(SharedEvacuations),
-    /// Relay to node, at once when a rollout begins, has another directive or ends.
+    /// Relay to node: sent immediately when a rollout begins, gets a new directive or ends.
     PushRollouts(SharedRollouts),
-    /// Relay to node, at once when other requests are refused or watched.
+    /// Relay to node: sent immediately when the quarantine list changes.
     PushQuarantine(SharedQuarantineList),
-    /// Leader to relays, and relay to node, at once when the list of back ends
-    /// changes.
+    /// Leader to relays, and relay to node: sent immediately when the back-end list changes.
     BackendList(BackendListUpdate),
-    /// Leader to relays: it read the list again, and it is unchanged.
+    /// Leader to relays: a new read of the back-end list found no change.
     BackendListConfirmed(BackendListVersion),
-    /// Relay to leader: the heartbeats of its nodes since the last one.
+    /// Relay to leader: status reports received since the previous message.
     Reports {
-        /// The heartbeats.
+        /// Status reports of the relay's nodes.
         reports: Vec<NodeReport>,
-        /// Version of the view that the relay has.
+        /// Version of the relay's membership view.
         view: ViewVersion,
-        /// Version of the listing that the relay has.
+        /// Version of the relay's back-end list.
         backend_list: Option<BackendListVersion>,
     },
-    /// Leader to relays, when it changes and to those that have an older one.
+    /// Leader to relays: membership view changes, also for relays with an older version.
     View(ViewUpdate),
-    /// Relay to node, at once when services have other owners.
+    /// Relay to node: sent immediately when the batching node of a service changes.
     PushView(ViewUpdate),
 }
--- a/crates/peer/src/transport.rs
+++ b/crates/peer/src/transport.rs
@@ -12,46 +12,48 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Largest message, in bytes: a snapshot travels whole.
+/// Maximum message size, in bytes; a snapshot is sent as one message.
 const MAX_MESSAGE_BYTES: usize = 64 << 20;
-/// Messages kept for a peer that is slow or away; more are dropped.
+/// Messages buffered for a slow or unreachable peer; further messages are dropped.
 const SEND_BUFFER_MESSAGES: i32 = 256;
-const RECONNECT_MIN: Duration = Duration::from_millis(50);
-const RECONNECT_MAX: Duration = Duration::from_millis(300);
-/// How long a connection that was given up may still send what it holds.
-const RETIRED_FOR: Duration = Duration::from_secs(2);
+/// Initial delay between connection attempts.
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
+/// Maximum delay between connection attempts.
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(300);
+/// Time for which a replaced connection may still send its buffered messages.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What became of a message handed to the transport.
+/// Result of passing a message to the transport.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendResult {
-    /// Handed over; it may still be lost.
+    /// Queued for sending; the message may still be lost.
     Queued {
-        /// Its size in bytes, as encoded.
+        /// Encoded size of the message, in bytes.
         bytes: usize,
     },
-    /// The peer takes no messages now.
+    /// Dropped, because the send buffer is full or no connection can be opened.
     Dropped,
-    /// No such peer.
+    /// No address of the peer is known.
     UnknownPeer,
 }
 
-/// Sends messages to other nodes. Any message may be lost, late or repeated.
+/// Sends messages to other nodes. Any message may be lost, delayed or duplicated.
 pub trait Transport {
-    /// Sends without waiting.
+    /// Sends a message to a node without blocking.
     fn send(&mut self, to: &NodeName, envelope: &Envelope) -> SendResult;
 
-    /// Sends without waiting to an address of which no node is known.
+    /// Sends a message to an address whose node is unknown, without blocking.
     fn send_to_address(&mut self, _address: &str, _envelope: &Envelope) -> SendResult {
         SendResult::UnknownPeer
     }
 
-    /// Learns where a node is reached.
+    /// Sets the address of a node.
     fn set_address(&mut self, _node: &NodeName, _address: &str) {}
 
-    /// Gives up the connection to a node that has gone silent, for a new one.
+    /// Closes the connection to a node that stopped responding; the next send opens a new one.
     fn reconnect(&mut self, _node: &NodeName) {}
 
-    /// A message of a node's process came.
+    /// Records that a message from process `incarnation` of a node was received.
     fn record_message(&mut self, _node: &NodeName, _incarnation: u64) {}
 }
 
@@ -60,7 +62,11 @@
     postcard::to_stdvec(envelope).expect("encoding into memory does not fail")
 }
 
-/// Decodes an envelope of `cluster`; anything else is an error.
+/// Decodes an envelope.
+///
+/// # Errors
+/// [`PeerError::Malformed`] if the bytes are not an envelope of this protocol version, and
+/// [`PeerError::WrongCluster`] if the sender belongs to another cluster than `cluster`.
 pub fn decode(bytes: &[u8], cluster: &str) -> Result<Envelope, PeerError> {
     if bytes.first() != Some(&PROTOCOL_VERSION) {
         return Err(PeerError::Malformed);
@@ -76,24 +82,28 @@
     Ok(envelope)
 }
 
-/// A connection to a peer, and whether it is up.
+/// A socket for one peer address, and whether its connection is established.
 struct Connection {
     socket: Socket,
-    is_up: Arc<AtomicBool>,
+    is_connected: Arc<AtomicBool>,
 }
 
-/// The transport of real processes.
+/// Transport over TCP with `nng` push and pull sockets.
 pub struct NngTransport {
     addresses: BTreeMap<NodeName, String>,
     connections: BTreeMap<String, Connection>,
     monitors: BTreeMap<String, ConnectionMonitor>,
-    /// Connections that were given up, until what they hold has left.
-    retired: VecDeque<(Instant, Socket)>,
+    /// Replaced connections that still send their buffered messages, with the time of the
+    /// replacement.
+    draining: VecDeque<(Instant, Socket)>,
 }
 
 impl NngTransport {
-    /// Listens on `listen_address` and dials `peers`; `receive` is called from
-    /// a thread of the transport, with the message's size in bytes.
+    /// Listens on `listen_address` and connects to `peers`. `receive` is called on
+    /// a transport thread with each message or decoding error and its size in bytes.
+    ///
+    /// # Errors
+    /// [`PeerError`] if the address can't be bound or a socket can't be created.
     pub fn start(
         listen_address: &str,
         peers: &BTreeMap<NodeName, String>,
@@ -105,16 +115,16 @@
             addresses: peers.clone(),
             connections: BTreeMap::new(),
             monitors: BTreeMap::new(),
-            retired: VecDeque::new(),
+            draining: VecDeque::new(),
         };
         for address in peers.values() {
             let connection = dial(address)?;
-            transport.take_connection(address, connection, Instant::now());
+            transport.add_connection(address, connection, Instant::now());
         }
         Ok(transport)
     }
 
-    fn take_connection(&mut self, address: &str, connection: Connection, now: Instant) {
+    fn add_connection(&mut self, address: &str, connection: Connection, now: Instant) {
         self.connections.insert(address.to_owned(), connection);
         let monitor = self.monitors.entry(address.to_owned()).or_default();
         monitor.record_dial(now);
@@ -123,7 +133,7 @@
     fn socket(&mut self, address: &str, now: Instant) -> Option<&Socket> {
         if !self.connections.contains_key(address) {
             match dial(address) {
-                Ok(connection) => self.take_connection(address, connection, now),
+                Ok(connection) => self.add_connection(address, connection, now),
                 Err(error) => {
                     log::warn!(event = "peer_dial_failed", address = address; "{error}");
                 }
@@ -133,32 +143,32 @@
         connection.map(|connection| &connection.socket)
     }
 
-    fn is_up(&self, address: &str) -> bool {
+    fn is_connected(&self, address: &str) -> bool {
         let connection = self.connections.get(address);
-        connection.is_some_and(|one| one.is_up.load(Ordering::Relaxed))
+        connection.is_some_and(|connection| connection.is_connected.load(Ordering::Relaxed))
     }
 
-    fn renew_if_hanging(&mut self, address: &str) {
+    fn replace_if_connect_overdue(&mut self, address: &str) {
         let now = Instant::now();
-        let is_up = self.is_up(address);
+        let is_connected = self.is_connected(address);
         let monitor = self.monitors.get(address);
-        if monitor.is_some_and(|monitor| monitor.is_connect_overdue(is_up, now)) {
-            self.retire(address, now);
+        if monitor.is_some_and(|monitor| monitor.is_connect_overdue(is_connected, now)) {
+            self.drain_connection(address, now);
         }
     }
 
-    /// Gives up a connection. Messages on their way may still leave for a while.
-    fn retire(&mut self, address: &str, now: Instant) {
-        let is_over = |since: &Instant| now.saturating_duration_since(*since) >= RETIRED_FOR;
+    /// Replaces a connection. Its buffered messages may still be sent until the drain timeout.
+    fn drain_connection(&mut self, address: &str, now: Instant) {
+        let is_expired = |since: &Instant| now.saturating_duration_since(*since) >= DRAIN_TIMEOUT;
         while self
-            .retired
+            .draining
             .front()
-            .is_some_and(|(since, _)| is_over(since))
+            .is_some_and(|(since, _)| is_expired(since))
         {
-            self.retired.pop_front();
+            self.draining.pop_front();
         }
         if let Some(connection) = self.connections.remove(address) {
-            self.retired.push_back((now, connection.socket));
+            self.draining.push_back((now, connection.socket));
         }
     }
 }
@@ -190,13 +200,14 @@
     }
 
     fn set_address(&mut self, node: &NodeName, address: &str) {
-        let former = self.addresses.insert(node.clone(), address.to_owned());
-        if let Some(former) = former.filter(|former| former != address) {
-            self.connections.remove(&former);
-            self.monitors.remove(&former);
+        let previous = self.addresses.insert(node.clone(), address.to_owned());
+        if let Some(previous) = previous.filter(|previous| previous != address) {
+            self.connections.remove(&previous);
+            self.monitors.remove(&previous);
         }
-        // It was heard: a connection begun while it was down would come up late.
-        self.renew_if_hanging(address);
+        // The node is reachable, so an attempt begun while it was down would only delay the
+        // connection.
+        self.replace_if_connect_overdue(address);
     }
 
     fn reconnect(&mut self, node: &NodeName) {
@@ -210,11 +221,11 @@
             return;
         };
         let now = Instant::now();
-        let is_up = self.is_up(&address);
+        let is_connected = self.is_connected(&address);
         let monitor = self.monitors.entry(address.clone()).or_default();
-        if monitor.record_message(incarnation, is_up, now) {
-            log::debug!(event = "peer_back", node = node.as_str(), is_up = is_up; "connection renewed");
-            self.retire(&address, now);
+        if monitor.record_message(incarnation, is_connected, now) {
+            log::debug!(event = "peer_back", node = node.as_str(), is_up = is_connected; "replacing the connection to a peer that is reachable again");
+            self.drain_connection(&address, now);
         }
     }
 }
@@ -224,16 +235,18 @@
     cluster: String,
     receive: impl Fn(Result<Envelope, PeerError>, usize) + Send + 'static,
 ) -> Result<(), PeerError> {
-    let error = |source| PeerError::Listen {
+    let listen_error = |source| PeerError::Listen {
         address: address.to_owned(),
         source,
     };
-    let socket = Socket::new(Protocol::Pull0).map_err(error)?;
+    let socket = Socket::new(Protocol::Pull0).map_err(listen_error)?;
     socket
         .set_opt::<RecvMaxSize>(MAX_MESSAGE_BYTES)
-        .map_err(error)?;
-    socket.listen(&format!("tcp://{address}")).map_err(error)?;
-    let receive_all = move || loop {
+        .map_err(listen_error)?;
+    socket
+        .listen(&format!("tcp://{address}"))
+        .map_err(listen_error)?;
+    let receive_loop = move || loop {
         match socket.recv() {
             Ok(message) => receive(decode(&message, &cluster), message.len()),
             Err(nng::Error::Closed) => return,
@@ -242,37 +255,40 @@
     };
     thread::Builder::new()
         .name("peer-receive".into())
-        .spawn(receive_all)
+        .spawn(receive_loop)
         .expect("a thread can be started at process start");
     Ok(())
 }
 
 fn dial(address: &str) -> Result<Connection, PeerError> {
-    let error = |source| PeerError::Connect {
+    let connect_error = |source| PeerError::Connect {
         address: address.to_owned(),
         source,
     };
-    let socket = Socket::new(Protocol::Push0).map_err(error)?;
+    let socket = Socket::new(Protocol::Push0).map_err(connect_error)?;
     socket
         .set_opt::<SendBufferSize>(SEND_BUFFER_MESSAGES)
-        .map_err(error)?;
+        .map_err(connect_error)?;
     socket
-        .set_opt::<ReconnectMinTime>(Some(RECONNECT_MIN))
-        .map_err(error)?;
+        .set_opt::<ReconnectMinTime>(Some(MIN_RECONNECT_DELAY))
+        .map_err(connect_error)?;
     socket
-        .set_opt::<ReconnectMaxTime>(Some(RECONNECT_MAX))
-        .map_err(error)?;
-    let is_up = Arc::new(AtomicBool::new(false));
-    let noted = is_up.clone();
+        .set_opt::<ReconnectMaxTime>(Some(MAX_RECONNECT_DELAY))
+        .map_err(connect_error)?;
+    let is_connected = Arc::new(AtomicBool::new(false));
+    let connected_flag = is_connected.clone();
     socket
         .pipe_notify(move |_, event| match event {
-            PipeEvent::AddPost => noted.store(true, Ordering::Relaxed),
-            PipeEvent::RemovePost => noted.store(false, Ordering::Relaxed),
+            PipeEvent::AddPost => connected_flag.store(true, Ordering::Relaxed),
+            PipeEvent::RemovePost => connected_flag.store(false, Ordering::Relaxed),
             _ => {}
         })
-        .map_err(error)?;
+        .map_err(connect_error)?;
     socket
         .dial_async(&format!("tcp://{address}"))
-        .map_err(error)?;
-    Ok(Connection { socket, is_up })
+        .map_err(connect_error)?;
+    Ok(Connection {
+        socket,
+        is_connected,
+    })
 }
--- a/crates/peer/src/work.rs
+++ b/crates/peer/src/work.rs
@@ -1,156 +1,154 @@
-//! Pieces of batch stages that nodes hand to the node which batches a service.
+//! Messages by which nodes submit work to the node that batches a service.
 
 use serde::{Deserialize, Serialize};
 use silversail_model::topology::RegionFilter;
 use silversail_model::{RequestFingerprint, Shard};
 
-/// One piece of one phase of one request.
+/// A work item of one phase of one request; pieces of several requests form a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
-    /// The caller's identifier of the request.
+    /// Request identifier sent by the caller.
     pub request: String,
-    /// Number of the phase.
+    /// Index of the phase in the route.
     pub phase: u32,
-    /// Number of the piece in its phase.
+    /// Index of the piece in the phase.
     pub index: u32,
-    /// What the piece is made from.
+    /// Input of the piece.
     pub source: PieceSource,
-    /// Approximate size of its result, in bytes.
+    /// Approximate size of the piece's result, in bytes.
     pub result_bytes: u64,
 }
 
-/// What a piece is made from.
+/// Input of a piece.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PieceSource {
-    /// The key that the caller sent.
+    /// Input key sent by the caller.
     Key(String),
-    /// Results of earlier phases.
+    /// Results of earlier phases, stored at back ends.
     Results(Vec<ResultHandle>),
 }
 
-/// Names a result at the back end that made it.
+/// Reference to a result that is stored at the back end that produced it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ResultHandle(pub String);
 
-/// Why a piece was not made.
+/// Reason why a piece has no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum PieceFailure {
-    /// Its time had run out.
+    /// The deadline had passed.
     Late,
-    /// A result that it is made from is gone.
+    /// An input result is no longer stored.
     InputGone,
-    /// The makers have no room for its result.
+    /// The back ends have no memory for the result.
     NoRoom,
-    /// The makers failed it.
+    /// The back ends returned an error.
     Failed,
     /// No back end of the service is known.
     NoBackend,
-    /// More waits than can be made in time.
+    /// The queue is too long to finish in time.
     Overloaded,
-    /// Its request crashes back ends.
+    /// The request is quarantined because it crashes back ends.
     Quarantined,
 }
 
-/// Identifies an order of work at the node that gave it.
+/// Identifier of submitted work, unique at the submitting process.
 pub type WorkId = u64;
 
 /// All pieces of one phase of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PhaseWork {
-    /// The back ends that make them.
+    /// Shard whose back ends process the pieces.
     pub shard: Shard,
-    /// The pieces.
+    /// Pieces in the order of their indexes.
     pub pieces: Vec<Piece>,
-    /// What the request is: a back end may crash on its pieces.
+    /// Fingerprint of the request, for attributing back-end crashes.
     pub fingerprint: RequestFingerprint,
-    /// Rank of the request; 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u8,
-    /// Zone where the phase is best done, as much has to be moved there from
-    /// elsewhere or from there else; empty for any.
+    /// Preferred zone, which needs the least data transfer between zones; empty for any zone.
     pub zone: String,
-    /// Bytes that are moved in all, from or to that zone.
+    /// Total data transfer from or to the preferred zone, in bytes.
     pub moved_bytes: u64,
-    /// The regions whose back ends may make them.
+    /// Regions whose back ends may process the pieces.
     pub regions: RegionFilter,
-    /// Milliseconds until the phase should be done to keep the objective.
+    /// Milliseconds until the phase should finish to meet the route's response time objective.
     pub target_remaining_ms: u64,
     /// Milliseconds until the request's deadline.
     pub remaining_ms: u64,
 }
 
-/// Ranks for which waits are told; less urgent ones wait as the last.
+/// Number of priorities with their own wait estimates; less urgent requests use the last one.
 pub const PRIORITY_LEVELS: usize = 4;
 
-/// How long a phase takes at a shard now, by the node that batches it.
+/// Current processing time of a phase at a shard, estimated by the node that batches it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardWaitEstimates {
-    /// The shard.
+    /// Shard that the estimates apply to.
     pub shard: Shard,
-    /// Milliseconds since its node told so.
+    /// Age of the estimates, in milliseconds.
     pub age_ms: u64,
-    /// Milliseconds that what is waiting or announced takes before an order of each
-    /// rank gets its turn.
+    /// Queueing time of new work by priority, in milliseconds, including announced work.
     pub backlog_ms: [u32; PRIORITY_LEVELS],
-    /// Milliseconds from an order's turn to its end.
+    /// Milliseconds from the end of the queueing time to the result.
     pub call_ms: u32,
-    /// Milliseconds that what is waiting now, whatever its rank, takes before a call
-    /// begins that has room for more.
+    /// Milliseconds until a call with free capacity starts, given the work queued now at any
+    /// priority.
     pub queue_ms: u32,
 }
 
-/// Messages of work.
+/// Messages between the nodes that submit work and the nodes that batch it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkMessage {
-    /// Asks the receiver to have the pieces made.
+    /// Submits the pieces of a phase.
     Submit {
-        /// Identifies the order at the sender's process.
+        /// Identifier of the work at the sender.
         work: WorkId,
-        /// The work.
+        /// Pieces with their constraints.
         phase: PhaseWork,
     },
-    /// Tells of an order to come: its request was admitted, and phases go before. It
-    /// is answered as a submission is.
+    /// Announces work that is submitted later, after earlier phases of an admitted request. The
+    /// reply is the same as for a submission.
     Announce {
-        /// The order.
+        /// Identifier of the work at the sender.
         work: WorkId,
-        /// The back ends that will make them.
+        /// Shard that will process the pieces.
         shard: Shard,
-        /// How many pieces it will have.
+        /// Number of pieces.
         pieces: u32,
-        /// Rank of the request.
+        /// Priority of the request.
         priority: u8,
     },
-    /// Tells that a submission came, or came again: the order waits or is at work.
+    /// Acknowledges a submission or its repetition: the work is queued or running.
     Accepted {
-        /// The order.
+        /// Identifier of the work at the submitting node.
         work: WorkId,
-        /// How long the shards of the service take now.
+        /// Current estimates for the shards of the service.
         waits: Vec<ShardWaitEstimates>,
     },
-    /// Answers a submission: the results in the order of the pieces.
+    /// Reports the end of submitted work.
     Done {
-        /// The order.
+        /// Identifier of the work at the submitting node.
         work: WorkId,
-        /// The results.
+        /// Results in the order of the pieces, or the reason of the failure.
         result: Result<Vec<ResultHandle>, PieceFailure>,
-        /// How long the shards of the service take now.
+        /// Current estimates for the shards of the service.
         waits: Vec<ShardWaitEstimates>,
     },
-    /// Between nodes that batch shards of one service: how long the sender's take now.
+    /// Between nodes that batch shards of one service: current estimates for the sender's shards.
     WaitEstimates(Vec<ShardWaitEstimates>),
-    /// The back ends have read what the pieces are made from.
+    /// Reports that the back ends have read the inputs of the pieces.
     InputsRead {
-        /// The order.
+        /// Identifier of the work at the submitting node.
         work: WorkId,
     },
-    /// The sender wants the work no more.
+    /// Cancels submitted or announced work.
     Cancel {
-        /// The order.
+        /// Identifier of the work at the submitting node.
         work: WorkId,
     },
-    /// These results are not needed any more.
+    /// Releases results that are no longer needed.
     Release {
-        /// The results.
+        /// Handles of the results.
         handles: Vec<ResultHandle>,
     },
 }
--- a/crates/peer/tests/crash_messages.rs
+++ b/crates/peer/tests/crash_messages.rs
@@ -1,4 +1,4 @@
-//! What telling of crashes costs in bytes: the figures of `docs/CAPACITY.md`.
+//! Sizes of crash reports and quarantine lists, which `docs/CAPACITY.md` relies on.
 
 use silversail_model::{ContentDigest, RequestFingerprint};
 use silversail_quarantine::{CrashSighting, QuarantineList};
@@ -10,32 +10,32 @@
     })
 }
 
-fn size(value: &impl serde::Serialize) -> usize {
+fn encoded_size(value: &impl serde::Serialize) -> usize {
     postcard::to_stdvec(value)
         .expect("encoding into memory does not fail")
         .len()
 }
 
-/// An engine with 32 streams ends, of which a node had all.
+/// Report of a crashed engine with 32 streams, all from one node.
 #[test]
-fn a_crash_of_32_requests_takes_under_600_bytes() {
+fn a_crash_report_of_32_requests_has_under_600_bytes() {
     let sighting = CrashSighting {
         backend: "i-7f3a91c2@1700000000000".into(),
         age_ms: 6_000,
         fingerprints: fingerprints(32).collect(),
     };
-    let bytes = size(&sighting);
+    let bytes = encoded_size(&sighting);
     assert!((32 * 16..600).contains(&bytes), "{bytes} bytes");
 }
 
-/// The most that a node is sent when the list changes.
+/// Maximum size of the message that a node gets when the list changes.
 #[test]
-fn a_full_list_takes_under_9_kilobytes() {
+fn a_full_quarantine_list_has_under_9_kilobytes() {
     let list = QuarantineList {
         revision: 1_000,
         refused: fingerprints(512).collect(),
         watched: fingerprints(32).collect(),
     };
-    let bytes = size(&list);
+    let bytes = encoded_size(&list);
     assert!((512 * 16..9_000).contains(&bytes), "{bytes} bytes");
 }
--- a/crates/peer/tests/limit_messages.rs
+++ b/crates/peer/tests/limit_messages.rs
@@ -1,14 +1,14 @@
-//! How large messages on limits of back ends are: one of each kind for a request that waits.
+//! Sizes of the messages on rate limits of back ends; a queued request causes one of each kind.
 
 use silversail_limits::{KnownLimit, LimitMessage, LimitState, PermitGrant, PermitRequest};
 use silversail_model::RequestRate;
 use silversail_peer::message::PeerMessage;
 
-/// Bytes of a message, with the name of a back end and its start.
-const MOST_BYTES: usize = 80;
+/// Maximum encoded size, including a back-end identity with its start time.
+const MAX_MESSAGE_BYTES: usize = 80;
 
 #[test]
-fn messages_on_limits_are_small() {
+fn rate_limit_messages_stay_below_the_maximum_size() {
     let backend = "i-0e04abeee9@1780701398349".to_owned();
     let limit = KnownLimit {
         rate: RequestRate::per_second(1_000.0).expect("a rate"),
@@ -32,6 +32,6 @@
     });
     for message in [request, grant] {
         let bytes = postcard::to_stdvec(&PeerMessage::Limits(message)).expect("encodes");
-        assert!(bytes.len() <= MOST_BYTES, "{} bytes", bytes.len());
+        assert!(bytes.len() <= MAX_MESSAGE_BYTES, "{} bytes", bytes.len());
     }
 }
