--- a/crates/model/src/codes.rs
+++ b/crates/model/src/codes.rs
@@ -1,25 +1,25 @@
-//! The numbered result codes: one table for callers, operators and logs.
+//! Numbered result codes, shown to callers and operators and written to logs.
 //!
-//! `docs/RESULT_CODES.md` lists the same table; a test compares the two.
+//! A test compares this table with `docs/RESULT_CODES.md`.
 
 use serde::{Deserialize, Serialize};
 
-/// What is known of a request's effect.
+/// Whether a request ran, as far as it is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The whole answer was produced.
+    /// The request ran and its complete response was produced.
     Completed,
-    /// No stage ran, and none will run under this key.
+    /// No stage ran, and none will run for this idempotency key.
     NotRun,
-    /// A stage answered with an error.
+    /// A stage returned an error.
     Failed,
     /// A stage may or may not have run.
     Unknown,
 }
 
 impl Outcome {
-    /// The label value used in metrics.
+    /// Returns the label value used in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Completed => "completed",
@@ -32,8 +32,8 @@
 
 macro_rules! result_codes {
     ($($(#[$doc:meta])* $name:ident = $number:literal, $reason:literal, $status:literal, $outcome:ident;)+) => {
-        /// A numbered result. 1xxx: settings and input files; 2xxx: refusals
-        /// of requests; 3xxx: requests that failed or whose outcome is unknown;
+        /// A numbered result. 1xxx: settings and input files; 2xxx: rejected
+        /// requests; 3xxx: requests that failed or whose outcome is unknown;
         /// 4xxx: operators' changes; 5xxx: the process and its storage.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
         #[serde(rename_all = "snake_case")]
@@ -42,25 +42,25 @@
         }
 
         impl ResultCode {
-            /// Every code, by number.
+            /// All codes, ordered by number.
             pub const ALL: &'static [ResultCode] = &[$(ResultCode::$name,)+];
 
-            /// The number shown to people and machines.
+            /// Returns the number shown in responses and logs.
             pub fn number(self) -> u16 {
                 match self { $(ResultCode::$name => $number,)+ }
             }
 
-            /// A short machine-readable reason, used as a metric label.
+            /// Returns a short machine-readable reason, used as a metric label.
             pub fn reason(self) -> &'static str {
                 match self { $(ResultCode::$name => $reason,)+ }
             }
 
-            /// The HTTP status that carries the code.
+            /// Returns the HTTP status of responses with this code.
             pub fn http_status(self) -> u16 {
                 match self { $(ResultCode::$name => $status,)+ }
             }
 
-            /// What the code says of the request's effect.
+            /// Returns whether a request with this code has run.
             pub fn outcome(self) -> Outcome {
                 match self { $(ResultCode::$name => Outcome::$outcome,)+ }
             }
@@ -69,161 +69,161 @@
 }
 
 result_codes! {
-    /// The whole answer was produced.
+    /// The complete response was produced.
     Completed = 1000, "completed", 200, Completed;
     /// A settings file can't be read or parsed.
     InvalidSettings = 1001, "invalid_settings", 400, NotRun;
-    /// A name holds characters that names may not hold.
+    /// A name contains invalid characters or has an invalid length.
     InvalidName = 1002, "invalid_name", 400, NotRun;
-    /// An address is not an IP number and a port.
+    /// An address is not an IP address with a port.
     InvalidAddress = 1003, "invalid_address", 400, NotRun;
-    /// A number lies outside its range.
+    /// A number is outside its valid range.
     ValueOutOfRange = 1004, "value_out_of_range", 400, NotRun;
-    /// An object names another that is not declared.
+    /// An object refers to another one that is not declared.
     UnknownReference = 1005, "unknown_reference", 400, NotRun;
-    /// Two objects share a name that must be unique.
+    /// Two objects have the same name, which must be unique.
     DuplicateName = 1006, "duplicate_name", 400, NotRun;
-    /// A field that this object needs is absent.
+    /// A required field is missing.
     MissingField = 1007, "missing_field", 400, NotRun;
     /// A selector's condition is malformed.
     InvalidSelector = 1008, "invalid_selector", 400, NotRun;
 
-    /// The request's body is not the JSON that the surface takes.
+    /// The request's body is not valid JSON for this endpoint.
     MalformedRequest = 2001, "malformed_request", 400, NotRun;
-    /// The request's body is larger than allowed.
+    /// The request's body exceeds the size limit.
     BodyTooLarge = 2002, "body_too_large", 413, NotRun;
-    /// No such path or method.
+    /// The path or method does not exist.
     UnknownPath = 2003, "unknown_path", 404, NotRun;
-    /// No such pipeline.
+    /// The named pipeline does not exist.
     UnknownPipeline = 2004, "unknown_pipeline", 404, NotRun;
-    /// No such tenant.
+    /// The named tenant does not exist.
     UnknownTenant = 2005, "unknown_tenant", 403, NotRun;
-    /// The tenant may not use the pipeline.
+    /// The tenant has no access to the pipeline.
     TenantNotAllowed = 2006, "tenant_not_allowed", 403, NotRun;
-    /// The deadline is zero, already past or too far away.
+    /// The deadline is zero, in the past or above the maximum.
     InvalidDeadline = 2007, "invalid_deadline", 400, NotRun;
-    /// The caller's body came too slowly.
+    /// The request's body was not received before the timeout.
     SlowRequest = 2008, "slow_request", 408, NotRun;
     /// The idempotency key is malformed.
     InvalidIdempotencyKey = 2009, "invalid_idempotency_key", 400, NotRun;
-    /// The key was used before with another request.
+    /// The idempotency key was used before for another request.
     IdempotencyConflict = 2010, "idempotency_conflict", 422, NotRun;
 
     /// The node can't confirm that its configuration is current.
     NotCurrent = 2101, "not_current", 503, NotRun;
-    /// The node is stopping.
+    /// The node is shutting down.
     Stopping = 2102, "stopping", 503, NotRun;
-    /// The whole answer can't be expected within the deadline.
+    /// The estimated response time exceeds the deadline.
     DeadlineUnreachable = 2103, "deadline_unreachable", 503, NotRun;
-    /// The deadline passed before any stage was sent.
+    /// The deadline passed before any stage was sent to a back end.
     DeadlineExpired = 2104, "deadline_expired", 504, NotRun;
-    /// The tenant's limit of concurrent requests is reached.
+    /// The tenant has reached its limit of concurrent requests.
     TenantConcurrencyLimit = 2105, "tenant_concurrency_limit", 429, NotRun;
-    /// The tenant's limit of requests a second is reached.
+    /// The tenant has reached its limit of requests per second.
     TenantRateLimit = 2106, "tenant_rate_limit", 429, NotRun;
-    /// The node has as many open requests as it takes.
+    /// The node has reached its limit of concurrent requests.
     TooManyRequests = 2107, "too_many_requests", 503, NotRun;
-    /// No back end may serve a stage.
+    /// No back end is available for a stage.
     NoBackend = 2108, "no_backend", 503, NotRun;
-    /// The claim ledger can't be reached, and nothing was sent.
+    /// The claim ledger is unavailable, and nothing was sent.
     LedgerUnavailable = 2109, "ledger_unavailable", 503, NotRun;
-    /// The caller went away before any stage was sent.
+    /// The caller disconnected before any stage was sent.
     CallerGone = 2110, "caller_gone", 499, NotRun;
-    /// Every back end refused before running the call.
+    /// All back ends rejected the call without running it.
     BackendRefused = 2111, "backend_refused", 503, NotRun;
-    /// The retry budget of the back ends is spent.
+    /// The retry budget is exhausted.
     RetryBudgetSpent = 2112, "retry_budget_spent", 503, NotRun;
-    /// No back end in the regions that may serve the request can be used.
+    /// No back end is available in the regions that are allowed for the request.
     NoAllowedBackend = 2113, "no_allowed_backend", 503, NotRun;
-    /// Back ends crashed each time they ran this request: it is not sent to another.
+    /// The request is quarantined because back ends crashed while they ran it.
     RequestQuarantined = 2114, "request_quarantined", 400, NotRun;
-    /// All back ends that may have the request asked for rest and are not back in time.
+    /// All eligible back ends are in a Retry-After pause beyond the request's deadline.
     BackendsResting = 2115, "backends_resting", 503, NotRun;
-    /// All back ends that may have the request take only so many from all nodes together, and it
-    /// is not among them in time.
+    /// All eligible back ends are rate-limited, and no permit is available before the request's
+    /// deadline.
     BackendsLimited = 2116, "backends_limited", 503, NotRun;
 
-    /// No route has the request's host and a prefix of its path.
+    /// No route matches the request's host and path.
     UnknownRoute = 2201, "unknown_route", 404, NotRun;
-    /// The request's key is absent, unknown or taken away.
+    /// The request's API key is missing, unknown or revoked.
     UnknownKey = 2202, "unknown_key", 401, NotRun;
-    /// The request has no identifier.
+    /// The request has no request identifier.
     MissingIdentifier = 2203, "missing_identifier", 400, NotRun;
-    /// The process does not hold a traffic configuration yet.
+    /// The process has not received a traffic configuration yet.
     NoTrafficConfiguration = 2204, "no_traffic_configuration", 503, NotRun;
-    /// More work waits before the request than can be done in time.
+    /// The queue of a phase is too long for the request's deadline.
     PhaseOverloaded = 2205, "phase_overloaded", 503, NotRun;
-    /// A phase before the request could not be done.
+    /// A phase before the request failed.
     PhaseFailed = 2206, "phase_failed", 503, NotRun;
-    /// The time was over before the request was sent to an engine.
+    /// The request's timeout expired before it was sent to an engine.
     TimeOverBeforeSend = 2207, "time_over_before_send", 503, NotRun;
-    /// The request's head is larger than allowed.
+    /// The request's headers exceed the size limit.
     HeadTooLarge = 2208, "head_too_large", 431, NotRun;
 
-    /// A back end answered with an error.
+    /// A back end returned an error.
     BackendFailed = 3001, "backend_failed", 502, Failed;
-    /// A back end's answer is not in its protocol, or names another call.
+    /// A back end's response violates its protocol or refers to another call.
     BackendProtocol = 3002, "backend_protocol", 502, Failed;
-    /// A stream broke and no other engine gave the same text.
+    /// A stream was interrupted, and no other engine could resume it with the same text.
     StreamBroken = 3003, "stream_broken", 502, Failed;
     /// The deadline passed during a repeatable stage.
     DeadlineMissed = 3004, "deadline_missed", 504, Failed;
-    /// The request was given up between stages; earlier ones had run.
+    /// The request was abandoned between two stages; the earlier stages have run.
     Abandoned = 3005, "abandoned", 503, Failed;
-    /// A call that may not be repeated was sent and its answer was lost.
+    /// The response to a non-repeatable call was lost.
     AnswerLost = 3101, "answer_lost", 502, Unknown;
-    /// The deadline passed while a call that may not be repeated was out.
+    /// The deadline passed while a non-repeatable call was in flight.
     DeadlineWhileSent = 3102, "deadline_while_sent", 504, Unknown;
-    /// Another copy of the key is running and did not end in time.
+    /// Another request with the same idempotency key is running and did not end in time.
     RunningElsewhere = 3103, "running_elsewhere", 504, Unknown;
-    /// The key can't be fenced, as the ledger can't be reached; this copy did
-    /// not run, but an older copy may.
+    /// The idempotency key can't be fenced because the ledger is unavailable; this request did
+    /// not run, but an earlier one with the same key may run.
     FenceUnavailable = 3104, "fence_unavailable", 503, Unknown;
 
     /// Another change was accepted on the same base revision.
     RevisionConflict = 4001, "revision_conflict", 409, NotRun;
-    /// The change does not validate.
+    /// The configuration after the change is invalid.
     InvalidConfiguration = 4002, "invalid_configuration", 422, NotRun;
-    /// No leader is known, or it did not answer; resend with the same change
-    /// identifier.
+    /// No leader is known, or it did not respond; the change can be sent again with the same
+    /// change identifier.
     NoLeader = 4003, "no_leader", 503, Unknown;
     /// The change identifier was used before for another change.
     ChangeIdReused = 4004, "change_id_reused", 409, NotRun;
-    /// The operators' request is not in its format.
+    /// The operator's request has an invalid format.
     MalformedChange = 4005, "malformed_change", 400, NotRun;
-    /// No such object.
+    /// The named object does not exist.
     UnknownObject = 4006, "unknown_object", 404, NotRun;
-    /// Only voters keep what is asked for.
+    /// The requested data is only available on voters.
     NotAVoter = 4007, "not_a_voter", 404, NotRun;
-    /// No such zone.
+    /// The named zone does not exist.
     UnknownZone = 4008, "unknown_zone", 404, NotRun;
-    /// The call takes no body.
+    /// The request must not have a body.
     UnexpectedBody = 4009, "unexpected_body", 400, NotRun;
-    /// A rollout of the service to another version is under way.
+    /// A rollout of the service to another version is in progress.
     RolloutUnderway = 4010, "rollout_underway", 409, NotRun;
-    /// The traffic configuration in force has no such service.
+    /// The current traffic configuration does not have the service.
     UnknownService = 4011, "unknown_service", 404, NotRun;
-    /// A rollout's duration is 0, negative, no number or longer than a day.
+    /// A rollout's duration is not a positive number or exceeds a day.
     InvalidDuration = 4012, "invalid_duration", 400, NotRun;
-    /// The service never had a rollout.
+    /// The service has never had a rollout.
     NoRollout = 4013, "no_rollout", 404, NotRun;
-    /// The rollout is complete and can't be taken back; order another one.
+    /// The rollout is complete and can't be rolled back; a new rollout is required.
     RolloutEnded = 4014, "rollout_ended", 409, NotRun;
-    /// The request is not refused for crashing back ends.
+    /// The request is not quarantined.
     NotQuarantined = 4015, "not_quarantined", 404, NotRun;
-    /// A fingerprint is not 32 hexadecimal digits.
+    /// A fingerprint does not consist of 32 hexadecimal digits.
     InvalidFingerprint = 4016, "invalid_fingerprint", 400, NotRun;
 
-    /// The data folder can't be used.
+    /// The data folder is missing or not accessible.
     DataFolder = 5001, "data_folder", 500, Failed;
-    /// A stored record is damaged before the end of the log.
+    /// A record before the end of the log is corrupt.
     StorageCorrupt = 5002, "storage_corrupt", 500, Failed;
     /// A write or sync to the data folder failed.
     StorageWrite = 5003, "storage_write", 500, Failed;
     /// An address can't be bound.
     AddressInUse = 5004, "address_in_use", 500, Failed;
-    /// A peer's message can't be decoded or is of another cluster.
+    /// A peer's message can't be decoded or belongs to another cluster.
     PeerProtocol = 5005, "peer_protocol", 500, Failed;
-    /// Another process holds the data folder.
+    /// Another process has locked the data folder.
     DataFolderLocked = 5006, "data_folder_locked", 500, Failed;
 }
--- a/crates/model/src/configuration.rs
+++ b/crates/model/src/configuration.rs
@@ -1,5 +1,5 @@
-//! The configuration objects that operators declare, and the document in which
-//! they write changes.
+//! Configuration objects that operators declare, and the document format of
+//! configuration changes.
 
 use crate::identifiers::{BackendName, PipelineName, StageName, TenantName};
 use crate::selector::{Labels, Selector};
@@ -7,27 +7,27 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Revision of the configuration: one more with each accepted change.
+/// Revision of the configuration, incremented with each accepted change.
 pub type Revision = u64;
 
-/// What a stage does; the unit by which cost is accounted.
+/// Kind of processing that a stage does; costs are accounted by kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StageKind {
-    /// Turns text into vectors, at a pool.
+    /// Encodes text as vectors, in an encoder pool.
     Encoding,
-    /// Looks up documents, at a pool.
+    /// Retrieves documents, in a retriever pool.
     Retrieval,
-    /// Orders documents, at a pool.
+    /// Ranks documents, in a reranker pool.
     Reranking,
-    /// Generates text, at a model engine.
+    /// Generates text, in a model engine.
     Generation,
-    /// Calls a plain service.
+    /// Calls an HTTP service.
     Service,
 }
 
 impl StageKind {
-    /// The label value used in metrics and reports.
+    /// Returns the label value used in metrics and reports.
     pub fn as_str(self) -> &'static str {
         match self {
             StageKind::Encoding => "encoding",
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The kind of back end that runs such a stage.
+    /// Returns the kind of back end that runs stages of this kind.
     pub fn backend_kind(self) -> BackendKind {
         match self {
             StageKind::Encoding => BackendKind::Encoder,
@@ -50,7 +50,7 @@
     }
 }
 
-/// What kind of outside system a back end is.
+/// Kind of external system that a back end is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BackendKind {
@@ -62,7 +62,7 @@
     Retriever,
     /// A member of a reranker pool.
     Reranker,
-    /// A plain service.
+    /// An HTTP service without pool or model.
     Service,
 }
 
@@ -70,31 +70,32 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stage {
-    /// Name, unique in the pipeline.
+    /// Name of the stage, unique in the pipeline.
     pub name: StageName,
-    /// What the stage does.
+    /// Kind of processing.
     pub kind: StageKind,
-    /// Which labelled back ends may serve it.
+    /// Selects the back ends that may run the stage, by their labels.
     #[serde(default)]
     pub selector: Selector,
     /// Model name; required for generation stages only.
     #[serde(default)]
     pub model: Option<String>,
-    /// Most tokens that a generation stage produces.
+    /// Maximum number of tokens that a generation stage produces.
     #[serde(default)]
     pub max_tokens: Option<u32>,
-    /// Whether the call may be sent again after an unknown outcome. Plain
-    /// service calls are not repeatable unless declared so.
+    /// Whether the call may be sent again after an unknown outcome; by default
+    /// all calls except those of service stages may.
     #[serde(default)]
     pub repeatable: Option<bool>,
-    /// Service time expected until one was measured, in milliseconds.
+    /// Initial estimate of the stage's duration, in milliseconds, used until
+    /// measurements are available.
     #[serde(default)]
     pub expected_ms: Option<u64>,
 }
 
 impl Stage {
-    /// Whether the call may be repeated: as declared, else yes for every kind
-    /// but plain services.
+    /// Whether the call may be sent again: as declared, otherwise true for all
+    /// kinds except services.
     pub fn is_repeatable(&self) -> bool {
         self.repeatable.unwrap_or(self.kind != StageKind::Service)
     }
@@ -106,46 +107,46 @@
 pub struct Pipeline {
     /// Name, unique among pipelines.
     pub name: PipelineName,
-    /// Labels of the pipeline.
+    /// Labels of the pipeline, as declared by the operator.
     #[serde(default)]
     pub labels: Labels,
-    /// Deadline of the whole answer from its arrival, in milliseconds, used
-    /// where the request names none.
+    /// Default deadline for the complete response, in milliseconds after the
+    /// request's arrival.
     pub deadline_ms: u64,
-    /// Which labelled tenants may use the pipeline.
+    /// Selects the tenants that may use the pipeline, by their labels.
     #[serde(default)]
     pub tenants: Selector,
-    /// The stages in order.
+    /// Stages in the order of execution.
     pub stages: Vec<Stage>,
 }
 
-/// An outside system that runs stages.
+/// An external system that runs stages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Backend {
     /// Name, unique among back ends.
     pub name: BackendName,
-    /// What it is.
+    /// Kind of external system.
     pub kind: BackendKind,
-    /// IP address and port of its protocol.
+    /// IP address and port for calls.
     pub address: String,
     /// Labels that selectors match.
     #[serde(default)]
     pub labels: Labels,
-    /// How many calls it runs side by side.
+    /// Number of calls that it runs concurrently.
     #[serde(default = "default_slots")]
     pub slots: u32,
     /// Models that an engine serves.
     #[serde(default)]
     pub models: Vec<String>,
-    /// Whether silversail decides which models the engine holds, by orders;
-    /// `models` is then not used.
+    /// Whether silversail loads and unloads the engine's models; `models` is
+    /// ignored then.
     #[serde(default)]
     pub managed: bool,
-    /// How many models a managed engine holds at most.
+    /// Maximum number of models loaded in a managed engine.
     #[serde(default = "default_model_slots")]
     pub model_slots: u32,
-    /// Declared intent: send nothing new here.
+    /// Whether the back end is drained: it gets no new calls.
     #[serde(default)]
     pub drain: bool,
 }
@@ -158,34 +159,35 @@
     8
 }
 
-/// A model and how many engines shall hold it.
+/// A model and the number of engines that it is loaded in.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
     /// Name, unique among models.
     pub name: String,
-    /// Labels of the model.
+    /// Labels of the model, as declared by the operator.
     #[serde(default)]
     pub labels: Labels,
-    /// Declared number of managed engines that hold the model.
+    /// Number of managed engines that the model is loaded in.
     #[serde(default)]
     pub replicas: u32,
-    /// Which labelled managed engines may hold it.
+    /// Selects the managed engines that may load the model, by their labels.
     #[serde(default)]
     pub engines: Selector,
-    /// Size of its weights in megabytes, by which loads are paced.
+    /// Size of the model's weights in megabytes, used for limiting the rate of
+    /// model loads.
     #[serde(default)]
     pub size_mb: u32,
 }
 
-/// Limits of one tenant over the whole cluster.
+/// Cluster-wide limits of one tenant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantLimits {
-    /// Most requests admitted and not yet answered.
+    /// Maximum number of concurrent requests.
     #[serde(default)]
     pub concurrent_requests: Option<u32>,
-    /// Most requests admitted a second.
+    /// Maximum number of admitted requests per second.
     #[serde(default)]
     pub requests_per_second: Option<u32>,
 }
@@ -202,7 +204,7 @@
     /// Share of capacity under contention, relative to other tenants.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Limits over the whole cluster.
+    /// Cluster-wide limits.
     #[serde(default)]
     pub limits: TenantLimits,
 }
@@ -211,7 +213,7 @@
     1
 }
 
-/// The kinds of configuration objects.
+/// Kind of a configuration object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ObjectKind {
@@ -225,7 +227,7 @@
     Tenant,
 }
 
-/// Names one object for deletion.
+/// Reference to an object that is to be deleted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ObjectReference {
@@ -235,29 +237,29 @@
     pub name: String,
 }
 
-/// A change as operators write it: objects to put in place of those of the
-/// same name, and objects to delete.
+/// A configuration change: objects to create or replace by name, and objects
+/// to delete.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigurationDocument {
-    /// Pipelines to put.
+    /// Pipelines to create or replace.
     #[serde(default)]
     pub pipelines: Vec<Pipeline>,
-    /// Back ends to put.
+    /// Back ends to create or replace.
     #[serde(default)]
     pub backends: Vec<Backend>,
-    /// Models to put.
+    /// Models to create or replace.
     #[serde(default)]
     pub models: Vec<Model>,
-    /// Tenants to put.
+    /// Tenants to create or replace.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
-    /// Objects to delete, before the puts.
+    /// Objects to delete before others are created or replaced.
     #[serde(default)]
     pub delete: Vec<ObjectReference>,
 }
 
-/// The whole configuration at one revision.
+/// The complete configuration at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
     /// Pipelines by name.
@@ -271,8 +273,10 @@
 }
 
 impl Configuration {
-    /// This configuration after `document`, or what is wrong with the result.
-    /// `self` is left as it is.
+    /// Returns a copy of this configuration with `document` applied.
+    ///
+    /// # Errors
+    /// [`ValidationErrors`] if the resulting configuration is invalid.
     pub fn with_change(
         &self,
         document: &ConfigurationDocument,
@@ -283,7 +287,7 @@
         Ok(next)
     }
 
-    /// Applies a change that was validated before it was accepted.
+    /// Applies a change without validation, for changes that were already accepted.
     pub fn apply(&mut self, document: &ConfigurationDocument) {
         for reference in &document.delete {
             self.remove(reference);
@@ -313,7 +317,7 @@
         }
     }
 
-    /// The configuration as a document that would create it from nothing.
+    /// Returns a document that creates this configuration from an empty one.
     pub fn to_document(&self) -> ConfigurationDocument {
         ConfigurationDocument {
             pipelines: self.pipelines.values().cloned().collect(),
@@ -324,7 +328,7 @@
         }
     }
 
-    /// Back ends that may serve `stage`, drained ones left out.
+    /// Back ends that can run `stage` and are not drained.
     pub fn backends_for<'a>(&'a self, stage: &'a Stage) -> impl Iterator<Item = &'a Backend> {
         self.backends
             .values()
@@ -332,15 +336,15 @@
     }
 }
 
-/// Whether `backend` is of the stage's kind, holds its model and matches its
+/// Whether `backend` has the stage's kind, serves its model and matches its
 /// selector.
 pub fn backend_serves(backend: &Backend, stage: &Stage) -> bool {
-    let holds_model = match &stage.model {
-        // What a managed engine holds is known from its reports only.
+    let may_serve_model = match &stage.model {
+        // The models of a managed engine are known only from its status reports.
         Some(model) => backend.managed || backend.models.contains(model),
         None => true,
     };
     backend.kind == stage.kind.backend_kind()
-        && holds_model
+        && may_serve_model
         && stage.selector.matches(&backend.labels)
 }
--- a/crates/model/src/shard.rs
+++ b/crates/model/src/shard.rs
@@ -1,37 +1,37 @@
-//! Which back ends of a batched service one node fills: all of them, or those of one zone or
-//! of one region where a service has more than one node can serve.
+//! Shards of a batched service. A service with more back ends than one node can batch for is
+//! divided by zone or region.
 
 use crate::topology::{Distance, Topology};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A part of the back ends of a batched service.
+/// The back ends of a batched service for which one node forms the batches.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Shard {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Where the back ends are.
+    /// Location of the back ends.
     pub scope: ShardScope,
 }
 
-/// Where the back ends of a shard are.
+/// Location of the back ends of a shard.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ShardScope {
-    /// Everywhere: all back ends of the service.
+    /// All zones: the service is not divided.
     All,
-    /// In one zone.
+    /// One zone.
     Zone(String),
-    /// In the zones of one region.
+    /// All zones of one region.
     Region {
-        /// The region.
+        /// Name of the region.
         name: String,
-        /// Its zones, in order.
+        /// Zones of the region, sorted by name.
         zones: Vec<String>,
     },
 }
 
 impl Shard {
-    /// All back ends of a service.
+    /// Creates a shard with all back ends of a service.
     pub fn whole_service(service: &str) -> Self {
         Self {
             service: service.to_owned(),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The back ends of a service in a zone.
+    /// Creates a shard with the back ends of a service in one zone.
     pub fn in_zone(service: &str, zone: &str) -> Self {
         Self {
             service: service.to_owned(),
@@ -47,29 +47,29 @@
         }
     }
 
-    /// The back ends of a service in the region of a zone; those in the zone where its region
-    /// is not known.
+    /// Creates a shard with the back ends of a service in the region of `zone`, or in `zone` alone
+    /// if its region is unknown.
     pub fn in_region_of(service: &str, zone: &str, topology: &Topology) -> Self {
         let Some(region) = topology.region_of(zone) else {
             return Self::in_zone(service, zone);
         };
         let zones = topology.region_by_zone().iter();
-        let of_region = zones.filter(|(_, one)| one.as_str() == region);
+        let zones_of_region = zones.filter(|(_, zone_region)| zone_region.as_str() == region);
         Self {
             service: service.to_owned(),
             scope: ShardScope::Region {
                 name: region.to_owned(),
-                zones: of_region.map(|(zone, _)| zone.clone()).collect(),
+                zones: zones_of_region.map(|(zone, _)| zone.clone()).collect(),
             },
         }
     }
 
-    /// Whether it is all of the service, so that there is no other shard of it.
+    /// Whether the shard has all back ends of the service.
     pub fn is_whole_service(&self) -> bool {
         self.scope == ShardScope::All
     }
 
-    /// A zone of it, which tells its region; none for a whole service.
+    /// One zone of the shard, from which its region follows; none for a whole service.
     pub fn representative_zone(&self) -> Option<&str> {
         match &self.scope {
             ShardScope::All => None,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Whether all its back ends are in the same zone.
+    /// Whether all back ends of the shard are in the same zone.
     pub fn is_single_zone(&self) -> bool {
         match &self.scope {
             ShardScope::All => false,
@@ -87,22 +87,24 @@
         }
     }
 
-    /// Whether a back end in `zone` belongs to it.
+    /// Whether back ends in `zone` belong to the shard.
     pub fn contains_zone(&self, zone: &str) -> bool {
         match &self.scope {
             ShardScope::All => true,
-            ShardScope::Zone(own) => own == zone,
-            ShardScope::Region { zones, .. } => zones.iter().any(|own| own == zone),
+            ShardScope::Zone(shard_zone) => shard_zone == zone,
+            ShardScope::Region { zones, .. } => zones.iter().any(|shard_zone| shard_zone == zone),
         }
     }
 
-    /// How far the nearest zone of it is from `zone`.
+    /// Distance from `zone` to the nearest zone of the shard.
     pub fn distance(&self, zone: &str, topology: &Topology) -> Distance {
         match &self.scope {
             ShardScope::All => Distance::SameZone,
-            ShardScope::Zone(own) => topology.distance(zone, own),
+            ShardScope::Zone(shard_zone) => topology.distance(zone, shard_zone),
             ShardScope::Region { zones, .. } => {
-                let distances = zones.iter().map(|own| topology.distance(zone, own));
+                let distances = zones
+                    .iter()
+                    .map(|shard_zone| topology.distance(zone, shard_zone));
                 distances.min().unwrap_or(Distance::OtherRegion)
             }
         }
@@ -113,8 +115,8 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.scope {
             ShardScope::All => formatter.write_str(&self.service),
-            ShardScope::Zone(place) | ShardScope::Region { name: place, .. } => {
-                write!(formatter, "{}@{place}", self.service)
+            ShardScope::Zone(location) | ShardScope::Region { name: location, .. } => {
+                write!(formatter, "{}@{location}", self.service)
             }
         }
     }
--- a/crates/model/src/topology.rs
+++ b/crates/model/src/topology.rs
@@ -1,23 +1,22 @@
-//! Where zones lie and what the way between two of them costs: zones belong to regions, and
-//! a region is far from every other one.
+//! Zones, the regions that they belong to, and the network distances between them.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far apart two zones are; a smaller one is nearer.
+/// Network distance between two zones, ordered from near to far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Distance {
-    /// The same zone.
+    /// Both are the same zone.
     SameZone,
-    /// Another zone of the same region.
+    /// Different zones of the same region.
     SameRegion,
-    /// A zone of another region.
+    /// Zones of different regions.
     OtherRegion,
 }
 
 impl Distance {
-    /// Its name in logs and metrics.
+    /// Returns the value used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Distance::SameZone => "same_zone",
@@ -27,11 +26,11 @@
     }
 }
 
-/// Milliseconds of a round trip over each distance.
+/// Network round-trip time for each distance, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RoundTrips {
-    /// Inside a zone.
+    /// Within a zone.
     pub same_zone: f64,
     /// Between zones of a region.
     pub same_region: f64,
@@ -40,7 +39,7 @@
 }
 
 impl Default for RoundTrips {
-    /// What halls of one city and cities some hundred kilometres apart have between them.
+    /// Typical values for data centres in one city and for cities some hundred kilometres apart.
     fn default() -> Self {
         Self {
             same_zone: 0.4,
@@ -50,21 +49,21 @@
     }
 }
 
-/// What is wrong with a topology.
+/// Validation error of a topology.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TopologyError {
-    /// A zone names no region.
+    /// The named zone has no region.
     #[error("zone '{0}' has no region")]
     ZoneWithoutRegion(String),
-    /// The own zone is not among the zones.
-    #[error("the own zone '{0}' is not among the zones")]
+    /// The zone of this process is not declared.
+    #[error("the zone of this process, '{0}', is not among the declared zones")]
     UnknownOwnZone(String),
-    /// A round trip is negative, no number, or shorter than one over a smaller distance.
-    #[error("round trips must be 0 ms or more and grow with the distance")]
+    /// A round-trip time is negative, not a number, or shorter than one of a smaller distance.
+    #[error("round-trip times must be at least 0 ms and must not decrease with the distance")]
     RoundTrips,
 }
 
-/// The zones with their regions, seen from one of them.
+/// The zones with their regions, from the view of a process in one of them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Topology {
     own_zone: String,
@@ -73,11 +72,12 @@
 }
 
 impl Topology {
-    /// The topology as a process in `own_zone` sees it; `regions` names the region of each
-    /// zone. Without any zone all are taken to lie in one region.
+    /// Creates the topology for a process in `own_zone`. `regions` maps each zone to its region;
+    /// if it is empty, all zones count as one region.
     ///
     /// # Errors
-    /// Where a zone has no region, the own zone is unknown, or round trips make no sense.
+    /// [`TopologyError`] if a zone has no region, `own_zone` is not declared, or the round-trip
+    /// times are invalid.
     pub fn new(
         own_zone: &str,
         regions: BTreeMap<String, String>,
@@ -89,13 +89,13 @@
         if !regions.is_empty() && !regions.contains_key(own_zone) {
             return Err(TopologyError::UnknownOwnZone(own_zone.to_owned()));
         }
-        let times = [
+        let round_trip_times = [
             0.0,
             round_trips.same_zone,
             round_trips.same_region,
             round_trips.other_region,
         ];
-        if times.iter().any(|time| !time.is_finite()) || !times.is_sorted() {
+        if round_trip_times.iter().any(|time| !time.is_finite()) || !round_trip_times.is_sorted() {
             return Err(TopologyError::RoundTrips);
         }
         Ok(Self {
@@ -105,33 +105,33 @@
         })
     }
 
-    /// The zone of this process.
+    /// Returns the zone of this process.
     pub fn own_zone(&self) -> &str {
         &self.own_zone
     }
 
-    /// The region of this process; none where no region is known.
+    /// Returns the region of this process; none if it is unknown.
     pub fn own_region(&self) -> Option<&str> {
         self.region_of(&self.own_zone)
     }
 
-    /// The region of a zone; none where the zone is unknown.
+    /// Returns the region of a zone; none if the zone is unknown.
     pub fn region_of(&self, zone: &str) -> Option<&str> {
         self.regions.get(zone).map(String::as_str)
     }
 
-    /// The zones with their regions.
+    /// Returns the region of each zone, by zone.
     pub fn region_by_zone(&self) -> &BTreeMap<String, String> {
         &self.regions
     }
 
-    /// Names of the regions.
+    /// Returns the names of all regions.
     pub fn regions(&self) -> BTreeSet<&str> {
         self.regions.values().map(String::as_str).collect()
     }
 
-    /// How far apart two zones are. Zones whose region is not known count as zones of one
-    /// region, so that a deployment that names none has none between which it would choose.
+    /// Returns the distance between two zones. Zones with an unknown region count as zones of the
+    /// same region, so that a deployment without declared regions is one region.
     pub fn distance(&self, from: &str, to: &str) -> Distance {
         if from == to {
             return Distance::SameZone;
@@ -142,12 +142,12 @@
         }
     }
 
-    /// How far a zone is from this process.
+    /// Returns the distance from this process to a zone.
     pub fn distance_to(&self, zone: &str) -> Distance {
         self.distance(&self.own_zone, zone)
     }
 
-    /// Milliseconds of a round trip over a distance.
+    /// Returns the round-trip time for a distance, in milliseconds.
     pub fn round_trip_ms(&self, distance: Distance) -> f64 {
         match distance {
             Distance::SameZone => self.round_trips.same_zone,
@@ -157,19 +157,19 @@
     }
 }
 
-/// The regions that may serve a request; all where nothing restricts them.
+/// The regions that may process a request; all regions if there is no restriction.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionFilter {
     allowed: Option<BTreeSet<String>>,
 }
 
 impl RegionFilter {
-    /// All regions.
+    /// Creates a filter that allows all regions.
     pub fn any() -> Self {
         Self::default()
     }
 
-    /// The regions that both of two lists name; a list that is none names all.
+    /// Creates a filter that allows the regions in both lists; an absent list allows all regions.
     pub fn intersection(
         first: Option<&BTreeSet<String>>,
         second: Option<&BTreeSet<String>>,
@@ -181,13 +181,13 @@
         Self { allowed }
     }
 
-    /// Whether any region is left out.
+    /// Whether the filter excludes any region.
     pub fn is_restricted(&self) -> bool {
         self.allowed.is_some()
     }
 
-    /// Whether a region may serve; one that is not known may only where nothing is
-    /// restricted.
+    /// Whether `region` is allowed; an unknown region is allowed only if there is no
+    /// restriction.
     pub fn allows(&self, region: Option<&str>) -> bool {
         match (&self.allowed, region) {
             (None, _) => true,
--- a/crates/model/src/validation.rs
+++ b/crates/model/src/validation.rs
@@ -1,4 +1,4 @@
-//! Validation of a configuration: every error names the path of its field.
+//! Validation of a configuration. Each error has the path of the invalid field.
 
 use crate::codes::ResultCode;
 use crate::configuration::{Backend, Configuration, Pipeline, Stage, StageKind, Tenant};
@@ -9,19 +9,19 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Longest deadline that a pipeline may declare, in milliseconds.
+/// Maximum deadline of a pipeline, in milliseconds.
 pub const MAX_DEADLINE_MS: u64 = 600_000;
-/// Most stages of one pipeline.
+/// Maximum number of stages of a pipeline.
 pub const MAX_STAGES: usize = 16;
 
-/// One thing that is wrong with a configuration.
+/// A validation error of one field.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FieldError {
-    /// Numbered code.
+    /// Result code of the error.
     pub code: ResultCode,
     /// Path of the field, such as `pipelines.chat.stages[1].selector`.
     pub path: String,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
@@ -37,11 +37,11 @@
     }
 }
 
-/// All that is wrong with a configuration.
+/// All validation errors of a configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, thiserror::Error)]
 #[error("{}", .errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
 pub struct ValidationErrors {
-    /// The errors, in the order of the document.
+    /// Errors ordered by object kind, then by object name.
     pub errors: Vec<FieldError>,
 }
 
@@ -55,7 +55,10 @@
     }
 }
 
-/// Checks names, ranges, selectors and references of a whole configuration.
+/// Checks names, ranges, selectors and references of a complete configuration.
+///
+/// # Errors
+/// [`ValidationErrors`] with all errors found.
 pub fn validate_configuration(configuration: &Configuration) -> Result<(), ValidationErrors> {
     let mut errors = ValidationErrors::default();
     for backend in configuration.backends.values() {
@@ -84,7 +87,7 @@
         errors.add(
             ResultCode::InvalidName,
             format!("{path}.{name}.name"),
-            "a name takes 1 to 128 letters, digits, '-', '_' and '.'",
+            "a name must have 1 to 128 characters: letters, digits, '-', '_' and '.'",
         );
     }
 }
@@ -100,7 +103,10 @@
         errors.add(
             ResultCode::InvalidAddress,
             format!("{path}.address"),
-            format!("'{}' is not IP:PORT", backend.address),
+            format!(
+                "'{}' is not an address of the form IP:PORT",
+                backend.address
+            ),
         );
     }
     if backend.slots == 0 {
@@ -158,18 +164,18 @@
         errors.add(
             ResultCode::ValueOutOfRange,
             format!("{path}.stages"),
-            format!("must hold 1 to {MAX_STAGES} stages"),
+            format!("must have 1 to {MAX_STAGES} stages"),
         );
     }
     validate_selector(&pipeline.tenants, &format!("{path}.tenants"), errors);
-    let mut seen = BTreeSet::new();
+    let mut stage_names = BTreeSet::new();
     for (position, stage) in pipeline.stages.iter().enumerate() {
         let stage_path = format!("{path}.stages[{position}]");
-        if !seen.insert(&stage.name) {
+        if !stage_names.insert(&stage.name) {
             errors.add(
                 ResultCode::DuplicateName,
                 format!("{stage_path}.name"),
-                format!("stage '{}' stands twice", stage.name),
+                format!("stage '{}' is declared twice", stage.name),
             );
         }
         validate_stage(stage, &stage_path, configuration, errors);
@@ -186,7 +192,7 @@
         errors.add(
             ResultCode::InvalidName,
             format!("{path}.name"),
-            "a name takes 1 to 128 letters, digits, '-', '_' and '.'",
+            "a name must have 1 to 128 characters: letters, digits, '-', '_' and '.'",
         );
     }
     validate_selector(&stage.selector, &format!("{path}.selector"), errors);
@@ -194,7 +200,7 @@
         (None, StageKind::Generation) => errors.add(
             ResultCode::MissingField,
             format!("{path}.model"),
-            "a generation stage names its model",
+            "a generation stage must have a model",
         ),
         (Some(model), _) if !configuration.models.contains_key(model) => errors.add(
             ResultCode::UnknownReference,
@@ -219,7 +225,7 @@
             errors.add(
                 ResultCode::InvalidSelector,
                 format!("{requirement_path}.values"),
-                "'in' and 'not_in' take values, 'exists' and 'not_exists' take none",
+                "'in' and 'not_in' require values, 'exists' and 'not_exists' must have none",
             );
         }
     }
--- a/crates/model/tests/codes.rs
+++ b/crates/model/tests/codes.rs
@@ -1,10 +1,10 @@
-//! The table of result codes.
+//! The result codes and their documentation.
 
 use silversail_model::ResultCode;
 use std::collections::BTreeSet;
 
 #[test]
-fn the_documented_table_is_the_codes_table() {
+fn the_documentation_lists_exactly_the_result_codes() {
     let page = include_str!("../../../docs/RESULT_CODES.md");
     let documented: Vec<String> = page
         .lines()
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn numbers_and_reasons_are_unique() {
+fn result_code_numbers_and_reasons_are_unique() {
     let numbers: BTreeSet<u16> = ResultCode::ALL.iter().map(|code| code.number()).collect();
     let reasons: BTreeSet<&str> = ResultCode::ALL.iter().map(|code| code.reason()).collect();
     assert_eq!(numbers.len(), ResultCode::ALL.len());
--- a/crates/model/tests/fingerprint.rs
+++ b/crates/model/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Which requests count as the same request come again.
+//! Which requests count as repeated attempts of the same request.
 
 use rstest::rstest;
 use silversail_model::fingerprint::{ContentDigest, FingerprintError, RequestFingerprint};
@@ -20,8 +20,8 @@
 #[case::other_target(Some("t1"), "/a/2", b"body")]
 #[case::a_query(Some("t1"), "/a/1?x", b"body")]
 #[case::other_body(Some("t1"), "/a/1", b"body2")]
-#[case::the_same_bytes_divided_elsewhere(Some("t1"), "/a/1b", b"ody")]
-fn anything_else_is_another_request(
+#[case::target_and_body_split_differently(Some("t1"), "/a/1b", b"ody")]
+fn another_tenant_target_or_body_gives_another_fingerprint(
     #[case] tenant: Option<&str>,
     #[case] target: &str,
     #[case] body: &[u8],
@@ -31,9 +31,9 @@
 }
 
 #[test]
-fn a_fingerprint_reads_back_from_its_text() {
-    let one = fingerprint(Some("t1"), "/a/1", b"body");
-    assert_eq!(one.to_string().parse(), Ok(one));
+fn a_fingerprint_parses_from_its_text() {
+    let original = fingerprint(Some("t1"), "/a/1", b"body");
+    assert_eq!(original.to_string().parse(), Ok(original));
     for text in ["", "12", &"g".repeat(32), &"é".repeat(16)] {
         assert_eq!(text.parse::<RequestFingerprint>(), Err(FingerprintError));
     }
--- a/crates/model/tests/selectors.rs
+++ b/crates/model/tests/selectors.rs
@@ -1,4 +1,4 @@
-//! Selectors over labels.
+//! Matching of labels by selectors.
 
 use rstest::rstest;
 use silversail_model::{Labels, Operator, Requirement, Selector};
@@ -18,7 +18,7 @@
 #[case("rack", Operator::Exists, &[], false)]
 #[case("zone", Operator::NotExists, &[], false)]
 #[case("rack", Operator::NotExists, &[], true)]
-fn a_requirement_matches_as_its_operator_says(
+fn requirements_and_selectors_match_labels_by_operator(
     #[case] key: &str,
     #[case] operator: Operator,
     #[case] values: &[&str],
--- a/crates/model/tests/topology.rs
+++ b/crates/model/tests/topology.rs
@@ -1,4 +1,4 @@
-//! Zones, regions and the way between them.
+//! Distances between zones and filters of allowed regions.
 
 use rstest::rstest;
 use silversail_model::topology::{Distance, RegionFilter, RoundTrips, Topology, TopologyError};
@@ -14,7 +14,11 @@
 #[case("a1", "a2", Distance::SameRegion)]
 #[case("a1", "b1", Distance::OtherRegion)]
 #[case("a1", "unknown", Distance::SameRegion)]
-fn distances_follow_regions(#[case] from: &str, #[case] to: &str, #[case] expected: Distance) {
+fn distances_depend_on_zones_and_regions(
+    #[case] from: &str,
+    #[case] to: &str,
+    #[case] expected: Distance,
+) {
     let zones = regions(&[("a1", "a"), ("a2", "a"), ("b1", "b")]);
     let topology = Topology::new("a1", zones, RoundTrips::default()).expect("valid");
     assert_eq!(topology.distance(from, to), expected);
@@ -22,7 +26,7 @@
 }
 
 #[test]
-fn without_zones_all_is_one_region() {
+fn zones_without_declared_regions_are_in_one_region() {
     let topology = Topology::new("a1", BTreeMap::new(), RoundTrips::default()).expect("valid");
     assert_eq!(topology.distance_to("b1"), Distance::SameRegion);
     assert_eq!(topology.own_region(), None);
@@ -31,10 +35,7 @@
 #[rstest]
 #[case(&[("a1", "")], TopologyError::ZoneWithoutRegion("a1".into()))]
 #[case(&[("b1", "b")], TopologyError::UnknownOwnZone("a1".into()))]
-fn zones_that_make_no_sense_are_refused(
-    #[case] zones: &[(&str, &str)],
-    #[case] expected: TopologyError,
-) {
+fn invalid_zones_are_rejected(#[case] zones: &[(&str, &str)], #[case] expected: TopologyError) {
     let result = Topology::new("a1", regions(zones), RoundTrips::default());
     assert_eq!(result, Err(expected));
 }
@@ -43,11 +44,15 @@
 #[case(-1.0, 2.0, 40.0)]
 #[case(1.0, 0.5, 40.0)]
 #[case(1.0, 2.0, f64::NAN)]
-fn round_trips_grow_with_the_distance(#[case] zone: f64, #[case] region: f64, #[case] far: f64) {
+fn round_trip_times_must_not_decrease_with_the_distance(
+    #[case] same_zone: f64,
+    #[case] same_region: f64,
+    #[case] other_region: f64,
+) {
     let round_trips = RoundTrips {
-        same_zone: zone,
-        same_region: region,
-        other_region: far,
+        same_zone,
+        same_region,
+        other_region,
     };
     let result = Topology::new("a1", BTreeMap::new(), round_trips);
     assert_eq!(result, Err(TopologyError::RoundTrips));
@@ -59,16 +64,16 @@
 #[case(Some("a"), None, "b", false)]
 #[case(None, Some("b"), "b", true)]
 #[case(Some("a"), Some("b"), "a", false)]
-fn both_lists_of_regions_bind(
-    #[case] of_route: Option<&str>,
-    #[case] of_tenant: Option<&str>,
+fn a_region_must_be_allowed_by_route_and_tenant(
+    #[case] route_region: Option<&str>,
+    #[case] tenant_region: Option<&str>,
     #[case] region: &str,
     #[case] expected: bool,
 ) {
-    let list = |name: Option<&str>| name.map(|one| [one.to_owned()].into());
-    let (first, second) = (list(of_route), list(of_tenant));
-    let filter = RegionFilter::intersection(first.as_ref(), second.as_ref());
+    let list = |name: Option<&str>| name.map(|region| [region.to_owned()].into());
+    let (route_list, tenant_list) = (list(route_region), list(tenant_region));
+    let filter = RegionFilter::intersection(route_list.as_ref(), tenant_list.as_ref());
     assert_eq!(filter.allows(Some(region)), expected);
-    let is_open = of_route.is_none() && of_tenant.is_none();
-    assert_eq!(filter.allows(None), is_open);
+    let is_unrestricted = route_region.is_none() && tenant_region.is_none();
+    assert_eq!(filter.allows(None), is_unrestricted);
 }
