--- a/crates/model/src/topology.rs
+++ b/crates/model/src/topology.rs
@@ -176,7 +176,7 @@
     ) -> Self {
         let allowed = match (first, second) {
             (Some(first), Some(second)) => Some(first.intersection(second).cloned().collect()),
-            (one, other) => one.or(other).cloned(),
+            (first, second) => first.or(second).cloned(),
         };
         Self { allowed }
     }
--- a/crates/model/src/traffic.rs
+++ b/crates/model/src/traffic.rs
@@ -176,7 +176,7 @@
     Sha256::digest(key.as_bytes()).into()
 }
 
-/// A whole published configuration.
+/// A complete traffic configuration, as published by the operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TrafficConfiguration {
     /// Its version.
--- a/crates/peer/src/backend_list_update.rs
+++ b/crates/peer/src/backend_list_update.rs
@@ -72,17 +72,17 @@
         self.compressed.len()
     }
 
-    /// Applies the update to the receiver's list `held`.
+    /// Applies the update to the receiver's `current` list.
     ///
     /// # Errors
-    /// [`BackendListUpdateError`] if `held` is not the base, or if the update is corrupt.
+    /// [`BackendListUpdateError`] if `current` is not the base, or if the update is corrupt.
     pub fn applied_to(
         &self,
-        held: Option<&BackendList>,
+        current: Option<&BackendList>,
     ) -> Result<BackendList, BackendListUpdateError> {
-        let mut entries = match (self.base, held) {
+        let mut entries = match (self.base, current) {
             (None, _) => BackendListEntries::default(),
-            (Some(base), Some(held)) if held.version == base => held.entries.clone(),
+            (Some(base), Some(current)) if current.version == base => current.entries.clone(),
             (Some(base), _) => return Err(BackendListUpdateError::BaseMismatch(base)),
         };
         let encoded =
@@ -145,23 +145,23 @@
         });
     }
 
-    /// Update for a receiver that has version `held`: incremental if the changes since that
+    /// Update for a receiver that has version `current`: incremental if the changes since that
     /// version are recorded, else the full list. None if the receiver is up to date.
-    pub fn since(&mut self, held: Option<BackendListVersion>) -> Option<BackendListUpdate> {
+    pub fn since(&mut self, current: Option<BackendListVersion>) -> Option<BackendListUpdate> {
         let newest = self.newest.as_ref()?;
-        if held == Some(newest.version) {
+        if current == Some(newest.version) {
             return None;
         }
         let position = self
             .changes
             .iter()
-            .position(|change| Some(change.from) == held);
-        let key = held.filter(|_| position.is_some());
+            .position(|change| Some(change.from) == current);
+        let key = current.filter(|_| position.is_some());
         if let Some(update) = self.cached_updates.get(&key) {
             return Some(update.clone());
         }
         let update = match position {
-            Some(first) => incremental_update(held, newest, self.changes.range(first..)),
+            Some(first) => incremental_update(current, newest, self.changes.range(first..)),
             None => BackendListUpdate::full(newest),
         };
         self.cached_updates.insert(key, update.clone());
--- a/crates/peer/tests/backend_list_updates.rs
+++ b/crates/peer/tests/backend_list_updates.rs
@@ -56,12 +56,12 @@
 fn an_incremental_update_leads_from_each_recorded_version_to_the_newest() {
     let lists = three_lists();
     let mut history = history_of(&lists);
-    for held in &lists[..2] {
+    for current in &lists[..2] {
         let update = history
-            .since(Some(held.version))
+            .since(Some(current.version))
             .expect("an incremental update");
-        assert_eq!(update.base, Some(held.version));
-        assert_eq!(update.applied_to(Some(held)), Ok((*lists[2]).clone()));
+        assert_eq!(update.base, Some(current.version));
+        assert_eq!(update.applied_to(Some(current)), Ok((*lists[2]).clone()));
     }
     assert_eq!(history.since(Some(version(3))), None);
 }
@@ -70,8 +70,8 @@
 fn a_receiver_with_an_unknown_version_gets_the_full_list() {
     let lists = three_lists();
     let mut history = history_of(&lists);
-    for held in [None, Some(version(9))] {
-        let update = history.since(held).expect("a full update");
+    for current in [None, Some(version(9))] {
+        let update = history.since(current).expect("a full update");
         assert_eq!(update.base, None);
         assert_eq!(update.applied_to(None), Ok((*lists[2]).clone()));
         assert_eq!(update.applied_to(Some(&lists[0])), Ok((*lists[2]).clone()));
@@ -97,11 +97,11 @@
     let lists = three_lists();
     let order = [lists[0].clone(), lists[2].clone(), lists[1].clone()];
     let mut history = history_of(&order);
-    for held in [&lists[0], &lists[2]] {
+    for current in [&lists[0], &lists[2]] {
         let update = history
-            .since(Some(held.version))
+            .since(Some(current.version))
             .expect("an incremental update");
-        assert_eq!(update.applied_to(Some(held)), Ok((*lists[1]).clone()));
+        assert_eq!(update.applied_to(Some(current)), Ok((*lists[1]).clone()));
     }
 }
 
