--- a/crates/daemon/src/gateway/placing.rs
+++ b/crates/daemon/src/gateway/placing.rs
@@ -8,7 +8,7 @@
 use silversail_decisions::Event as LogEvent;
 use silversail_model::topology::RegionFilter;
 use silversail_model::{Distance, NodeName, Shard};
-use silversail_peer::{PhaseWork, ResultHandle, ShardWaits, WorkId, WorkMessage};
+use silversail_peer::{PhaseWork, ResultHandle, ShardWaitEstimates, WorkId, WorkMessage};
 use silversail_serving::waits::OrderToPlace;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -81,7 +81,7 @@
         let shard = placed.map_or(&phase.shard, |(shard, _)| shard);
         let topology = &self.setup.topology;
         let own_zone = topology.own_zone();
-        let distance = (!shard.is_whole()).then(|| shard.distance(own_zone, topology));
+        let distance = (!shard.is_whole_service()).then(|| shard.distance(own_zone, topology));
         self.setup.log.record(LogEvent::PhaseSubmitted {
             request: request.to_owned(),
             phase: phase.pieces.first().map_or(0, |piece| piece.phase),
@@ -153,28 +153,29 @@
         let maker = self.dispatcher.instances.holder(handle);
         let zone = maker.map_or("", |maker| maker.listed.zone.as_str());
         let mut shards = self.owners.iter();
-        let made_it =
-            |(shard, _): &(&Shard, &NodeName)| shard.service == service && shard.holds(zone);
+        let made_it = |(shard, _): &(&Shard, &NodeName)| {
+            shard.service == service && shard.contains_zone(zone)
+        };
         shards.find(made_it).map(|(_, owner)| owner)
     }
 
     /// How long the shards of a service take now: this node's, as of now, and what the
     /// others last told.
-    pub(super) fn waits_of(&mut self, shard: &Shard, now: Millis) -> Vec<ShardWaits> {
+    pub(super) fn waits_of(&mut self, shard: &Shard, now: Millis) -> Vec<ShardWaitEstimates> {
         let known = self.own_waits.get(shard);
         let known = known.filter(|(_, at)| now.saturating_sub(*at) < WAITS_KEPT_FOR);
         let own = match known {
             Some((waits, _)) => waits.clone(),
             None => self.look_at_waits(shard, now),
         };
-        if shard.is_whole() {
+        if shard.is_whole_service() {
             return vec![own];
         }
         self.dispatcher.waits().of_service(&shard.service, now)
     }
 
     /// Computes how long a shard of this node takes now.
-    fn look_at_waits(&mut self, shard: &Shard, now: Millis) -> ShardWaits {
+    fn look_at_waits(&mut self, shard: &Shard, now: Millis) -> ShardWaitEstimates {
         let table = &self.dispatcher.instances;
         let waits = self.batcher.waits(shard, table, now);
         self.own_waits.insert(shard.clone(), (waits.clone(), now));
@@ -197,7 +198,7 @@
             let waits = self.look_at_waits(&shard, now);
             for other in others {
                 if tells_far || !self.is_far(&other) {
-                    self.send_work(&other, WorkMessage::Waits(vec![waits.clone()]));
+                    self.send_work(&other, WorkMessage::WaitEstimates(vec![waits.clone()]));
                 }
             }
         }
@@ -212,8 +213,9 @@
     /// The parts of services that this node batches, each with the nodes that batch the others
     /// of its service.
     fn own_shards(&self) -> Vec<(Shard, BTreeSet<NodeName>)> {
-        let is_own =
-            |(shard, owner): &(&Shard, &NodeName)| **owner == self.node && !shard.is_whole();
+        let is_own = |(shard, owner): &(&Shard, &NodeName)| {
+            **owner == self.node && !shard.is_whole_service()
+        };
         let own = self.owners.iter().filter(is_own).map(|(shard, _)| shard);
         let others_of = |service: &str| {
             let of_service = self.owners.iter().filter(|(one, _)| one.service == service);
--- a/crates/daemon/tests/allowed_places.rs
+++ b/crates/daemon/tests/allowed_places.rs
@@ -6,7 +6,7 @@
 use silversail_decisions::DecisionLog;
 use silversail_model::topology::RegionFilter;
 use silversail_model::{NodeName, Shard, Topology};
-use silversail_peer::ListedInstance;
+use silversail_peer::BackendListEntry;
 use silversail_serving::instances::InstanceTable;
 
 /// Zones `n1`, `s1` and `e1` of regions `north`, `south` and `east`.
@@ -36,7 +36,7 @@
 
 fn only(regions: &[&str]) -> RegionFilter {
     let allowed = regions.iter().map(|region| (*region).to_owned()).collect();
-    RegionFilter::of_both(Some(&allowed), None)
+    RegionFilter::intersection(Some(&allowed), None)
 }
 
 /// A request that came to the node in `n1`, and may be served in the south.
@@ -78,8 +78,8 @@
 #[case::allowed(&["south"], true)]
 #[case::none_there(&["east"], false)]
 fn a_shard_without_allowed_makers_is_not_staffed(#[case] regions: &[&str], #[case] expected: bool) {
-    let mut instances = InstanceTable::new(DecisionLog::off());
-    let listed = ["n1", "s1"].map(|zone| ListedInstance {
+    let mut instances = InstanceTable::new(DecisionLog::disabled());
+    let listed = ["n1", "s1"].map(|zone| BackendListEntry {
         version: "v1".to_owned(),
         id: format!("maker-{zone}"),
         name: format!("maker-{zone}"),
@@ -89,7 +89,7 @@
         slots: 1,
         draining: false,
         cold: false,
-        born: None,
+        started_at_ms: None,
     });
     instances.replace_list(&listed);
     let (topology, view) = (topology("n1"), view());
@@ -100,6 +100,9 @@
         own: &own,
         regions: &regions,
     };
-    assert_eq!(places.has_makers(&Shard::whole("s"), &instances), expected);
+    assert_eq!(
+        places.has_makers(&Shard::whole_service("s"), &instances),
+        expected
+    );
     assert!(!places.has_makers(&Shard::in_zone("s", "n1"), &instances));
 }
--- a/crates/decisions/src/event_class.rs
+++ b/crates/decisions/src/event_class.rs
@@ -1,42 +1,42 @@
-//! How important events are, and what they are about.
+//! Classification of events by importance and by request.
 
 use crate::event::Event;
 
-/// How important an event is when not all can be kept.
+/// Importance of an event when the log has to drop some; later variants are kept longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EventClass {
-    /// A step of a request that goes well; sampled under load.
-    Step,
-    /// A refusal, failure or retry of a request.
-    Failure,
-    /// A change of what the process believes, or of its life.
-    Belief,
+    /// Regular progress of a request; sampled under load.
+    RequestStep,
+    /// Rejection, failure or retry of a request.
+    RequestFailure,
+    /// Change of the process's state or of its knowledge of the cluster.
+    StateChange,
 }
 
 impl Event {
-    /// How important the event is.
+    /// Class by which the log decides what to drop first.
     pub fn class(&self) -> EventClass {
         match self {
             Event::Admitted { .. }
             | Event::PhaseSubmitted { .. }
             | Event::Sent { .. }
             | Event::BatchSent { .. }
-            | Event::BatchEnded { .. } => EventClass::Step,
-            Event::PhaseDone { outcome, .. } if outcome == "made" => EventClass::Step,
+            | Event::BatchEnded { .. } => EventClass::RequestStep,
+            Event::PhaseDone { outcome, .. } if outcome == "made" => EventClass::RequestStep,
             Event::Answered { end, status, .. } if end == "whole" && *status < 400 => {
-                EventClass::Step
+                EventClass::RequestStep
             }
             Event::Refused { .. }
             | Event::WaitsForRest { .. }
             | Event::PhaseDone { .. }
             | Event::SendFailed { .. }
             | Event::Answered { .. }
-            | Event::CallerGone { .. } => EventClass::Failure,
-            _ => EventClass::Belief,
+            | Event::CallerGone { .. } => EventClass::RequestFailure,
+            _ => EventClass::StateChange,
         }
     }
 
-    /// The request that the event is about, where it is about one.
+    /// Identifier of the request that the event belongs to, if it belongs to one.
     pub fn request(&self) -> Option<&str> {
         match self {
             Event::Admitted { request, .. }
--- a/crates/decisions/tests/explain.rs
+++ b/crates/decisions/tests/explain.rs
@@ -1,12 +1,12 @@
-//! Explaining a lost request from the lines of several processes.
+//! Reconstructing the history of a failed request from the logs of several processes.
 
 use rstest::rstest;
-use silversail_decisions::explain::{describe, Lines};
-use silversail_decisions::writer::Line;
+use silversail_decisions::explain::{format_line, LogLines};
+use silversail_decisions::writer::LogLine;
 use silversail_decisions::Event;
 
 fn line(at_ms: u64, node: &str, event: Event) -> String {
-    let line = Line {
+    let line = LogLine {
         at_ms,
         node: node.into(),
         event,
@@ -33,7 +33,10 @@
         pieces: 2,
         waiting: 9,
         room_taken: 10,
-        requests: requests.iter().map(|one| (*one).to_owned()).collect(),
+        requests: requests
+            .iter()
+            .map(|request| (*request).to_owned())
+            .collect(),
     }
 }
 
@@ -71,9 +74,10 @@
     }
 }
 
-/// The caller's node and the batching node, whose lines a collector marked.
-fn logs() -> Lines {
-    let mut lines = Lines::default();
+/// Logs of the node that admitted the requests and of the batching node, whose line has a log
+/// collector's prefix.
+fn logs() -> LogLines {
+    let mut lines = LogLines::default();
     let caller = [
         line(1_000, "n1", admitted("r1")),
         line(1_310, "n1", phase_done("r1", "Failed")),
@@ -82,14 +86,14 @@
         line(1_450, "n1", send_failed("r2", "retry")),
         line(1_460, "n1", send_failed("r2", "give_up")),
     ];
-    let marked = line(1_010, "n2", batch(&["r1", "r9"]));
-    lines.read(&format!("   1.01 n2 {marked}not a decision\n"));
+    let prefixed = line(1_010, "n2", batch(&["r1", "r9"]));
+    lines.read(&format!("   1.01 n2 {prefixed}not a decision\n"));
     lines.read(&caller.concat());
     lines
 }
 
 #[test]
-fn the_path_is_told_over_processes_in_order() {
+fn request_history_merges_the_processes_by_time() {
     let lines = logs();
     let explanation = lines.request("r1");
     let nodes: Vec<&str> = explanation
@@ -98,7 +102,7 @@
         .map(|line| line.node.as_str())
         .collect();
     assert_eq!(nodes, ["n1", "n2", "n1", "n1"]);
-    let text = describe(explanation.path[1], 1_000);
+    let text = format_line(explanation.path[1], 1_000);
     assert!(
         text.contains("10 ms") && text.contains("batch_sent"),
         "{text}"
@@ -110,21 +114,21 @@
 #[case("r1", Some(1_310), true, true)]
 #[case("r2", Some(1_460), true, false)]
 #[case("r9", None, false, false)]
-fn the_first_decision_that_lost_a_request_is_named(
+fn the_first_failing_decision_of_a_request_is_reported(
     #[case] request: &str,
-    #[case] lost_at: Option<u64>,
+    #[case] failed_at: Option<u64>,
     #[case] has_arrival: bool,
     #[case] has_end: bool,
 ) {
     let lines = logs();
     let explanation = lines.request(request);
-    assert_eq!(explanation.lost_by.map(|line| line.at_ms), lost_at);
+    assert_eq!(explanation.failed_by.map(|line| line.at_ms), failed_at);
     assert_eq!(explanation.has_arrival, has_arrival);
     assert_eq!(explanation.has_end, has_end);
 }
 
 #[test]
-fn a_request_that_is_served_in_the_end_is_lost_by_nothing() {
+fn a_request_that_succeeds_after_a_retry_has_no_failing_decision() {
     let mut lines = logs();
     let answered = Event::Answered {
         request: "r2".into(),
@@ -135,11 +139,11 @@
         end: "whole".into(),
     };
     lines.read(&line(1_490, "n1", answered));
-    assert_eq!(lines.request("r2").lost_by, None);
+    assert_eq!(lines.request("r2").failed_by, None);
 }
 
 #[test]
-fn gaps_are_told() {
+fn dropped_and_unreadable_lines_are_counted() {
     let mut lines = logs();
     let dropped = Event::Dropped {
         steps: 5,
@@ -152,7 +156,7 @@
 }
 
 #[test]
-fn beliefs_are_found_by_their_subject() {
+fn state_changes_are_found_by_the_name_of_their_subject() {
     let mut lines = logs();
     let suspect = Event::Backend {
         backend: "e1".into(),
@@ -162,14 +166,14 @@
         source: "broken".into(),
     };
     lines.read(&line(1_451, "n1", suspect));
-    assert_eq!(lines.belief("e1").len(), 1);
-    assert_eq!(lines.belief("e2").len(), 0);
-    assert_eq!(lines.lost().len(), 3);
+    assert_eq!(lines.state_changes("e1").len(), 1);
+    assert_eq!(lines.state_changes("e2").len(), 0);
+    assert_eq!(lines.failed_requests().len(), 3);
 }
 
-/// Every kind of event reads back as it was written, and docs name each.
+/// Guards against events and fields that are missing from the operators' documentation.
 #[test]
-fn the_operators_page_names_each_event_and_its_inputs() {
+fn the_decision_log_page_documents_each_event_and_field() {
     let page = include_str!("../../../docs/DECISION_LOG.md");
     let source = include_str!("../src/event.rs");
     let mut event = String::new();
@@ -200,7 +204,7 @@
 
 fn is_field(name: &str) -> bool {
     let mut characters = name.chars();
-    characters.all(|one| one.is_ascii_lowercase() || one == '_')
+    characters.all(|character| character.is_ascii_lowercase() || character == '_')
 }
 
 fn snake_case(name: &str) -> String {
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,12 +1,12 @@
-//! The vocabulary shared by every package: identifiers, labels and selectors,
-//! the configuration with its validation, and the numbered result codes.
+//! Data types shared by all packages: identifiers, labels and selectors, the
+//! configuration with its validation, the topology, and the numbered result codes.
 
 pub mod codes;
 pub mod configuration;
 pub mod fingerprint;
 pub mod identifiers;
 pub mod rate;
-pub mod rest;
+pub mod retry_after;
 pub mod selector;
 pub mod shard;
 pub mod topology;
@@ -20,10 +20,10 @@
 };
 pub use fingerprint::{ContentDigest, RequestFingerprint};
 pub use identifiers::{BackendName, ChangeId, NodeName, PipelineName, StageName, TenantName};
-pub use rate::{NamedLimit, RequestRate};
-pub use rest::RequestedRest;
+pub use rate::{AdvertisedRateLimit, RequestRate};
+pub use retry_after::RetryAfter;
 pub use selector::{Labels, Operator, Requirement, Selector};
-pub use shard::{Shard, ShardPlace};
+pub use shard::{Shard, ShardScope};
 pub use topology::{Distance, Topology};
 pub use traffic::{TrafficConfiguration, TrafficVersion};
 pub use validation::{FieldError, ValidationErrors};
--- a/crates/model/src/shard.rs
+++ b/crates/model/src/shard.rs
@@ -1,108 +1,110 @@
-//! Which back ends of a batched service one node fills: all of them, or those of one zone or
-//! of one region where a service has more than one node can serve.
+//! Shards of a batched service. A service with more back ends than one node can batch for is
+//! divided by zone or region.
 
 use crate::topology::{Distance, Topology};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A part of the back ends of a batched service.
+/// The back ends of a batched service for which one node forms the batches.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Shard {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Where the back ends are.
-    pub place: ShardPlace,
+    /// Location of the back ends.
+    pub scope: ShardScope,
 }
 
-/// Where the back ends of a shard are.
+/// Location of the back ends of a shard.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum ShardPlace {
-    /// Everywhere: all back ends of the service.
+pub enum ShardScope {
+    /// All zones: the service is not divided.
     All,
-    /// In one zone.
+    /// One zone.
     Zone(String),
-    /// In the zones of one region.
+    /// All zones of one region.
     Region {
-        /// The region.
+        /// Name of the region.
         name: String,
-        /// Its zones, in order.
+        /// Zones of the region, sorted by name.
         zones: Vec<String>,
     },
 }
 
 impl Shard {
-    /// All back ends of a service.
-    pub fn whole(service: &str) -> Self {
+    /// Creates a shard with all back ends of a service.
+    pub fn whole_service(service: &str) -> Self {
         Self {
             service: service.to_owned(),
-            place: ShardPlace::All,
+            scope: ShardScope::All,
         }
     }
 
-    /// The back ends of a service in a zone.
+    /// Creates a shard with the back ends of a service in one zone.
     pub fn in_zone(service: &str, zone: &str) -> Self {
         Self {
             service: service.to_owned(),
-            place: ShardPlace::Zone(zone.to_owned()),
+            scope: ShardScope::Zone(zone.to_owned()),
         }
     }
 
-    /// The back ends of a service in the region of a zone; those in the zone where its region
-    /// is not known.
+    /// Creates a shard with the back ends of a service in the region of `zone`, or in `zone` alone
+    /// if its region is unknown.
     pub fn in_region_of(service: &str, zone: &str, topology: &Topology) -> Self {
         let Some(region) = topology.region_of(zone) else {
             return Self::in_zone(service, zone);
         };
-        let zones = topology.regions_of_zones().iter();
-        let of_region = zones.filter(|(_, one)| one.as_str() == region);
+        let zones = topology.region_by_zone().iter();
+        let zones_of_region = zones.filter(|(_, zone_region)| zone_region.as_str() == region);
         Self {
             service: service.to_owned(),
-            place: ShardPlace::Region {
+            scope: ShardScope::Region {
                 name: region.to_owned(),
-                zones: of_region.map(|(zone, _)| zone.clone()).collect(),
+                zones: zones_of_region.map(|(zone, _)| zone.clone()).collect(),
             },
         }
     }
 
-    /// Whether it is all of the service, so that there is no other shard of it.
-    pub fn is_whole(&self) -> bool {
-        self.place == ShardPlace::All
+    /// Whether the shard has all back ends of the service.
+    pub fn is_whole_service(&self) -> bool {
+        self.scope == ShardScope::All
     }
 
-    /// A zone of it, which tells its region; none for a whole service.
-    pub fn one_zone(&self) -> Option<&str> {
-        match &self.place {
-            ShardPlace::All => None,
-            ShardPlace::Zone(zone) => Some(zone),
-            ShardPlace::Region { zones, .. } => zones.first().map(String::as_str),
+    /// One zone of the shard, from which its region follows; none for a whole service.
+    pub fn representative_zone(&self) -> Option<&str> {
+        match &self.scope {
+            ShardScope::All => None,
+            ShardScope::Zone(zone) => Some(zone),
+            ShardScope::Region { zones, .. } => zones.first().map(String::as_str),
         }
     }
 
-    /// Whether all its back ends are in the same zone.
-    pub fn is_of_one_zone(&self) -> bool {
-        match &self.place {
-            ShardPlace::All => false,
-            ShardPlace::Zone(_) => true,
-            ShardPlace::Region { zones, .. } => zones.len() < 2,
+    /// Whether all back ends of the shard are in the same zone.
+    pub fn is_single_zone(&self) -> bool {
+        match &self.scope {
+            ShardScope::All => false,
+            ShardScope::Zone(_) => true,
+            ShardScope::Region { zones, .. } => zones.len() < 2,
         }
     }
 
-    /// Whether a back end in `zone` belongs to it.
-    pub fn holds(&self, zone: &str) -> bool {
-        match &self.place {
-            ShardPlace::All => true,
-            ShardPlace::Zone(own) => own == zone,
-            ShardPlace::Region { zones, .. } => zones.iter().any(|own| own == zone),
+    /// Whether back ends in `zone` belong to the shard.
+    pub fn contains_zone(&self, zone: &str) -> bool {
+        match &self.scope {
+            ShardScope::All => true,
+            ShardScope::Zone(shard_zone) => shard_zone == zone,
+            ShardScope::Region { zones, .. } => zones.iter().any(|shard_zone| shard_zone == zone),
         }
     }
 
-    /// How far the nearest zone of it is from `zone`.
+    /// Distance from `zone` to the nearest zone of the shard.
     pub fn distance(&self, zone: &str, topology: &Topology) -> Distance {
-        match &self.place {
-            ShardPlace::All => Distance::SameZone,
-            ShardPlace::Zone(own) => topology.distance(zone, own),
-            ShardPlace::Region { zones, .. } => {
-                let distances = zones.iter().map(|own| topology.distance(zone, own));
+        match &self.scope {
+            ShardScope::All => Distance::SameZone,
+            ShardScope::Zone(shard_zone) => topology.distance(zone, shard_zone),
+            ShardScope::Region { zones, .. } => {
+                let distances = zones
+                    .iter()
+                    .map(|shard_zone| topology.distance(zone, shard_zone));
                 distances.min().unwrap_or(Distance::OtherRegion)
             }
         }
@@ -111,10 +113,10 @@
 
 impl fmt::Display for Shard {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match &self.place {
-            ShardPlace::All => formatter.write_str(&self.service),
-            ShardPlace::Zone(place) | ShardPlace::Region { name: place, .. } => {
-                write!(formatter, "{}@{place}", self.service)
+        match &self.scope {
+            ShardScope::All => formatter.write_str(&self.service),
+            ShardScope::Zone(location) | ShardScope::Region { name: location, .. } => {
+                write!(formatter, "{}@{location}", self.service)
             }
         }
     }
--- a/crates/peer/src/kind.rs
+++ b/crates/peer/src/kind.rs
@@ -1,4 +1,4 @@
-//! Names of the kinds of messages, under which they are counted.
+//! Message kinds, used as labels of the message metrics.
 
 use crate::discovery::DiscoveryMessage;
 use crate::message::{GroupMessage, PeerMessage, SessionMessage};
@@ -6,7 +6,7 @@
 use silversail_limits::LimitMessage;
 
 impl PeerMessage {
-    /// Name of the message's kind.
+    /// Label of the message's kind in metrics; several message types share one kind.
     pub fn kind(&self) -> &'static str {
         match self {
             PeerMessage::Group { message, .. } => message.kind(),
@@ -33,7 +33,7 @@
 impl DiscoveryMessage {
     fn kind(&self) -> &'static str {
         match self {
-            DiscoveryMessage::Hello { .. } | DiscoveryMessage::Known { .. } => "discovery",
+            DiscoveryMessage::Hello { .. } | DiscoveryMessage::HelloReply { .. } => "discovery",
             DiscoveryMessage::Probe | DiscoveryMessage::ProbeReply => "probe",
         }
     }
@@ -44,12 +44,14 @@
         match self {
             SessionMessage::Heartbeat(_) => "heartbeat",
             SessionMessage::Reply(_) => "heartbeat_reply",
-            SessionMessage::Push(_)
+            SessionMessage::PushConfiguration(_)
             | SessionMessage::PushTraffic(_)
             | SessionMessage::PushEvacuations(_)
             | SessionMessage::PushRollouts(_) => "configuration",
             SessionMessage::PushQuarantine(_) => "quarantine",
-            SessionMessage::Listing(_) | SessionMessage::ListingConfirmed(_) => "backend_list",
+            SessionMessage::BackendList(_) | SessionMessage::BackendListConfirmed(_) => {
+                "backend_list"
+            }
             SessionMessage::Reports { .. } => "reports",
             SessionMessage::View(_) => "view",
             SessionMessage::PushView(_) => "pushed_view",
@@ -64,7 +66,7 @@
             WorkMessage::Announce { .. } => "work_announce",
             WorkMessage::Accepted { .. } => "work_accepted",
             WorkMessage::Done { .. } => "work_done",
-            WorkMessage::Waits(_) => "work_waits",
+            WorkMessage::WaitEstimates(_) => "work_waits",
             WorkMessage::InputsRead { .. } => "work_inputs_read",
             WorkMessage::Cancel { .. } => "work_cancel",
             WorkMessage::Release { .. } => "work_release",
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,27 +1,27 @@
-//! Messages between silversail processes and their transport.
+//! Messages between silversail processes, and the transport that carries them.
 
+pub mod backend_list;
+mod backend_list_entries;
+pub mod backend_list_update;
+pub mod connection_monitor;
 pub mod discovery;
 pub mod errors;
 mod kind;
-pub mod link;
-mod listed_instances;
-pub mod listing;
-pub mod listing_update;
 pub mod message;
 pub mod transport;
 pub mod work;
 
-pub use discovery::{Contact, ContactsHeld, DiscoveryMessage, HeardContact};
+pub use backend_list::{BackendList, BackendListEntry, BackendListVersion, SharedBackendList};
+pub use backend_list_entries::{BackendListEntries, EntryChange};
+pub use backend_list_update::{BackendListHistory, BackendListUpdate, BackendListUpdateError};
+pub use discovery::{Contact, ContactWithAge, ContactsVersion, DiscoveryMessage};
 pub use errors::PeerError;
-pub use listed_instances::{ListChange, ListedInstances};
-pub use listing::{ListedInstance, Listing, ListingVersion, SharedListing};
-pub use listing_update::{ListingUpdate, ListingUpdateError, ListingUpdates};
 pub use message::{
-    Envelope, FormationMessage, GroupId, GroupMessage, PeerMessage, ProposeResult,
+    Envelope, FormationMessage, GroupId, GroupMessage, PeerMessage, ProposalResult,
     SessionHeartbeat, SessionMessage, SessionReply,
 };
 pub use transport::{decode, encode, NngTransport, SendResult, Transport};
 pub use work::{
-    PhaseWork, Piece, PieceFailure, PieceSource, ResultHandle, ShardWaits, WorkId, WorkMessage,
-    RANKS,
+    PhaseWork, Piece, PieceFailure, PieceSource, ResultHandle, ShardWaitEstimates, WorkId,
+    WorkMessage, PRIORITY_LEVELS,
 };
--- a/crates/serving/examples/batch_cost.rs
+++ b/crates/serving/examples/batch_cost.rs
@@ -14,7 +14,7 @@
 use silversail_serving::batcher::{AnnouncedOrder, Batcher, CallOutcome, OrderKey};
 use silversail_serving::instances::InstanceTable;
 use silversail_serving::policy::Policy;
-use silversail_serving::ports::ListedInstance;
+use silversail_serving::ports::BackendListEntry;
 use std::collections::VecDeque;
 use std::time::Instant;
 
@@ -37,20 +37,20 @@
         result_bytes: 60_000,
     };
     PhaseWork {
-        shard: Shard::whole("service"),
+        shard: Shard::whole_service("service"),
         pieces: (0..8).map(piece).collect(),
         fingerprint: RequestFingerprint::default(),
         priority: (work % 3) as u8,
         zone: String::new(),
         moved_bytes: 0,
         regions: RegionFilter::any(),
-        wanted_in_ms: 60_000,
+        target_remaining_ms: 60_000,
         remaining_ms: 60_000_000,
     }
 }
 
-fn maker(number: usize) -> ListedInstance {
-    ListedInstance {
+fn maker(number: usize) -> BackendListEntry {
+    BackendListEntry {
         id: format!("maker-{number}"),
         name: format!("maker-{number}"),
         service: "service".into(),
@@ -60,7 +60,7 @@
         slots: 1,
         draining: false,
         cold: false,
-        born: None,
+        started_at_ms: None,
     }
 }
 
@@ -75,10 +75,10 @@
         result_lifetime_ms: 4_000,
     };
     for waiting in [1, 100, 1_000] {
-        let mut table = InstanceTable::new(DecisionLog::off());
+        let mut table = InstanceTable::new(DecisionLog::disabled());
         let listed = (0..MAKERS).map(maker);
         table.replace_list(&listed.collect::<Vec<_>>());
-        let mut batcher = Batcher::new(Policy::default(), DecisionLog::off());
+        let mut batcher = Batcher::new(Policy::default(), DecisionLog::disabled());
         batcher.set_specs([("service".to_owned(), spec.clone())].into());
         // All makers are at work, and so many orders wait.
         for work in 0..(MAKERS as u64 * 5 + waiting) {
@@ -88,7 +88,7 @@
             batcher.next_calls(&table, 0);
         }
         let announced = AnnouncedOrder {
-            shard: Shard::whole("service"),
+            shard: Shard::whole_service("service"),
             pieces: 8,
             priority: 1,
         };
@@ -98,7 +98,7 @@
         let began = Instant::now();
         for message in 0..MESSAGES {
             let work = 1 << 30 | message;
-            batcher.waits(&Shard::whole("service"), &table, 1);
+            batcher.waits(&Shard::whole_service("service"), &table, 1);
             batcher
                 .submit(key(work), order(work), &table, 1)
                 .expect("taken");
@@ -115,13 +115,13 @@
 
 /// Orders of one zone's shard of a service with six zones, as many a second as makers end calls.
 fn with_idle_makers(in_zone: usize, spec: &BatchSpec) {
-    let mut table = InstanceTable::new(DecisionLog::off());
-    let listed = (0..6 * in_zone).map(|number| ListedInstance {
+    let mut table = InstanceTable::new(DecisionLog::disabled());
+    let listed = (0..6 * in_zone).map(|number| BackendListEntry {
         zone: format!("zone-{}", number % 6),
         ..maker(number)
     });
     table.replace_list(&listed.collect::<Vec<_>>());
-    let mut batcher = Batcher::new(Policy::default(), DecisionLog::off());
+    let mut batcher = Batcher::new(Policy::default(), DecisionLog::disabled());
     batcher.set_specs([("service".to_owned(), spec.clone())].into());
     let shard = Shard::in_zone("service", "zone-0");
     let under_way = in_zone / 4;
--- a/crates/serving/src/batcher/announced.rs
+++ b/crates/serving/src/batcher/announced.rs
@@ -4,7 +4,7 @@
 use super::OrderKey;
 use crate::Millis;
 use silversail_model::Shard;
-use silversail_peer::RANKS;
+use silversail_peer::PRIORITY_LEVELS;
 use std::collections::BTreeMap;
 
 /// How long an announced order counts without further news of it, in milliseconds.
@@ -43,11 +43,15 @@
     }
 
     /// Announced pieces of a shard by priority.
-    pub(super) fn pieces_by_priority(&self, shard: &Shard, now: Millis) -> [usize; RANKS] {
-        let mut pieces = [0; RANKS];
+    pub(super) fn pieces_by_priority(
+        &self,
+        shard: &Shard,
+        now: Millis,
+    ) -> [usize; PRIORITY_LEVELS] {
+        let mut pieces = [0; PRIORITY_LEVELS];
         for (order, until) in self.orders.values() {
             if order.shard == *shard && *until > now {
-                pieces[usize::from(order.priority).min(RANKS - 1)] += order.pieces;
+                pieces[usize::from(order.priority).min(PRIORITY_LEVELS - 1)] += order.pieces;
             }
         }
         pieces
--- a/crates/serving/src/batcher/estimate.rs
+++ b/crates/serving/src/batcher/estimate.rs
@@ -8,7 +8,7 @@
 use silversail_model::topology::RegionFilter;
 use silversail_model::traffic::BatchSpec;
 use silversail_model::Shard;
-use silversail_peer::{PieceFailure, ShardWaits, RANKS};
+use silversail_peer::{PieceFailure, ShardWaitEstimates, PRIORITY_LEVELS};
 
 /// Lower bound of the fill ratio of calls.
 const MIN_FILL_RATIO: f64 = 0.2;
@@ -63,16 +63,21 @@
         if !self.has_eligible_backend(shard, &RegionFilter::any(), table) {
             return Err(PieceFailure::NoBackend);
         }
-        let level = usize::from(priority).min(RANKS - 1);
+        let level = usize::from(priority).min(PRIORITY_LEVELS - 1);
         let backlog = self.backlogs_ms(shard, table, now)[level];
         Ok(u64::from(backlog) + call_ms(spec, pieces) as u64)
     }
 
     /// Milliseconds until a new order is started, by priority. Orders that can no longer meet
     /// their objective are deferred and do not count.
-    fn backlogs_ms(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> [u32; RANKS] {
+    fn backlogs_ms(
+        &self,
+        shard: &Shard,
+        table: &InstanceTable,
+        now: Millis,
+    ) -> [u32; PRIORITY_LEVELS] {
         let Some(spec) = self.specs.get(&shard.service) else {
-            return [0; RANKS];
+            return [0; PRIORITY_LEVELS];
         };
         let throughput = self.throughput_of(shard, spec, table, now);
         let mut pieces = self.announced.pieces_by_priority(shard, now);
@@ -152,11 +157,11 @@
     }
 
     /// Current wait estimates of a shard, by priority.
-    pub fn waits(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> ShardWaits {
+    pub fn waits(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> ShardWaitEstimates {
         let pieces = self.averages_of(shard).pieces;
         let spec = self.specs.get(&shard.service);
         let call = spec.map_or(0.0, |spec| spec.call_ms + spec.piece_ms * pieces);
-        ShardWaits {
+        ShardWaitEstimates {
             shard: shard.clone(),
             age_ms: 0,
             backlog_ms: self.backlogs_ms(shard, table, now),
--- a/crates/serving/src/batcher/order.rs
+++ b/crates/serving/src/batcher/order.rs
@@ -3,7 +3,7 @@
 use super::CallId;
 use crate::policy::Policy;
 use crate::Millis;
-use silversail_peer::{PhaseWork, Piece, PieceFailure, ResultHandle, RANKS};
+use silversail_peer::{PhaseWork, Piece, PieceFailure, ResultHandle, PRIORITY_LEVELS};
 
 /// How much later an order is due per priority level, in milliseconds.
 const PRIORITY_LEVEL_DELAY: Millis = 1_000;
@@ -54,7 +54,7 @@
             states: vec![PieceState::Waiting; work.pieces.len()],
             waiting: work.pieces.len(),
             calls: vec![0; work.pieces.len()],
-            wanted_at: now + work.wanted_in_ms,
+            wanted_at: now + work.target_remaining_ms,
             deadline: now + work.remaining_ms,
             splits_from: now + SPLIT_AFTER,
             waits_near_until: now + policy.zone_wait_ms,
@@ -76,7 +76,7 @@
 
     /// Priority of its request, capped at the lowest level.
     pub(super) fn priority(&self) -> usize {
-        usize::from(self.work.priority).min(RANKS - 1)
+        usize::from(self.work.priority).min(PRIORITY_LEVELS - 1)
     }
 
     /// Sort key of waiting orders; the smallest goes first. An order that would end at
@@ -115,7 +115,7 @@
     /// Whether it prefers another zone than `zone`. An order of a zone's shard has no choice of
     /// zones.
     pub(super) fn prefers_other_zone_than(&self, zone: &str) -> bool {
-        let may_choose = !self.work.shard.is_of_one_zone() && !self.work.zone.is_empty();
+        let may_choose = !self.work.shard.is_single_zone() && !self.work.zone.is_empty();
         may_choose && self.work.zone != zone
     }
 
--- a/crates/serving/src/batcher/outcomes.rs
+++ b/crates/serving/src/batcher/outcomes.rs
@@ -223,8 +223,7 @@
             self.shards.keys().filter(lacks_backends).cloned().collect();
         let has_no_allowed_backend = |order: &Order| {
             let regions = &order.work.regions;
-            regions.is_restricting()
-                && !self.has_eligible_backend(&order.work.shard, regions, table)
+            regions.is_restricted() && !self.has_eligible_backend(&order.work.shard, regions, table)
         };
         let orders = self.orders.iter().filter(|(_, order)| order.is_waiting());
         let ended = orders.filter(|(_, order)| {
--- a/crates/serving/src/dispatcher.rs
+++ b/crates/serving/src/dispatcher.rs
@@ -33,7 +33,7 @@
 use silversail_decisions::{DecisionLog, Event};
 use silversail_model::topology::RegionFilter;
 use silversail_model::{RequestFingerprint, ResultCode, Topology};
-use silversail_peer::{ListedInstances, ShardWaits, WorkId};
+use silversail_peer::{BackendListEntries, ShardWaitEstimates, WorkId};
 use silversail_rollout::Rollout;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -115,7 +115,7 @@
     }
 
     /// Applies a version of the list of back ends.
-    pub fn apply_backend_list(&mut self, listed: &ListedInstances, now: Millis) {
+    pub fn apply_backend_list(&mut self, listed: &BackendListEntries, now: Millis) {
         if self.instances.apply_list(listed) {
             self.instances.hold_back_new_versions(now);
             self.instances.forget_removed(now);
@@ -130,7 +130,7 @@
     }
 
     /// Records wait estimates of shards of batched services.
-    pub fn set_waits(&mut self, waits: impl IntoIterator<Item = ShardWaits>, now: Millis) {
+    pub fn set_waits(&mut self, waits: impl IntoIterator<Item = ShardWaitEstimates>, now: Millis) {
         for estimate in waits {
             self.admission.waits.take(estimate, now);
         }
--- a/crates/serving/src/dispatcher/regions.rs
+++ b/crates/serving/src/dispatcher/regions.rs
@@ -28,7 +28,7 @@
     /// Whether a service that the request needs has no available back end in the regions to
     /// which it is restricted.
     pub(super) fn lacks_allowed_backends(&self, request: &ActiveRequest) -> bool {
-        request.routed.regions.is_restricting() && !self.has_allowed_backends(request)
+        request.routed.regions.is_restricted() && !self.has_allowed_backends(request)
     }
 
     fn has_allowed_backends(&self, request: &ActiveRequest) -> bool {
--- a/crates/serving/src/dispatcher/request.rs
+++ b/crates/serving/src/dispatcher/request.rs
@@ -160,7 +160,7 @@
 
     /// Code for the lack of a usable back end.
     pub(super) fn no_backend_code(&self) -> ResultCode {
-        match self.routed.regions.is_restricting() {
+        match self.routed.regions.is_restricted() {
             true => ResultCode::NoAllowedBackend,
             false => ResultCode::NoBackend,
         }
@@ -250,14 +250,14 @@
         let wanted_at = objective.saturating_sub(after_phase);
         let place = self.preferred_zone(phase, engine_zone, instances);
         PhaseWork {
-            shard: Shard::whole(&spec.service),
+            shard: Shard::whole_service(&spec.service),
             pieces,
             fingerprint: self.fingerprint,
             priority: self.routed.priority,
             zone: place.zone,
             moved_bytes: place.moved_bytes,
             regions: self.routed.regions.clone(),
-            wanted_in_ms: wanted_at.saturating_sub(now),
+            target_remaining_ms: wanted_at.saturating_sub(now),
             remaining_ms: self.end.saturating_sub(now),
         }
     }
@@ -265,7 +265,7 @@
     /// Creates the announcement of a phase.
     pub(super) fn announced_order(&self, phase: usize) -> AnnouncedOrder {
         AnnouncedOrder {
-            shard: Shard::whole(&self.routed.route.phases[phase].service),
+            shard: Shard::whole_service(&self.routed.route.phases[phase].service),
             pieces: self.phases.pieces(phase) as usize,
             priority: self.routed.priority,
         }
--- a/crates/serving/src/instances.rs
+++ b/crates/serving/src/instances.rs
@@ -11,14 +11,14 @@
 
 use crate::cold::ColdSenders;
 use crate::notices::BackendNotices;
-use crate::ports::{ListedInstance, ReportedLoad};
+use crate::ports::{BackendListEntry, ReportedLoad};
 use crate::rollouts::VersionRoles;
 use crate::Millis;
 pub use instance::Instance;
 pub use resume::ResumePolicy;
 use silversail_decisions::{DecisionLog, Event};
 use silversail_model::traffic::ColdSpec;
-use silversail_peer::ListedInstances;
+use silversail_peer::BackendListEntries;
 use std::collections::{BTreeMap, BTreeSet};
 use store::{InstanceStore, SlotIndex};
 use versions::KnownVersions;
@@ -46,7 +46,7 @@
 pub struct InstanceTable {
     instances: InstanceStore,
     /// The list that was applied last.
-    applied: ListedInstances,
+    applied: BackendListEntries,
     /// Listed processes of back ends that have restarted since: the earlier process, and the
     /// later one.
     superseded: BTreeMap<InstanceId, InstanceId>,
@@ -78,7 +78,7 @@
             resume_policy: ResumePolicy::default(),
             own_node: String::new(),
             instances: InstanceStore::default(),
-            applied: ListedInstances::default(),
+            applied: BackendListEntries::default(),
             superseded: BTreeMap::new(),
             changed: Vec::new(),
             removed: Vec::new(),
@@ -162,7 +162,7 @@
         all.filter(|instance| instance.is_evacuated).count()
     }
 
-    fn record(&self, listed: &ListedInstance, state: &str, source: &str) {
+    fn record(&self, listed: &BackendListEntry, state: &str, source: &str) {
         self.log.record(Event::Backend {
             backend: listed.id.clone(),
             service: listed.service.clone(),
--- a/crates/serving/src/instances/listing.rs
+++ b/crates/serving/src/instances/listing.rs
@@ -2,26 +2,26 @@
 
 use super::list_changes::{ListChanges, ListedState};
 use super::{Instance, InstanceId, InstanceTable};
-use crate::ports::ListedInstance;
-use silversail_peer::{ListChange, ListedInstances};
+use crate::ports::BackendListEntry;
+use silversail_peer::{BackendListEntries, EntryChange};
 use std::sync::Arc;
 
 impl InstanceTable {
     /// Applies a complete list. True if anything changed.
-    pub fn replace_list(&mut self, listed: &[ListedInstance]) -> bool {
+    pub fn replace_list(&mut self, listed: &[BackendListEntry]) -> bool {
         self.apply_list(&listed.iter().cloned().collect())
     }
 
     /// Applies a version of the list. True if anything changed. Takes time proportional to the
     /// differences from the previous version.
-    pub fn apply_list(&mut self, listed: &ListedInstances) -> bool {
+    pub fn apply_list(&mut self, listed: &BackendListEntries) -> bool {
         let before = std::mem::replace(&mut self.applied, listed.clone());
         let mut changes = ListChanges::default();
         let mut gone = Vec::new();
         for change in before.changes_to(listed) {
             match change {
-                ListChange::Present(entry) => self.apply_entry(entry, &mut changes),
-                ListChange::Gone(id) => gone.push(id),
+                EntryChange::Upserted(entry) => self.apply_entry(entry, &mut changes),
+                EntryChange::Removed(id) => gone.push(id),
             }
         }
         // Removals come last: a removed process may be the earlier one of a back end that is
@@ -33,11 +33,11 @@
     }
 
     /// The version of the list that was applied last.
-    pub fn applied_list(&self) -> &ListedInstances {
+    pub fn applied_list(&self) -> &BackendListEntries {
         &self.applied
     }
 
-    fn apply_entry(&mut self, entry: &Arc<ListedInstance>, changes: &mut ListChanges) {
+    fn apply_entry(&mut self, entry: &Arc<BackendListEntry>, changes: &mut ListChanges) {
         if let Some(later) = self.later_start(entry) {
             // The list is stale: the back end has restarted since.
             self.superseded.insert(entry.id.clone(), later);
@@ -53,7 +53,7 @@
     fn update(
         &mut self,
         mut known: Instance,
-        entry: &Arc<ListedInstance>,
+        entry: &Arc<BackendListEntry>,
         changes: &mut ListChanges,
     ) {
         if is_in_other_state(&known.listed, entry) {
@@ -67,7 +67,7 @@
         self.put(known);
     }
 
-    fn add(&mut self, entry: &Arc<ListedInstance>, changes: &mut ListChanges) {
+    fn add(&mut self, entry: &Arc<BackendListEntry>, changes: &mut ListChanges) {
         changes.note(entry, ListedState::of(entry));
         self.hide_earlier_start(entry, changes);
         self.removed.retain(|id| *id != entry.id);
@@ -85,18 +85,18 @@
     }
 
     /// The later process of the same back end, if one is known.
-    fn later_start(&self, entry: &ListedInstance) -> Option<InstanceId> {
-        if entry.born.is_none() || self.instances.slot_of(&entry.id).is_some() {
+    fn later_start(&self, entry: &BackendListEntry) -> Option<InstanceId> {
+        if entry.started_at_ms.is_none() || self.instances.slot_of(&entry.id).is_some() {
             return None;
         }
         let present = &self.instances.process_with_name(&entry.name)?.listed;
-        (present.born > entry.born).then(|| present.id.clone())
+        (present.started_at_ms > entry.started_at_ms).then(|| present.id.clone())
     }
 
     /// Hides the earlier of two processes of a back end. A list that is read page by page may
     /// name both.
-    fn hide_earlier_start(&mut self, entry: &ListedInstance, changes: &mut ListChanges) {
-        if entry.born.is_none() {
+    fn hide_earlier_start(&mut self, entry: &BackendListEntry, changes: &mut ListChanges) {
+        if entry.started_at_ms.is_none() {
             return;
         }
         let earlier = self.instances.process_with_name(&entry.name);
@@ -135,7 +135,7 @@
         }
     }
 
-    fn remove_instance(&mut self, listed: &ListedInstance, changes: &mut ListChanges) {
+    fn remove_instance(&mut self, listed: &BackendListEntry, changes: &mut ListChanges) {
         self.instances.remove(&listed.id);
         self.removed.push(listed.id.clone());
         changes.note(listed, ListedState::Gone);
@@ -143,7 +143,7 @@
 }
 
 /// Whether the state or version of a back end differs between two lists.
-fn is_in_other_state(before: &ListedInstance, after: &ListedInstance) -> bool {
+fn is_in_other_state(before: &BackendListEntry, after: &BackendListEntry) -> bool {
     before.draining != after.draining
         || before.cold != after.cold
         || before.version != after.version
--- a/crates/serving/src/instances/store.rs
+++ b/crates/serving/src/instances/store.rs
@@ -119,7 +119,9 @@
     pub(super) fn process_with_name(&self, name: &str) -> Option<&Instance> {
         let found = self.by_name.find(name);
         let mut found = found.filter_map(|slot| self.at(slot));
-        found.find(|instance| instance.listed.name == name && instance.listed.born.is_some())
+        found.find(|instance| {
+            instance.listed.name == name && instance.listed.started_at_ms.is_some()
+        })
     }
 
     /// All back ends.
@@ -170,7 +172,7 @@
         };
         self.by_id.insert(&listed.id, slot);
         self.by_address.insert(&listed.address, slot);
-        if listed.born.is_some() {
+        if listed.started_at_ms.is_some() {
             self.by_name.insert(&listed.name, slot);
         }
         let Self {
--- a/crates/serving/src/ports.rs
+++ b/crates/serving/src/ports.rs
@@ -2,8 +2,8 @@
 //! implements them; nothing else knows the protocols' names.
 
 use http::{HeaderMap, Method, Uri};
-use silversail_model::{ContentDigest, NamedLimit, ResultCode, TrafficConfiguration};
-pub use silversail_peer::ListedInstance;
+use silversail_model::{AdvertisedRateLimit, ContentDigest, ResultCode, TrafficConfiguration};
+pub use silversail_peer::BackendListEntry;
 use silversail_peer::{Piece, PieceFailure, ResultHandle};
 pub use silversail_rollout::{Directive, Rollout, RolloutOrder, RolloutState, Verdict};
 use std::time::Duration;
@@ -116,7 +116,7 @@
     /// Whether it says that it leaves and takes nothing new.
     pub is_leaving: bool,
     /// How many requests it takes from all nodes together, for as long as it says so.
-    pub limit: NamedLimit,
+    pub limit: AdvertisedRateLimit,
     /// Names of headers by which it says something of itself that is not known here.
     pub unknown: Vec<String>,
 }
@@ -186,7 +186,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListPage {
     /// Its entries.
-    pub instances: Vec<ListedInstance>,
+    pub instances: Vec<BackendListEntry>,
     /// Names the next page; none on the last.
     pub next: Option<String>,
     /// Why entries name no back end, one text for each.
--- a/crates/serving/tests/back_end_count.rs
+++ b/crates/serving/tests/back_end_count.rs
@@ -6,7 +6,7 @@
 use common::{instance, list_of, ANY_REGION, NO_REGIONS};
 use rstest::rstest;
 use silversail_decisions::{DecisionLog, LogLimits};
-use silversail_peer::ListedInstance;
+use silversail_peer::BackendListEntry;
 use silversail_serving::cold::ColdUse;
 use silversail_serving::instances::InstanceTable;
 use silversail_serving::regions::{RegionAffinity, SharedPrompt};
@@ -20,7 +20,7 @@
 /// Maximum lookups of one list change.
 const MAX_LOOKUPS_PER_CHANGE: u64 = 10;
 
-fn entries(count: usize) -> Vec<ListedInstance> {
+fn entries(count: usize) -> Vec<BackendListEntry> {
     let numbers = 0..count;
     numbers
         .map(|number| {
@@ -34,7 +34,7 @@
 }
 
 fn table(count: usize) -> InstanceTable {
-    let mut table = InstanceTable::new(DecisionLog::off());
+    let mut table = InstanceTable::new(DecisionLog::disabled());
     table.replace_list(&entries(count));
     table
 }
@@ -78,7 +78,7 @@
 #[rstest]
 fn a_list_change_looks_up_only_what_changed(#[values(1_000, 10_000, 20_000)] count: usize) {
     let all = list_of(&entries(count));
-    let mut table = InstanceTable::new(DecisionLog::off());
+    let mut table = InstanceTable::new(DecisionLog::disabled());
     table.apply_list(&all);
     table.hold_back_new_versions(0);
     table.forget_removed(0);
--- a/crates/serving/tests/batcher.rs
+++ b/crates/serving/tests/batcher.rs
@@ -195,10 +195,10 @@
         .expect("accepted");
     let first = batcher.next_calls(&table, 0).remove(0);
     let mut late = work(2, 8);
-    late.wanted_in_ms = 500;
+    late.target_remaining_ms = 500;
     batcher.submit(key(2), late, &table, 0).expect("accepted");
     let mut in_time = work(3, 8);
-    in_time.wanted_in_ms = 900;
+    in_time.target_remaining_ms = 900;
     batcher
         .submit(key(3), in_time, &table, 0)
         .expect("accepted");
@@ -294,10 +294,10 @@
 #[test]
 fn an_order_with_spare_time_waits_briefly_for_a_backend_in_its_preferred_zone() {
     let (table, mut batcher) = (table(&[("s1", "a"), ("s2", "b")]), batcher());
-    let order = |request, wanted_in_ms| {
+    let order = |request, target_remaining_ms| {
         let mut order = work(request, 2);
         order.zone = "a".into();
-        order.wanted_in_ms = wanted_in_ms;
+        order.target_remaining_ms = target_remaining_ms;
         order
     };
     batcher
--- a/crates/serving/tests/batcher_rollouts.rs
+++ b/crates/serving/tests/batcher_rollouts.rs
@@ -22,7 +22,7 @@
 impl ShardOwner {
     /// An owner of these back ends, given with their versions.
     fn of(backends: &[(&str, &str)]) -> Self {
-        let mut table = InstanceTable::new(DecisionLog::off());
+        let mut table = InstanceTable::new(DecisionLog::disabled());
         let listed = backends.iter();
         let listed = listed.map(|(id, version)| of_version(id, "encode", version));
         table.replace_list(&listed.collect::<Vec<_>>());
--- a/crates/serving/tests/common/batches.rs
+++ b/crates/serving/tests/common/batches.rs
@@ -10,7 +10,7 @@
 use silversail_serving::policy::Policy;
 
 pub fn table(backends: &[(&str, &str)]) -> InstanceTable {
-    let mut table = InstanceTable::new(DecisionLog::off());
+    let mut table = InstanceTable::new(DecisionLog::disabled());
     let listed = backends
         .iter()
         .map(|(id, zone)| instance(id, "encode", zone));
@@ -19,7 +19,7 @@
 }
 
 pub fn whole() -> Shard {
-    Shard::whole("encode")
+    Shard::whole_service("encode")
 }
 
 /// A batcher that uses 85 % of the result memory of each back end.
@@ -28,7 +28,7 @@
         room_share: 0.85,
         ..Policy::default()
     };
-    let mut batcher = Batcher::new(policy, DecisionLog::off());
+    let mut batcher = Batcher::new(policy, DecisionLog::disabled());
     batcher.set_specs([("encode".to_owned(), batch_spec())].into());
     batcher
 }
@@ -56,7 +56,7 @@
         zone: String::new(),
         moved_bytes: 0,
         regions: RegionFilter::any(),
-        wanted_in_ms: 1_000,
+        target_remaining_ms: 1_000,
         remaining_ms: 4_000,
     }
 }
--- a/crates/serving/tests/dispatcher.rs
+++ b/crates/serving/tests/dispatcher.rs
@@ -6,7 +6,9 @@
 use rstest::rstest;
 use silversail_decisions::DecisionLog;
 use silversail_model::{ResultCode, Shard};
-use silversail_peer::{PieceFailure, PieceSource, ResultHandle, ShardWaits, WorkId, RANKS};
+use silversail_peer::{
+    PieceFailure, PieceSource, ResultHandle, ShardWaitEstimates, WorkId, PRIORITY_LEVELS,
+};
 use silversail_serving::dispatcher::{
     Action, Dispatcher, NotRunReason, Refusal, SendOutcome, SendPlan, UnknownReason,
 };
@@ -58,15 +60,15 @@
 /// A policy that admits within this share of an objective, for every priority.
 fn admitting(share: f64) -> Policy {
     Policy {
-        admitted_shares: [share; RANKS],
+        admitted_shares: [share; PRIORITY_LEVELS],
         ..Policy::default()
     }
 }
 
 /// Wait estimates by which a chain of two phases ends after 1,650 of 2,000 ms.
-fn waits_of_encode() -> ShardWaits {
-    ShardWaits {
-        shard: Shard::whole("encode"),
+fn waits_of_encode() -> ShardWaitEstimates {
+    ShardWaitEstimates {
+        shard: Shard::whole_service("encode"),
         age_ms: 0,
         backlog_ms: [100, 900, 900, 900],
         call_ms: 300,
@@ -81,7 +83,7 @@
         LIMITS,
         Policy::default(),
         1,
-        DecisionLog::off(),
+        DecisionLog::disabled(),
     );
     let refusal = answered(&dispatcher.handle_request(1, call("r"), 0));
     assert_eq!(refusal.code, ResultCode::NoTrafficConfiguration);
@@ -270,9 +272,9 @@
 #[rstest]
 #[case::a_small_share([1.0, 0.8, 1.0, 1.0], true, false)]
 #[case::a_large_share([0.1, 0.9, 0.1, 0.1], true, true)]
-#[case::without_admission([0.1; RANKS], false, true)]
+#[case::without_admission([0.1; PRIORITY_LEVELS], false, true)]
 fn admission_uses_the_share_of_the_requests_priority(
-    #[case] admitted_shares: [f64; RANKS],
+    #[case] admitted_shares: [f64; PRIORITY_LEVELS],
     #[case] chain_admission: bool,
     #[case] is_admitted: bool,
 ) {
@@ -412,8 +414,8 @@
 #[test]
 fn a_rejected_request_announces_nothing() {
     let mut dispatcher = dispatcher();
-    let waits = ShardWaits {
-        shard: Shard::whole("encode"),
+    let waits = ShardWaitEstimates {
+        shard: Shard::whole_service("encode"),
         age_ms: 0,
         backlog_ms: [5_000; 4],
         call_ms: 300,
@@ -442,8 +444,8 @@
     }
     // Two calls of 400 ms fit into 80 % of 2 s before an answer that starts after 150 ms, but
     // not before one that starts after 900 ms.
-    let waits = ShardWaits {
-        shard: Shard::whole("encode"),
+    let waits = ShardWaitEstimates {
+        shard: Shard::whole_service("encode"),
         age_ms: 0,
         backlog_ms: [0; 4],
         call_ms: 400,
--- a/crates/serving/tests/regions.rs
+++ b/crates/serving/tests/regions.rs
@@ -23,7 +23,7 @@
 
 /// Three engines in each zone, each named after it.
 fn table() -> InstanceTable {
-    let mut table = InstanceTable::new(DecisionLog::off());
+    let mut table = InstanceTable::new(DecisionLog::disabled());
     let listed = ZONES.iter().flat_map(|zone| {
         (0..3).map(move |number| instance(&format!("{zone}{number}"), "pool", zone))
     });
@@ -117,7 +117,7 @@
 #[test]
 fn nodes_of_all_regions_send_a_rare_prompt_to_one_engine() {
     let table = table();
-    let regions = TWO_REGIONS.regions_of_zones().clone();
+    let regions = TWO_REGIONS.region_by_zone().clone();
     let south = Topology::new("d", regions, Default::default()).expect("valid");
     for session in SESSIONS {
         let from_north = with_prompt(RegionAffinity::Popular, session, 76.0);
--- a/crates/serving/tests/rest_seeds.rs
+++ b/crates/serving/tests/rest_seeds.rs
@@ -14,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 use silversail_decisions::DecisionLog;
 use silversail_model::Shard;
-use silversail_peer::{ListedInstance, ResultHandle};
+use silversail_peer::{BackendListEntry, ResultHandle};
 use silversail_serving::batcher::{BatchCall, Batcher, CallOutcome, OrderKey};
 use silversail_serving::dispatcher::{
     Action, Dispatcher, NotRunReason, SendOutcome, SendPlan, UnknownReason,
@@ -54,7 +54,7 @@
 
 impl Node {
     fn new() -> Self {
-        let log = DecisionLog::off;
+        let log = DecisionLog::disabled;
         let policy = Policy::default();
         let mut dispatcher = Dispatcher::new(in_zone("a"), LIMITS, policy, 1, log());
         dispatcher.set_routes(RouteTable::new(&traffic()));
@@ -134,7 +134,7 @@
 
 /// A list that another node read: it may lack entries, call a back end that leaves ready, or name
 /// a new start of one.
-fn list(starts: &BTreeMap<&str, u32>, random: &mut ChaCha8Rng) -> Vec<ListedInstance> {
+fn list(starts: &BTreeMap<&str, u32>, random: &mut ChaCha8Rng) -> Vec<BackendListEntry> {
     let mut listed = instances();
     for one in &mut listed {
         let start = starts.get(one.name.as_str()).copied().unwrap_or_default();
@@ -240,7 +240,7 @@
             *starts.entry(name).or_default() += 1;
         }
         90..=91 => {
-            let shard = Shard::whole("encode");
+            let shard = Shard::whole_service("encode");
             let table = &node.dispatcher.instances;
             node.batcher.take_over_shard(&shard, table, now);
         }
--- a/crates/serving/tests/rests.rs
+++ b/crates/serving/tests/rests.rs
@@ -6,8 +6,8 @@
 use common::{call, call_of, dispatcher, dispatcher_with, in_zone, instances, list_of, traffic};
 use rstest::rstest;
 use silversail_decisions::DecisionLog;
-use silversail_model::{NamedLimit, ResultCode};
-use silversail_peer::{ListedInstance, PieceFailure, ResultHandle};
+use silversail_model::{AdvertisedRateLimit, ResultCode};
+use silversail_peer::{BackendListEntry, PieceFailure, ResultHandle};
 use silversail_serving::dispatcher::{
     Action, Dispatcher, NotRunReason, Refusal, SendOutcome, UnknownReason,
 };
@@ -39,7 +39,7 @@
     has_unreadable_rest: false,
     has_unreadable_pace: false,
     is_leaving: true,
-    limit: NamedLimit {
+    limit: AdvertisedRateLimit {
         lowest: None,
         is_unreadable: false,
     },
@@ -75,7 +75,7 @@
         window: 10_000,
     };
     let policy = Policy::default();
-    let mut dispatcher = Dispatcher::new(in_zone("a"), limits, policy, 1, DecisionLog::off());
+    let mut dispatcher = Dispatcher::new(in_zone("a"), limits, policy, 1, DecisionLog::disabled());
     dispatcher.set_routes(RouteTable::new(&traffic()));
     dispatcher.instances.replace_list(&instances());
     dispatcher
@@ -96,9 +96,9 @@
 }
 
 #[rstest]
-#[case::of_another_node(|_: &mut Vec<ListedInstance>| {})]
-#[case::that_lacked_it_before(|listed: &mut Vec<ListedInstance>| listed.retain(|one| one.id != "g1"))]
-fn no_list_takes_back_what_an_engine_said(#[case] change: fn(&mut Vec<ListedInstance>)) {
+#[case::of_another_node(|_: &mut Vec<BackendListEntry>| {})]
+#[case::that_lacked_it_before(|listed: &mut Vec<BackendListEntry>| listed.retain(|one| one.id != "g1"))]
+fn no_list_takes_back_what_an_engine_said(#[case] change: fn(&mut Vec<BackendListEntry>)) {
     for said in [rest(5_000), LEAVING] {
         let mut dispatcher = dispatcher();
         hear(&dispatcher.instances, &["g1"], &said, 0);
@@ -288,7 +288,7 @@
 #[test]
 fn nodes_come_back_spread_over_a_share_of_the_rest() {
     let returns_at = |node: &str| {
-        let mut table = InstanceTable::new(DecisionLog::off());
+        let mut table = InstanceTable::new(DecisionLog::disabled());
         table.set_senders(node, vec![node.to_owned()]);
         table.set_resume_policy(ResumePolicy {
             first_alone: true,
