--- a/crates/daemon/src/call_guard.rs
+++ b/crates/daemon/src/call_guard.rs
@@ -2,7 +2,7 @@
 
 use crate::gateway::notices::NoticeListener;
 use silversail_backend::{CallGuard, HeadReport};
-use silversail_serving::notices::AnswerPath;
+use silversail_serving::notices::ExchangeKind;
 use silversail_serving::ports::SelfReport;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     /// The back end.
     pub address: &'a str,
     /// What is exchanged.
-    pub path: AnswerPath,
+    pub path: ExchangeKind,
 }
 
 impl CallGuard for AddressGuard<'_> {
--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -7,8 +7,8 @@
 use silversail_backend::order::EngineOrder;
 use silversail_backend::{engine, order, service, Agents, StageCall, TokenSink};
 use silversail_control::OrderId;
-use silversail_serving::crashes::{Probe, ProbeAnswer};
-use silversail_serving::notices::AnswerPath;
+use silversail_serving::crashes::{Probe, ProbeResult};
+use silversail_serving::notices::ExchangeKind;
 use std::io;
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -130,7 +130,7 @@
         AddressGuard {
             listener: &self.listener,
             address,
-            path: AnswerPath::Stage,
+            path: ExchangeKind::Stage,
         }
     }
 
@@ -212,14 +212,14 @@
     }
 }
 
-fn connect(address: &str) -> ProbeAnswer {
+fn connect(address: &str) -> ProbeResult {
     let Ok(address) = address.parse() else {
-        return ProbeAnswer::Silent;
+        return ProbeResult::Silent;
     };
     match TcpStream::connect_timeout(&address, PROBE_TIMEOUT) {
-        Ok(_) => ProbeAnswer::Accepted,
-        Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => ProbeAnswer::Refused,
-        Err(_) => ProbeAnswer::Silent,
+        Ok(_) => ProbeResult::Accepted,
+        Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => ProbeResult::Refused,
+        Err(_) => ProbeResult::Silent,
     }
 }
 
--- a/crates/daemon/src/crashes.rs
+++ b/crates/daemon/src/crashes.rs
@@ -5,7 +5,7 @@
 use silversail_consensus::Millis;
 use silversail_model::RequestFingerprint;
 use silversail_serving::crashes::{
-    BreakOff, BreakOffStep, CrashWatch, Diagnosis, Probe, ProbeAnswer,
+    ConnectionLoss, ConnectionLossAction, CrashDetector, Diagnosis, Probe, ProbeResult,
 };
 use silversail_serving::quarantine::RequestQuarantine;
 use stakker::{fwd, fwd_nop, Fwd};
@@ -23,7 +23,7 @@
 
 /// Finds out why connections break off, and tells of crashes.
 pub struct CrashReporter {
-    watch: CrashWatch,
+    watch: CrashDetector,
     state: SharedNodeState,
     metrics: Arc<Metrics>,
     /// Has a heartbeat sent at once.
@@ -34,7 +34,7 @@
     /// A reporter that tells with the process's heartbeats.
     pub fn new(state: SharedNodeState, metrics: Arc<Metrics>) -> Self {
         Self {
-            watch: CrashWatch::default(),
+            watch: CrashDetector::default(),
             state,
             metrics,
             tell_at_once: fwd_nop!(),
@@ -47,17 +47,17 @@
     }
 
     /// Requests broke off at a back end.
-    pub fn broke_off(&mut self, broken: BreakOff, now: Millis) -> Finding {
-        match self.watch.broke_off(broken, now) {
-            BreakOffStep::Probe(probe) => Finding::Ask(probe),
-            BreakOffStep::Wait => Finding::Pending,
-            BreakOffStep::Known(diagnosis) => Finding::Known(diagnosis),
+    pub fn broke_off(&mut self, broken: ConnectionLoss, now: Millis) -> Finding {
+        match self.watch.connection_lost(broken, now) {
+            ConnectionLossAction::Probe(probe) => Finding::Ask(probe),
+            ConnectionLossAction::Wait => Finding::Pending,
+            ConnectionLossAction::Known(diagnosis) => Finding::Known(diagnosis),
         }
     }
 
     /// A back end was asked for a connection.
-    pub fn probed(&mut self, backend: &str, answer: ProbeAnswer) -> Option<Diagnosis> {
-        self.watch.probed(backend, answer)
+    pub fn probed(&mut self, backend: &str, answer: ProbeResult) -> Option<Diagnosis> {
+        self.watch.probe_finished(backend, answer)
     }
 
     /// Counts what broke off. Where the back end ended, its suspects count in `quarantine` at
@@ -73,7 +73,7 @@
         counter
             .with_label_values(&labels)
             .inc_by(diagnosis.sends.len() as u64);
-        if diagnosis.answer != ProbeAnswer::Refused {
+        if diagnosis.answer != ProbeResult::Refused {
             return false;
         }
         let backend = &diagnosis.instance;
@@ -83,7 +83,7 @@
             return false;
         }
         let news = &mut self.state.borrow_mut().crash_news;
-        news.crashed(backend, diagnosis.broke_at, suspects, now);
+        news.crashed(backend, diagnosis.lost_at, suspects, now);
         fwd!([self.tell_at_once], ());
         true
     }
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -8,7 +8,7 @@
 use silversail_http::Responder;
 use silversail_model::BackendName;
 use silversail_peer::{Envelope, GroupId};
-use silversail_serving::crashes::ProbeAnswer;
+use silversail_serving::crashes::ProbeResult;
 use silversail_storage::StorageError;
 use std::sync::mpsc::{Sender, SyncSender};
 use std::time::Duration;
@@ -59,7 +59,7 @@
         /// The back end.
         backend: String,
         /// What came of it.
-        answer: ProbeAnswer,
+        answer: ProbeResult,
     },
     /// A token of a stream.
     Token {
--- a/crates/daemon/src/gateway/batching.rs
+++ b/crates/daemon/src/gateway/batching.rs
@@ -11,7 +11,7 @@
 use silversail_peer::{PeerMessage, PhaseWork, PieceFailure, ResultHandle, WorkId, WorkMessage};
 use silversail_serving::batcher::{AnnouncedOrder, FinishedOrder, OrderKey};
 use silversail_serving::instances::InstanceTable;
-use silversail_serving::waits::OrderToPlace;
+use silversail_serving::waits::PlacementRequest;
 use stakker::CX;
 
 impl GatewayActor {
@@ -158,7 +158,7 @@
         regions: &RegionFilter,
         now: Millis,
     ) {
-        let to_place = OrderToPlace {
+        let to_place = PlacementRequest {
             zone: "",
             moved_bytes: 0,
             rank: order.priority,
--- a/crates/daemon/src/gateway/calls.rs
+++ b/crates/daemon/src/gateway/calls.rs
@@ -10,9 +10,9 @@
 use silversail_model::traffic::CallerLimits;
 use silversail_peer::ResultHandle;
 use silversail_serving::batcher::{BatchCall, CallOutcome};
-use silversail_serving::crashes::{Probe, ProbeAnswer};
+use silversail_serving::crashes::{Probe, ProbeResult};
 use silversail_serving::instances::InstanceId;
-use silversail_serving::notices::{AnswerContext, AnswerPath, Withheld};
+use silversail_serving::notices::{AnswerContext, ExchangeKind, UnavailableReason};
 use silversail_serving::ports::{BackendCall, Protocols};
 use std::io;
 use std::sync::Arc;
@@ -70,7 +70,7 @@
         /// Its identity.
         instance: &'a str,
         /// What is asked of it.
-        path: AnswerPath,
+        path: ExchangeKind,
     },
 }
 
@@ -101,7 +101,7 @@
     NotSent(String),
     /// Nothing was sent, as the back end rests or leaves by its own word.
     #[error("withheld: the back end is {}", .0.name())]
-    Withheld(Withheld),
+    Withheld(UnavailableReason),
     /// It may have run.
     #[error("no answer: {0}")]
     NoAnswer(String),
@@ -133,7 +133,7 @@
             let target = CallTarget::Backend {
                 address: &batch.address,
                 instance: &batch.instance,
-                path: AnswerPath::Batch,
+                path: ExchangeKind::Batch,
             };
             let answer = calls.call(&target, request, BATCH_TIMEOUT).await;
             let outcome = calls.batch_outcome(answer, batch.pieces.len());
@@ -148,7 +148,7 @@
             let target = CallTarget::Backend {
                 address: &at.address,
                 instance: &at.instance,
-                path: AnswerPath::Free,
+                path: ExchangeKind::Free,
             };
             // Results that are not freed end by themselves.
             let answer = calls.call(&target, request, CALL_TIMEOUT).await;
@@ -163,11 +163,11 @@
         self.runtime.spawn(async move {
             let connecting = calls.pool.connect(&probe.address, CONNECT_TIMEOUT);
             let answer = match connecting.await {
-                Ok(_) => ProbeAnswer::Accepted,
+                Ok(_) => ProbeResult::Accepted,
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
-                    ProbeAnswer::Refused
+                    ProbeResult::Refused
                 }
-                Err(_) => ProbeAnswer::Silent,
+                Err(_) => ProbeResult::Silent,
             };
             let instance = probe.instance;
             calls.tell(GatewayEvent::Probed { instance, answer });
--- a/crates/daemon/src/gateway/crashes.rs
+++ b/crates/daemon/src/gateway/crashes.rs
@@ -5,12 +5,12 @@
 use crate::gateway::actor::GatewayActor;
 use silversail_consensus::Millis;
 use silversail_decisions::Event as LogEvent;
-use silversail_serving::crashes::{BreakOff, Diagnosis, ProbeAnswer};
+use silversail_serving::crashes::{ConnectionLoss, Diagnosis, ProbeResult};
 use silversail_serving::dispatcher::{RequestNumber, SendOutcome};
 
 impl GatewayActor {
     /// Requests broke off at a back end: whether it has ended is asked at once.
-    pub(super) fn broke_off(&mut self, broken: BreakOff, now: Millis) {
+    pub(super) fn broke_off(&mut self, broken: ConnectionLoss, now: Millis) {
         match self.crashes.broke_off(broken, now) {
             Finding::Ask(probe) => self.setup.calls.probe(probe),
             Finding::Pending => {}
@@ -18,7 +18,7 @@
         }
     }
 
-    pub(super) fn probed(&mut self, instance: &str, answer: ProbeAnswer, now: Millis) {
+    pub(super) fn probed(&mut self, instance: &str, answer: ProbeResult, now: Millis) {
         if let Some(diagnosis) = self.crashes.probed(instance, answer) {
             self.diagnosed(&diagnosis, now);
         }
@@ -30,7 +30,7 @@
             backend: diagnosis.instance.clone(),
             service: diagnosis.service.clone(),
             cause: diagnosis.answer.cause().to_owned(),
-            after_ms: now.saturating_sub(diagnosis.broke_at),
+            after_ms: now.saturating_sub(diagnosis.lost_at),
             requests: sends.clone().map(|one| one.request.clone()).collect(),
             fingerprints: sends.map(|one| one.fingerprint.to_string()).collect(),
         });
--- a/crates/daemon/src/gateway/event.rs
+++ b/crates/daemon/src/gateway/event.rs
@@ -7,7 +7,7 @@
 use silversail_model::ResultCode;
 use silversail_peer::ResultHandle;
 use silversail_serving::batcher::{CallId, CallOutcome};
-use silversail_serving::crashes::ProbeAnswer;
+use silversail_serving::crashes::ProbeResult;
 use silversail_serving::dispatcher::{Refusal, RequestNumber, SendOutcome, SendPlan};
 use silversail_serving::ports::{
     CallAttributes, ListedInstance, ReportedLoad, Rollout, RolloutOrder,
@@ -79,7 +79,7 @@
         /// The back end.
         instance: String,
         /// What came of it.
-        answer: ProbeAnswer,
+        answer: ProbeResult,
     },
     /// Makers freed results.
     ResultsFreed {
--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/exchange.rs
@@ -16,7 +16,7 @@
 };
 use silversail_limits::Serial;
 use silversail_serving::dispatcher::{NotRunReason, SendOutcome, SendPlan, UnknownReason};
-use silversail_serving::notices::{AnswerContext, AnswerPath, Withheld};
+use silversail_serving::notices::{AnswerContext, ExchangeKind, UnavailableReason};
 use silversail_serving::ports::{AnswerHead, Protocols, ReportedLoad};
 use std::time::{Duration, Instant};
 use tokio::time::{timeout, timeout_at};
@@ -55,8 +55,8 @@
     }
 }
 
-impl From<Withheld> for Ended {
-    fn from(_: Withheld) -> Self {
+impl From<UnavailableReason> for Ended {
+    fn from(_: UnavailableReason) -> Self {
         SendOutcome::NotRun(NotRunReason::Withheld).into()
     }
 }
@@ -125,7 +125,7 @@
             .requests
             .read_answer(status, response.headers(), id);
         let answer = AnswerContext {
-            path: AnswerPath::Request,
+            path: ExchangeKind::Request,
             permit,
             is_sound: is_sound(status, &head) && status < 500,
         };
@@ -161,7 +161,7 @@
         request: &IncomingRequest,
         plan: &SendPlan,
     ) -> Result<(Connection, Response<Incoming>, Option<Serial>), Ended> {
-        let mut permit = self.listener.admit(&plan.instance, AnswerPath::Request)?;
+        let mut permit = self.listener.admit(&plan.instance, ExchangeKind::Request)?;
         if let Some(mut connection) = self.pool.take_idle(&plan.address) {
             permit.spend();
             match connection.send(self.build(request, plan)).await {
--- a/crates/daemon/src/gateway/notices.rs
+++ b/crates/daemon/src/gateway/notices.rs
@@ -3,7 +3,7 @@
 use crate::clock::{self, Clock};
 use crate::metrics::Metrics;
 use silversail_limits::{Permit, Serial};
-use silversail_serving::notices::{AnswerContext, AnswerPath, BackendNotices, Withheld};
+use silversail_serving::notices::{AnswerContext, BackendNotices, ExchangeKind, UnavailableReason};
 use silversail_serving::ports::SelfReport;
 use std::sync::Arc;
 
@@ -21,14 +21,14 @@
 impl NoticeListener {
     /// Why nothing may be sent to a back end now by its own word; none where it may get what is
     /// to be sent.
-    pub fn withheld(&self, instance: &str, path: AnswerPath) -> Option<Withheld> {
+    pub fn withheld(&self, instance: &str, path: ExchangeKind) -> Option<UnavailableReason> {
         let now = self.clock.millis(clock::now());
-        let reason = self.notices.of(instance).withheld(now)?;
+        let reason = self.notices.of(instance).unavailable_reason(now)?;
         self.count_withheld(reason, path);
         Some(reason)
     }
 
-    fn count_withheld(&self, reason: Withheld, path: AnswerPath) {
+    fn count_withheld(&self, reason: UnavailableReason, path: ExchangeKind) {
         let counted = &self.metrics.sends_withheld;
         let labels = [reason.name(), path.name()];
         counted.with_label_values(&labels).inc();
@@ -36,7 +36,11 @@
 
     /// Whether a request may leave for a back end, with the permit that it takes. Asked directly
     /// before bytes leave: since the choice a request may have waited for a connection.
-    pub fn admit(&self, instance: &str, path: AnswerPath) -> Result<SendPermit, Withheld> {
+    pub fn admit(
+        &self,
+        instance: &str,
+        path: ExchangeKind,
+    ) -> Result<SendPermit, UnavailableReason> {
         let now = self.clock.millis(clock::now());
         let admitted = self.notices.admit(instance, now);
         let permit = admitted.inspect_err(|reason| self.count_withheld(*reason, path))?;
@@ -54,7 +58,7 @@
         let now = self.clock.millis(clock::now());
         let answer = answer.into();
         let path = answer.path;
-        let news = self.notices.hear(instance, answer, said, now);
+        let news = self.notices.record_report(instance, answer, said, now);
         let counted = &self.metrics.backend_notices;
         let count = |kind| counted.with_label_values(&[kind, path.name()]).inc();
         if said.has_unreadable_rest {
@@ -86,7 +90,7 @@
 pub struct SendPermit {
     listener: NoticeListener,
     instance: String,
-    path: AnswerPath,
+    path: ExchangeKind,
     /// None where the back end has no limit.
     permit: Option<Permit>,
     is_spent: bool,
@@ -95,7 +99,7 @@
 impl SendPermit {
     /// Asks once more, after a wait: whether the back end still takes the request, and whether the
     /// permit still holds.
-    pub fn renew(self) -> Result<Self, Withheld> {
+    pub fn renew(self) -> Result<Self, UnavailableReason> {
         let now = self.listener.clock.millis(clock::now());
         let is_lapsed = self.permit.is_some_and(|permit| permit.expires_at <= now);
         let reason = self.listener.withheld(&self.instance, self.path);
@@ -133,7 +137,7 @@
             let counted = &self.listener.metrics.permits_spent;
             counted.with_label_values(&[self.path.name()]).inc();
         } else {
-            self.listener.notices.give_back(&self.instance, permit);
+            self.listener.notices.return_permit(&self.instance, permit);
         }
     }
 }
--- a/crates/daemon/src/gateway/placing.rs
+++ b/crates/daemon/src/gateway/placing.rs
@@ -9,7 +9,7 @@
 use silversail_model::topology::RegionFilter;
 use silversail_model::{Distance, NodeName, Shard};
 use silversail_peer::{PhaseWork, ResultHandle, ShardWaits, WorkId, WorkMessage};
-use silversail_serving::waits::OrderToPlace;
+use silversail_serving::waits::PlacementRequest;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Interval at which the nodes that batch shards of one service tell each other how long
@@ -29,7 +29,7 @@
     pub(super) fn place(
         &self,
         service: &str,
-        order: &OrderToPlace,
+        order: &PlacementRequest,
         regions: &RegionFilter,
         now: Millis,
     ) -> Option<(Shard, NodeName)> {
@@ -60,7 +60,7 @@
         phase: &PhaseWork,
         now: Millis,
     ) -> Option<(Shard, NodeName)> {
-        let order = OrderToPlace {
+        let order = PlacementRequest {
             zone: &phase.zone,
             moved_bytes: phase.moved_bytes,
             rank: phase.priority,
--- a/crates/daemon/src/pollers.rs
+++ b/crates/daemon/src/pollers.rs
@@ -5,7 +5,7 @@
 use crate::gateway::notices::NoticeListener;
 use silversail_backend::{engine, platform, Agents};
 use silversail_model::{BackendName, NodeName};
-use silversail_serving::notices::AnswerPath;
+use silversail_serving::notices::ExchangeKind;
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::Duration;
@@ -48,7 +48,7 @@
                 let guard = AddressGuard {
                     listener: &listener,
                     address: &address,
-                    path: AnswerPath::Load,
+                    path: ExchangeKind::Load,
                 };
                 if let Ok(load) = engine::load(&agents, &address, &guard) {
                     if events.send(Event::EngineLoad { backend, load }).is_err() {
--- a/crates/daemon/src/requests/crashes.rs
+++ b/crates/daemon/src/requests/crashes.rs
@@ -5,7 +5,7 @@
 use crate::requests::active::RequestNumber;
 use crate::requests::actor::{OutstandingCall, RequestActor};
 use silversail_consensus::Millis;
-use silversail_serving::crashes::{BreakOff, BrokenSend, Diagnosis, ProbeAnswer};
+use silversail_serving::crashes::{ConnectionLoss, Diagnosis, InterruptedSend, ProbeResult};
 use stakker::{Fwd, CX};
 
 impl RequestActor {
@@ -25,11 +25,11 @@
         let Some(request) = self.requests.get(&outstanding.request) else {
             return;
         };
-        let broken = BreakOff {
+        let broken = ConnectionLoss {
             instance: outstanding.backend.0.clone(),
             service: request.pipeline.name.0.clone(),
             address: outstanding.address.clone(),
-            sends: vec![BrokenSend {
+            sends: vec![InterruptedSend {
                 request: request.request_id.clone(),
                 fingerprint: request.fingerprint,
             }],
@@ -42,7 +42,7 @@
     }
 
     /// A back end at which calls broke off was tried anew.
-    pub fn probed(&mut self, cx: CX![], backend: String, answer: ProbeAnswer) {
+    pub fn probed(&mut self, cx: CX![], backend: String, answer: ProbeResult) {
         let now = self.now_millis(cx);
         if let Some(diagnosis) = self.crashes.probed(&backend, answer) {
             self.diagnosed(&diagnosis, now);
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -13,7 +13,7 @@
 pub use messages::{
     KnownLimit, LimitAnnouncement, LimitMessage, LimitState, PermitGrant, PermitRequest, Serial,
 };
-pub use pool::{Admission, Heard, Permit, PermitPool};
+pub use pool::{Admission, LimitUpdate, Permit, PermitPool};
 
 /// Milliseconds of a node's own clock.
 pub type Millis = u64;
--- a/crates/limits/src/pool.rs
+++ b/crates/limits/src/pool.rs
@@ -32,19 +32,19 @@
     /// It may, with this permit.
     Permitted(Permit),
     /// It may not: there is no permit.
-    Withheld,
+    Denied,
 }
 
 /// What was new in an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Heard {
+pub struct LimitUpdate {
     /// The limit before.
     pub before: Option<RequestRate>,
     /// The limit now.
     pub after: Option<RequestRate>,
 }
 
-impl Heard {
+impl LimitUpdate {
     /// Whether the limit is another than before.
     pub fn is_change(&self) -> bool {
         self.before != self.after
@@ -81,19 +81,19 @@
     /// An answer came whose head named the limit `named`, to a request that was sent with the permit
     /// `permit`. One that names none takes the limit back only where the request was sent after
     /// the limit was known, and where the answer `is_sound`: others may have been written before.
-    pub fn hear(
+    pub fn record_answer(
         &mut self,
         named: Option<RequestRate>,
         permit: Option<Serial>,
         is_sound: bool,
-    ) -> Heard {
+    ) -> LimitUpdate {
         let before = self.limit();
         match named {
             Some(rate) => self.named(rate, permit),
             None if is_sound => self.named_none(permit.unwrap_or(0)),
             None => {}
         }
-        Heard {
+        LimitUpdate {
             before,
             after: self.limit(),
         }
@@ -145,14 +145,14 @@
     }
 
     /// Permits that no decided request is to have.
-    pub fn free(&mut self, now: Millis) -> usize {
+    pub fn available(&mut self, now: Millis) -> usize {
         self.expire(now);
         self.permits.len() - self.chosen
     }
 
     /// A request was decided that is to have a permit.
-    pub fn choose(&mut self, now: Millis) {
-        if self.free(now) > 0 {
+    pub fn reserve(&mut self, now: Millis) {
+        if self.available(now) > 0 {
             self.chosen += 1;
         }
     }
@@ -166,11 +166,11 @@
         self.expire(now);
         self.chosen = self.chosen.saturating_sub(1);
         let permit = self.permits.pop_front();
-        permit.map_or(Admission::Withheld, Admission::Permitted)
+        permit.map_or(Admission::Denied, Admission::Permitted)
     }
 
     /// The request that took a permit was not sent.
-    pub fn give_back(&mut self, permit: Permit) {
+    pub fn return_permit(&mut self, permit: Permit) {
         let is_known = self.limit.is_some();
         if is_known && !self.permits.iter().any(|one| one.serial == permit.serial) {
             self.permits.push_front(permit);
@@ -178,9 +178,9 @@
     }
 
     /// When a permit can be had that is asked for now; none where one is there or none is needed.
-    pub fn next_at(&mut self, now: Millis) -> Option<Millis> {
+    pub fn next_permit_at(&mut self, now: Millis) -> Option<Millis> {
         let interval = interval_of(self.limit?.rate);
-        if self.free(now) > 0 {
+        if self.available(now) > 0 {
             return None;
         }
         let told = self
@@ -192,7 +192,7 @@
 
     /// When the `place`-th of the `wanted` permits that are waited for is expected, counted from
     /// 1; none where the issuer told nothing of it lately.
-    pub fn expected_at(&self, place: u32, now: Millis) -> Option<Millis> {
+    pub fn permit_expected_at(&self, place: u32, now: Millis) -> Option<Millis> {
         let (last, told_at) = self.expected?;
         let is_current = now.saturating_sub(told_at) < WAIT_TOLD_FOR && last > now;
         let wanted = u64::from(self.wanted.max(1));
@@ -200,14 +200,14 @@
     }
 
     /// A request would rather have gone to this back end: one permit is wanted for the next one.
-    pub fn prefer(&mut self, now: Millis) {
+    pub fn request_preferred(&mut self, now: Millis) {
         self.preferred_until = now + PERMIT_LIFETIME;
     }
 
     /// Takes how many requests wait for this back end.
     pub fn set_waiting(&mut self, waiting: u32, now: Millis) {
         let preferred = u32::from(now < self.preferred_until);
-        let held = u32::try_from(self.free(now)).unwrap_or(u32::MAX);
+        let held = u32::try_from(self.available(now)).unwrap_or(u32::MAX);
         self.wanted = waiting.max(preferred).saturating_sub(held);
         if self.wanted == 0 {
             self.expected = None;
@@ -239,7 +239,7 @@
     }
 
     /// Takes what the issuer sent. Tells the limit before and after.
-    pub fn take_grant(&mut self, grant: &PermitGrant, now: Millis) -> Heard {
+    pub fn apply_grant(&mut self, grant: &PermitGrant, now: Millis) -> LimitUpdate {
         let before = self.limit();
         match grant.state {
             LimitState::Limited(limit) => self.follow(limit),
@@ -250,17 +250,17 @@
         if self.limit.is_some() && self.told_at.is_some() && is_recent {
             self.take_permits(grant, now);
         }
-        Heard {
+        LimitUpdate {
             before,
             after: self.limit(),
         }
     }
 
     /// Takes a limit that another node heard of.
-    pub fn take_announcement(&mut self, told: KnownLimit) -> Heard {
+    pub fn apply_announcement(&mut self, told: KnownLimit) -> LimitUpdate {
         let before = self.limit();
         self.follow(told);
-        Heard {
+        LimitUpdate {
             before,
             after: self.limit(),
         }
--- a/crates/limits/tests/common/mod.rs
+++ b/crates/limits/tests/common/mod.rs
@@ -193,7 +193,7 @@
         {
             let answer = entry.remove();
             let node = &mut self.nodes[answer.node];
-            node.pool.hear(answer.named, answer.permit, true);
+            node.pool.record_answer(answer.named, answer.permit, true);
         }
     }
 
@@ -244,10 +244,10 @@
                 }
             }
             LimitMessage::Grant(grant) => {
-                self.nodes[node].pool.take_grant(&grant, now);
+                self.nodes[node].pool.apply_grant(&grant, now);
             }
             LimitMessage::Announced(announced) => {
-                self.nodes[node].pool.take_announcement(announced.limit);
+                self.nodes[node].pool.apply_announcement(announced.limit);
             }
             LimitMessage::Announce(_) => {}
         }
@@ -296,7 +296,7 @@
             let permit = match self.nodes[node].pool.admit(self.now) {
                 Admission::Unlimited => None,
                 Admission::Permitted(permit) => Some(permit.serial),
-                Admission::Withheld => return,
+                Admission::Denied => return,
             };
             self.nodes[node].waiting.pop_front();
             self.arrive(node, permit);
--- a/crates/limits/tests/pool.rs
+++ b/crates/limits/tests/pool.rs
@@ -33,7 +33,7 @@
 /// A pool that knows a limit of 1 a second by an answer to the permit 100, and asked for one.
 fn asking() -> PermitPool {
     let mut pool = PermitPool::default();
-    pool.hear(Some(rate(1.0)), Some(100), true);
+    pool.record_answer(Some(rate(1.0)), Some(100), true);
     pool.set_waiting(1, ASKED_AT);
     pool.request_due("e1", ASKED_AT).expect("asks");
     pool
@@ -56,7 +56,7 @@
     #[case] is_lifted: bool,
 ) {
     let mut pool = asking();
-    pool.hear(None, permit, is_sound);
+    pool.record_answer(None, permit, is_sound);
     assert_eq!(lifts(&mut pool), is_lifted);
     // The issuer lifts it, for all nodes.
     assert!(pool.limit().is_some());
@@ -74,27 +74,27 @@
     #[case] holds: f64,
 ) {
     let mut pool = asking();
-    pool.hear(Some(rate(named)), permit, true);
+    pool.record_answer(Some(rate(named)), permit, true);
     assert_eq!(pool.limit(), Some(rate(holds)));
 }
 
 #[test]
 fn a_limit_that_the_issuer_knows_by_an_earlier_answer_does_not_raise_a_lower_one() {
     let mut pool = asking();
-    pool.hear(Some(rate(0.5)), Some(100), true);
-    pool.take_grant(&grant(limited(1.0, 100), 200, 1), ASKED_AT + 5);
+    pool.record_answer(Some(rate(0.5)), Some(100), true);
+    pool.apply_grant(&grant(limited(1.0, 100), 200, 1), ASKED_AT + 5);
     assert_eq!(pool.limit(), Some(rate(0.5)));
 }
 
 #[test]
 fn a_limit_named_again_after_it_was_over_is_not_taken_for_the_former() {
     let mut pool = asking();
-    pool.take_grant(&grant(LimitState::Lifted(300), 0, 0), ASKED_AT + 5);
+    pool.apply_grant(&grant(LimitState::Lifted(300), 0, 0), ASKED_AT + 5);
     assert_eq!(pool.limit(), None);
     // A request without a permit, as there was no limit.
-    pool.hear(Some(rate(2.0)), None, true);
+    pool.record_answer(Some(rate(2.0)), None, true);
     // The issuer may still know the former end only.
-    pool.take_grant(&grant(LimitState::Lifted(300), 0, 0), ASKED_AT + 20);
+    pool.apply_grant(&grant(LimitState::Lifted(300), 0, 0), ASKED_AT + 20);
     assert_eq!(pool.limit(), Some(rate(2.0)));
 }
 
@@ -102,36 +102,36 @@
 fn a_permit_is_taken_once_and_given_back_where_nothing_was_sent() {
     let mut pool = asking();
     let now = ASKED_AT + 5;
-    pool.take_grant(&grant(limited(1.0, 100), 200, 1), now);
+    pool.apply_grant(&grant(limited(1.0, 100), 200, 1), now);
     let Admission::Permitted(permit) = pool.admit(now) else {
         panic!("a permit is there");
     };
-    assert_eq!(pool.admit(now), Admission::Withheld);
-    pool.give_back(permit);
-    pool.give_back(permit);
+    assert_eq!(pool.admit(now), Admission::Denied);
+    pool.return_permit(permit);
+    pool.return_permit(permit);
     assert_eq!(pool.admit(now + 1), Admission::Permitted(permit));
-    assert_eq!(pool.admit(now + 1), Admission::Withheld);
+    assert_eq!(pool.admit(now + 1), Admission::Denied);
 }
 
 #[test]
 fn a_permit_that_is_meant_for_a_decided_request_is_not_free_for_another() {
     let mut pool = asking();
     let now = ASKED_AT + 5;
-    pool.take_grant(&grant(limited(1.0, 100), 200, 1), now);
-    assert_eq!((pool.free(now), pool.next_at(now)), (1, None));
-    pool.choose(now);
-    assert_eq!(pool.free(now), 0);
-    assert_eq!(pool.next_at(now), Some(now + 1_000));
+    pool.apply_grant(&grant(limited(1.0, 100), 200, 1), now);
+    assert_eq!((pool.available(now), pool.next_permit_at(now)), (1, None));
+    pool.reserve(now);
+    assert_eq!(pool.available(now), 0);
+    assert_eq!(pool.next_permit_at(now), Some(now + 1_000));
 }
 
 #[test]
 fn permits_lapse_and_do_not_pile_up() {
     let mut pool = asking();
     let now = ASKED_AT + 5;
-    pool.take_grant(&grant(limited(1.0, 100), 200, 3), now);
+    pool.apply_grant(&grant(limited(1.0, 100), 200, 3), now);
     let later = now + PERMIT_LIFETIME;
-    assert_eq!(pool.free(later - 1), 3);
-    assert_eq!(pool.admit(later), Admission::Withheld);
+    assert_eq!(pool.available(later - 1), 3);
+    assert_eq!(pool.admit(later), Admission::Denied);
 }
 
 #[rstest]
@@ -139,24 +139,24 @@
 #[case::after_the_process_stood_still(ASKED_AT + 60_000, 0)]
 fn what_was_given_long_ago_is_no_permission(#[case] now: Millis, #[case] permits: usize) {
     let mut pool = asking();
-    pool.take_grant(&grant(limited(1.0, 100), 200, 1), now);
-    assert_eq!(pool.free(now), permits);
+    pool.apply_grant(&grant(limited(1.0, 100), 200, 1), now);
+    assert_eq!(pool.available(now), permits);
 }
 
 #[test]
 fn what_a_former_process_of_the_node_asked_for_is_no_permission() {
     let mut pool = PermitPool::default();
-    pool.take_grant(&grant(limited(1.0, 100), 200, 1), ASKED_AT + 5);
+    pool.apply_grant(&grant(limited(1.0, 100), 200, 1), ASKED_AT + 5);
     // But it tells of the limit.
     assert_eq!(pool.limit(), Some(rate(1.0)));
-    assert_eq!(pool.admit(ASKED_AT + 5), Admission::Withheld);
+    assert_eq!(pool.admit(ASKED_AT + 5), Admission::Denied);
 }
 
 #[test]
 fn an_engine_that_takes_nothing_is_asked_now_and_then() {
     let mut pool = PermitPool::default();
-    pool.hear(Some(RequestRate::ZERO), None, true);
-    assert_eq!(pool.next_at(0), Some(10_000));
+    pool.record_answer(Some(RequestRate::ZERO), None, true);
+    assert_eq!(pool.next_permit_at(0), Some(10_000));
 }
 
 #[test]
--- a/crates/serving/examples/back_end_count.rs
+++ b/crates/serving/examples/back_end_count.rs
@@ -6,9 +6,9 @@
 use silversail_model::topology::{RegionFilter, RoundTrips};
 use silversail_model::Topology;
 use silversail_peer::{ListedInstance, Listing, ListingUpdates, ListingVersion};
-use silversail_serving::cold::ColdUse;
+use silversail_serving::cold::ColdBackendPolicy;
 use silversail_serving::instances::InstanceTable;
-use silversail_serving::regions::{RegionAffinity, SharedPrompt};
+use silversail_serving::regions::{RegionAffinity, SharedPrefixCost};
 use silversail_serving::rollouts::VersionChoice;
 use silversail_serving::selection::{select, SelectionRequest};
 use std::collections::BTreeMap;
@@ -106,10 +106,10 @@
             regions: &any_region,
             region_affinity: RegionAffinity::Off,
             affinity,
-            shared_prompt: SharedPrompt::default(),
+            shared_prompt: SharedPrefixCost::default(),
             inputs: &[],
             tried: &[],
-            cold_use: ColdUse::Limited,
+            cold_use: ColdBackendPolicy::Limited,
             lot: 7,
         };
         microseconds(|| {
--- a/crates/serving/examples/returns.rs
+++ b/crates/serving/examples/returns.rs
@@ -11,11 +11,11 @@
 use silversail_model::topology::{RegionFilter, RoundTrips};
 use silversail_model::Topology;
 use silversail_peer::ListedInstance;
-use silversail_serving::cold::ColdUse;
+use silversail_serving::cold::ColdBackendPolicy;
 use silversail_serving::instances::{InstanceTable, ReturnPolicy};
-use silversail_serving::notices::{AnswerPath, BackendNotices};
+use silversail_serving::notices::{BackendNotices, ExchangeKind};
 use silversail_serving::ports::{Pace, ReportedLoad, SelfReport};
-use silversail_serving::regions::{RegionAffinity, SharedPrompt};
+use silversail_serving::regions::{RegionAffinity, SharedPrefixCost};
 use silversail_serving::rollouts::VersionChoice;
 use silversail_serving::selection::{select, SelectionRequest};
 use std::collections::BTreeMap;
@@ -162,10 +162,10 @@
                 regions: &regions,
                 region_affinity: RegionAffinity::Off,
                 affinity: None,
-                shared_prompt: SharedPrompt::default(),
+                shared_prompt: SharedPrefixCost::default(),
                 inputs: &[],
                 tried: &tried,
-                cold_use: ColdUse::Unlimited,
+                cold_use: ColdBackendPolicy::Unlimited,
                 lot: 0,
             };
             let chosen = select(&self.nodes[node], &request, now);
@@ -214,7 +214,7 @@
             running: all.min(SLOTS),
             waiting: all.saturating_sub(SLOTS),
             slots: SLOTS,
-            pace: Pace::USUAL,
+            pace: Pace::NORMAL,
         }
     }
 
@@ -231,7 +231,9 @@
             rest: self.asks.then_some(REST),
             ..SelfReport::default()
         };
-        table.notices().hear(&id, AnswerPath::Request, &said, now);
+        table
+            .notices()
+            .record_report(&id, ExchangeKind::Request, &said, now);
         table.ended(&id, 1);
         table.reported(&id, load, now);
         table.full(&id, now);
@@ -246,7 +248,9 @@
         let id = id_of(engine);
         let table = &mut self.nodes[node];
         let said = SelfReport::default();
-        table.notices().hear(&id, AnswerPath::Request, &said, now);
+        table
+            .notices()
+            .record_report(&id, ExchangeKind::Request, &said, now);
         table.ended(&id, 1);
         table.reported(&id, load, now);
         table.answered(&id);
--- a/crates/serving/src/batcher.rs
+++ b/crates/serving/src/batcher.rs
@@ -14,11 +14,11 @@
 mod schedule;
 mod versions;
 
-use crate::crashes::{BreakOff, BrokenSend};
+use crate::crashes::{ConnectionLoss, InterruptedSend};
 use crate::instances::{InstanceId, InstanceTable};
 use crate::policy::Policy;
 use crate::ports::PieceResults;
-use crate::rollouts::{CountedSend, RolloutBook};
+use crate::rollouts::{CountedSend, RolloutTracker};
 use crate::Millis;
 pub use announced::AnnouncedOrder;
 use announced::AnnouncedOrders;
@@ -118,7 +118,7 @@
     announced: AnnouncedOrders,
     paces: BTreeMap<Shard, Pace>,
     /// The rollouts of batched services.
-    pub rollouts: RolloutBook,
+    pub rollouts: RolloutTracker,
     policy: Policy,
     topology: Arc<Topology>,
     housekeeping_at: Millis,
@@ -138,7 +138,7 @@
             room: RoomBook::default(),
             announced: AnnouncedOrders::default(),
             paces: BTreeMap::new(),
-            rollouts: RolloutBook::default(),
+            rollouts: RolloutTracker::default(),
             policy,
             topology: Arc::default(),
             housekeeping_at: 0,
@@ -354,18 +354,18 @@
     }
 
     /// Where the requests of a call under way break off, if it does.
-    pub fn break_off(&self, call: CallId) -> Option<BreakOff> {
+    pub fn break_off(&self, call: CallId) -> Option<ConnectionLoss> {
         let state = self.calls.get(&call)?;
         let members: BTreeSet<&OrderKey> = state.members.iter().map(|(key, _)| key).collect();
         let orders = members.into_iter().filter_map(|key| self.orders.get(key));
         let sends = orders.filter_map(|order| {
             let piece = order.work.pieces.first()?;
-            Some(BrokenSend {
+            Some(InterruptedSend {
                 request: piece.request.clone(),
                 fingerprint: order.work.fingerprint,
             })
         });
-        Some(BreakOff {
+        Some(ConnectionLoss {
             instance: state.instance.clone(),
             service: state.shard.service.clone(),
             address: state.address.clone(),
--- a/crates/serving/src/batcher/versions.rs
+++ b/crates/serving/src/batcher/versions.rs
@@ -4,7 +4,7 @@
 use super::makers::EndedCall;
 use super::{Batcher, CallOutcome};
 use crate::instances::{Instance, InstanceTable};
-use crate::rollouts::{CountedAnswer, CountedSend, RolloutBook, VersionChoice, VersionRole};
+use crate::rollouts::{CountedAnswer, CountedSend, RolloutTracker, VersionChoice, VersionRole};
 use crate::Millis;
 use silversail_model::topology::RegionFilter;
 use silversail_model::traffic::BatchSpec;
@@ -147,7 +147,7 @@
     }
 }
 
-impl RolloutBook {
+impl RolloutTracker {
     /// Counts what came of a call to a maker. Calls hold different numbers of pieces: their
     /// times are told as if each took `usual_ms` by the configuration.
     pub(super) fn count_call_end(
--- a/crates/serving/src/cold.rs
+++ b/crates/serving/src/cold.rs
@@ -21,7 +21,7 @@
 /// How cold back ends are used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ColdUse {
+pub enum ColdBackendPolicy {
     /// Like any other.
     Unlimited,
     /// Like any other, within what they bear.
--- a/crates/serving/src/crashes.rs
+++ b/crates/serving/src/crashes.rs
@@ -18,7 +18,7 @@
 
 /// A request whose connection to a back end broke off.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BrokenSend {
+pub struct InterruptedSend {
     /// The caller's identifier.
     pub request: String,
     /// What it is.
@@ -27,7 +27,7 @@
 
 /// Where requests broke off.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BreakOff {
+pub struct ConnectionLoss {
     /// The back end.
     pub instance: InstanceId,
     /// Its service.
@@ -35,12 +35,12 @@
     /// Its address.
     pub address: String,
     /// The requests; several for a batch call.
-    pub sends: Vec<BrokenSend>,
+    pub sends: Vec<InterruptedSend>,
 }
 
 /// What came of the attempt to connect to a back end anew.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProbeAnswer {
+pub enum ProbeResult {
     /// Its machine refused: nothing listens there any more.
     Refused,
     /// It was accepted.
@@ -49,13 +49,13 @@
     Silent,
 }
 
-impl ProbeAnswer {
+impl ProbeResult {
     /// What it says of the connections that broke off, for logs and metrics.
     pub fn cause(self) -> &'static str {
         match self {
-            ProbeAnswer::Refused => "crash",
-            ProbeAnswer::Accepted => "connection",
-            ProbeAnswer::Silent => "unknown",
+            ProbeResult::Refused => "crash",
+            ProbeResult::Accepted => "connection",
+            ProbeResult::Silent => "unknown",
         }
     }
 }
@@ -77,16 +77,16 @@
     /// Its service.
     pub service: String,
     /// When the first of them broke off.
-    pub broke_at: Millis,
+    pub lost_at: Millis,
     /// What the attempt to connect came to.
-    pub answer: ProbeAnswer,
+    pub answer: ProbeResult,
     /// The requests.
-    pub sends: Vec<BrokenSend>,
+    pub sends: Vec<InterruptedSend>,
 }
 
 /// What comes of a connection that broke off.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BreakOffStep {
+pub enum ConnectionLossAction {
     /// Try to connect, and tell the answer.
     Probe(Probe),
     /// A probe is under way.
@@ -97,24 +97,24 @@
 
 struct Watched {
     service: String,
-    broke_at: Millis,
+    lost_at: Millis,
     /// None while the probe is under way.
-    answer: Option<ProbeAnswer>,
-    sends: Vec<BrokenSend>,
+    answer: Option<ProbeResult>,
+    sends: Vec<InterruptedSend>,
 }
 
 /// Connections that broke off lately, by back end.
 #[derive(Default)]
-pub struct CrashWatch {
+pub struct CrashDetector {
     watched: BTreeMap<InstanceId, Watched>,
 }
 
-impl CrashWatch {
+impl CrashDetector {
     /// Requests broke off at a back end.
-    pub fn broke_off(&mut self, broken: BreakOff, now: Millis) -> BreakOffStep {
+    pub fn connection_lost(&mut self, broken: ConnectionLoss, now: Millis) -> ConnectionLossAction {
         self.watched
-            .retain(|_, one| now.saturating_sub(one.broke_at) < SAME_CRASH_WITHIN);
-        let BreakOff {
+            .retain(|_, one| now.saturating_sub(one.lost_at) < SAME_CRASH_WITHIN);
+        let ConnectionLoss {
             instance,
             service,
             address,
@@ -123,29 +123,29 @@
         let Some(watched) = self.watched.get_mut(&instance) else {
             let watched = Watched {
                 service,
-                broke_at: now,
+                lost_at: now,
                 answer: None,
                 sends,
             };
             self.watched.insert(instance.clone(), watched);
-            return BreakOffStep::Probe(Probe { instance, address });
+            return ConnectionLossAction::Probe(Probe { instance, address });
         };
         match watched.answer {
             None => {
                 watched.sends.extend(sends);
-                BreakOffStep::Wait
+                ConnectionLossAction::Wait
             }
             // A back end that lives may have crashed since.
-            Some(ProbeAnswer::Accepted | ProbeAnswer::Silent) => {
-                watched.broke_at = now;
+            Some(ProbeResult::Accepted | ProbeResult::Silent) => {
+                watched.lost_at = now;
                 watched.answer = None;
                 watched.sends = sends;
-                BreakOffStep::Probe(Probe { instance, address })
+                ConnectionLossAction::Probe(Probe { instance, address })
             }
-            Some(answer) => BreakOffStep::Known(Diagnosis {
+            Some(answer) => ConnectionLossAction::Known(Diagnosis {
                 instance,
                 service,
-                broke_at: watched.broke_at,
+                lost_at: watched.lost_at,
                 answer,
                 sends,
             }),
@@ -153,7 +153,7 @@
     }
 
     /// A probe was answered.
-    pub fn probed(&mut self, instance: &str, answer: ProbeAnswer) -> Option<Diagnosis> {
+    pub fn probe_finished(&mut self, instance: &str, answer: ProbeResult) -> Option<Diagnosis> {
         let watched = self.watched.get_mut(instance)?;
         if watched.answer.is_some() {
             return None;
@@ -162,7 +162,7 @@
         Some(Diagnosis {
             instance: instance.to_owned(),
             service: watched.service.clone(),
-            broke_at: watched.broke_at,
+            lost_at: watched.lost_at,
             answer,
             sends: std::mem::take(&mut watched.sends),
         })
--- a/crates/serving/src/dispatcher.rs
+++ b/crates/serving/src/dispatcher.rs
@@ -18,14 +18,14 @@
 use crate::instances::InstanceTable;
 use crate::notices::BackendNotices;
 use crate::policy::Policy;
-use crate::popularity::SeenPrompts;
+use crate::popularity::PromptPopularity;
 use crate::ports::{CallAttributes, ReportedLoad};
 use crate::quarantine::RequestQuarantine;
 use crate::retry_budget::{RetryBudget, RetryLimits};
-use crate::rollouts::RolloutBook;
-use crate::routes::{RouteError, RouteTable, Routed};
+use crate::rollouts::RolloutTracker;
+use crate::routes::{ResolvedRoute, RouteError, RouteTable};
 use crate::selection::select;
-use crate::waits::WaitBook;
+use crate::waits::ShardWaitTable;
 use crate::Millis;
 pub use action::{Action, NotRunReason, Refusal, SendOutcome, SendPlan, UnknownReason};
 use admission::Admission;
@@ -56,7 +56,7 @@
     /// The back ends.
     pub instances: InstanceTable,
     /// The rollouts of the services that take requests.
-    pub rollouts: RolloutBook,
+    pub rollouts: RolloutTracker,
     /// Requests that crash back ends.
     pub quarantine: RequestQuarantine,
     budget: RetryBudget,
@@ -64,7 +64,7 @@
     requests: BTreeMap<RequestNumber, ActiveRequest>,
     works: BTreeMap<WorkId, (RequestNumber, usize)>,
     admission: Admission,
-    seen_prompts: SeenPrompts,
+    seen_prompts: PromptPopularity,
     policy: Policy,
     next_work: WorkId,
     log: DecisionLog,
@@ -86,7 +86,7 @@
         Self {
             routes: None,
             instances,
-            rollouts: RolloutBook::default(),
+            rollouts: RolloutTracker::default(),
             quarantine: RequestQuarantine::default(),
             budget: RetryBudget::new(limits),
             nodes: 1,
@@ -94,7 +94,7 @@
             works: BTreeMap::new(),
             admission: Admission::new(topology.clone(), policy),
             topology,
-            seen_prompts: SeenPrompts::default(),
+            seen_prompts: PromptPopularity::default(),
             policy,
             next_work: first_work,
             log,
@@ -139,7 +139,7 @@
     }
 
     /// How long shards of batched services take now.
-    pub fn waits(&self) -> &WaitBook {
+    pub fn waits(&self) -> &ShardWaitTable {
         &self.admission.waits
     }
 
@@ -280,7 +280,7 @@
         self.routes.as_ref().map_or(0, RouteTable::version)
     }
 
-    fn routed(&self, call: &CallAttributes) -> Result<Routed, ResultCode> {
+    fn routed(&self, call: &CallAttributes) -> Result<ResolvedRoute, ResultCode> {
         let Some(routes) = &self.routes else {
             return Err(ResultCode::NoTrafficConfiguration);
         };
--- a/crates/serving/src/dispatcher/action.rs
+++ b/crates/serving/src/dispatcher/action.rs
@@ -2,7 +2,7 @@
 
 use super::RequestNumber;
 use crate::batcher::AnnouncedOrder;
-use crate::crashes::BreakOff;
+use crate::crashes::ConnectionLoss;
 use crate::ports::SendAttributes;
 use crate::Millis;
 use silversail_model::topology::RegionFilter;
@@ -85,7 +85,7 @@
     /// Find out whether the back end at which the request broke off has ended.
     Diagnose {
         /// Where it broke off.
-        broken: BreakOff,
+        broken: ConnectionLoss,
     },
     /// Free results.
     Release {
--- a/crates/serving/src/dispatcher/admission.rs
+++ b/crates/serving/src/dispatcher/admission.rs
@@ -3,7 +3,7 @@
 
 use super::request::ActiveRequest;
 use crate::policy::Policy;
-use crate::waits::WaitBook;
+use crate::waits::ShardWaitTable;
 use crate::Millis;
 use silversail_model::Topology;
 use silversail_peer::RANKS;
@@ -46,7 +46,7 @@
 pub(super) struct Admission {
     policy: Policy,
     errors: BTreeMap<String, ForecastError>,
-    pub(super) waits: WaitBook,
+    pub(super) waits: ShardWaitTable,
     first_parts: BTreeMap<String, f64>,
 }
 
@@ -55,7 +55,7 @@
         Self {
             policy,
             errors: BTreeMap::new(),
-            waits: WaitBook::new(topology, policy.near_shards),
+            waits: ShardWaitTable::new(topology, policy.near_shards),
             first_parts: BTreeMap::new(),
         }
     }
--- a/crates/serving/src/dispatcher/request.rs
+++ b/crates/serving/src/dispatcher/request.rs
@@ -3,13 +3,13 @@
 use super::phases::PhaseBook;
 use super::Action;
 use crate::batcher::AnnouncedOrder;
-use crate::crashes::{BreakOff, BrokenSend};
+use crate::crashes::{ConnectionLoss, InterruptedSend};
 use crate::instances::{Instance, InstanceId, InstanceTable};
 use crate::policy::Policy;
 use crate::ports::{CallAttributes, SendAttributes};
-use crate::regions::{InputsAt, SharedPrompt};
+use crate::regions::{SharedPrefixCost, ZoneInputs};
 use crate::rollouts::{CountedSend, VersionChoice};
-use crate::routes::{RouteTable, Routed};
+use crate::routes::{ResolvedRoute, RouteTable};
 use crate::selection::{affinity_key, SelectionRequest};
 use crate::Millis;
 use silversail_model::{Outcome, RequestFingerprint, ResultCode, Shard, Topology};
@@ -49,7 +49,7 @@
     pub(super) call: CallAttributes,
     /// What it is, whatever its identifier.
     pub(super) fingerprint: RequestFingerprint,
-    pub(super) routed: Routed,
+    pub(super) routed: ResolvedRoute,
     policy: Policy,
     pub(super) arrived_at: Millis,
     /// When the caller's wait or the route's time is over.
@@ -71,13 +71,13 @@
     /// What a send came to that may have run, where it was followed by another.
     pub(super) failed_with: Option<ResultCode>,
     /// How long engines read what it shares with others.
-    pub(super) shared_prompt: SharedPrompt,
+    pub(super) shared_prompt: SharedPrefixCost,
 }
 
 impl ActiveRequest {
     pub(super) fn new(
         call: CallAttributes,
-        routed: Routed,
+        routed: ResolvedRoute,
         policy: Policy,
         now: Millis,
         end: Millis,
@@ -101,7 +101,7 @@
             waits_until: None,
             waits_for: None,
             failed_with: None,
-            shared_prompt: SharedPrompt::default(),
+            shared_prompt: SharedPrefixCost::default(),
         }
     }
 
@@ -111,12 +111,12 @@
     }
 
     /// Where it broke off, where `present` was its send.
-    pub(super) fn break_off(&self, present: &PresentSend) -> BreakOff {
-        BreakOff {
+    pub(super) fn break_off(&self, present: &PresentSend) -> ConnectionLoss {
+        ConnectionLoss {
             instance: present.instance.clone(),
             service: present.service.clone(),
             address: present.address.clone(),
-            sends: vec![BrokenSend {
+            sends: vec![InterruptedSend {
                 request: self.call.id.clone(),
                 fingerprint: self.fingerprint,
             }],
@@ -304,12 +304,12 @@
     }
 
     /// Where the inputs of the engine lie, as far as phases have made them.
-    pub(super) fn inputs_of_engine(&self, instances: &InstanceTable) -> Vec<InputsAt> {
+    pub(super) fn inputs_of_engine(&self, instances: &InstanceTable) -> Vec<ZoneInputs> {
         let last = self.phases.last_results_by_phase();
         let of_phase = |(phase, handles): (usize, &Vec<ResultHandle>)| {
             let holder = handles.iter().find_map(|one| instances.holder(one))?;
             let bytes = self.routed.route.phases[phase].result_bytes * handles.len() as u64;
-            Some(InputsAt {
+            Some(ZoneInputs {
                 zone: holder.listed.zone.clone(),
                 bytes,
             })
@@ -321,7 +321,7 @@
     pub(super) fn selection<'a>(
         &'a self,
         topology: &'a Topology,
-        inputs: &'a [InputsAt],
+        inputs: &'a [ZoneInputs],
     ) -> SelectionRequest<'a> {
         let affinity = match self.routed.route.has_prefix && self.policy.prefix_affinity {
             true => affinity_key(&self.call.prefix),
--- a/crates/serving/src/instances/instance.rs
+++ b/crates/serving/src/instances/instance.rs
@@ -128,7 +128,7 @@
 
     /// A request of this node was decided that goes there.
     pub(crate) fn choose_permit(&self, now: Millis) {
-        self.notice.choose_permit(now);
+        self.notice.reserve_permit(now);
     }
 
     /// Whether it would get a request if this node had a permit for it.
@@ -230,7 +230,7 @@
     /// not told just now.
     pub fn slowness(&self, now: Millis) -> f64 {
         let told = self.report(now).filter(|(_, age)| *age <= PACE_LIFETIME);
-        told.map_or(0.0, |(load, _)| load.pace.beyond_usual())
+        told.map_or(0.0, |(load, _)| load.pace.excess_over_normal())
     }
 
     /// Requests running and waiting there: what it reported and what this node
--- a/crates/serving/src/notices.rs
+++ b/crates/serving/src/notices.rs
@@ -31,7 +31,7 @@
 
 /// The kind of exchange in which a back end said something.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerPath {
+pub enum ExchangeKind {
     /// The answer to a caller's request.
     Request,
     /// The answer to a batch call.
@@ -44,15 +44,15 @@
     Load,
 }
 
-impl AnswerPath {
+impl ExchangeKind {
     /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            AnswerPath::Request => "request",
-            AnswerPath::Batch => "batch",
-            AnswerPath::Free => "free",
-            AnswerPath::Stage => "stage",
-            AnswerPath::Load => "load",
+            ExchangeKind::Request => "request",
+            ExchangeKind::Batch => "batch",
+            ExchangeKind::Free => "free",
+            ExchangeKind::Stage => "stage",
+            ExchangeKind::Load => "load",
         }
     }
 }
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerContext {
     /// The kind of exchange.
-    pub path: AnswerPath,
+    pub path: ExchangeKind,
     /// The permit with which the request was sent, where it had one.
     pub permit: Option<Serial>,
     /// Whether it is an answer that shows how the back end fares: the back end's own to this
@@ -69,8 +69,8 @@
     pub is_sound: bool,
 }
 
-impl From<AnswerPath> for AnswerContext {
-    fn from(path: AnswerPath) -> Self {
+impl From<ExchangeKind> for AnswerContext {
+    fn from(path: ExchangeKind) -> Self {
         Self {
             path,
             permit: None,
@@ -81,7 +81,7 @@
 
 /// What was new in what a back end said of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct News {
+pub struct SelfReportChanges {
     /// It asked for a rest that ends later than any before.
     pub is_longer_rest: bool,
     /// It said for the first time that it leaves.
@@ -92,7 +92,7 @@
 
 /// Why nothing may be sent to a back end, as it said so itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Withheld {
+pub enum UnavailableReason {
     /// It asked for a rest that is not over.
     Resting,
     /// It leaves.
@@ -101,13 +101,13 @@
     Limited,
 }
 
-impl Withheld {
+impl UnavailableReason {
     /// Its name in metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Withheld::Resting => "resting",
-            Withheld::Leaving => "leaving",
-            Withheld::Limited => "limited",
+            UnavailableReason::Resting => "resting",
+            UnavailableReason::Leaving => "leaving",
+            UnavailableReason::Limited => "limited",
         }
     }
 }
@@ -182,18 +182,18 @@
     }
 
     /// Takes in what a back end said of itself at `now`. Of two rests the later end holds.
-    pub fn hear(
+    pub fn record_report(
         &self,
         id: &str,
         answer: impl Into<AnswerContext>,
         said: &SelfReport,
         now: Millis,
-    ) -> News {
+    ) -> SelfReportChanges {
         let answer = answer.into();
         let path = answer.path;
         let mut entries = self.lock();
         let entry = entries.entry(id);
-        let mut news = News::default();
+        let mut news = SelfReportChanges::default();
         if said.rest.is_none() && entry.notice.is_unproven(now) {
             entry.notice.has_rested.store(false, Ordering::Release);
         }
@@ -226,7 +226,9 @@
         }
         let notice = entry.notice.clone();
         let named = said.limit.lowest;
-        let heard = notice.permits().hear(named, answer.permit, answer.is_sound);
+        let heard = notice
+            .permits()
+            .record_answer(named, answer.permit, answer.is_sound);
         news.is_other_limit = heard.is_change();
         self.note_limit(&mut entries, id, &heard, path.name(), "");
         drop(entries);
--- a/crates/serving/src/notices/limits.rs
+++ b/crates/serving/src/notices/limits.rs
@@ -1,10 +1,12 @@
 //! The limits that back ends named, and the permits of this node.
 
-use super::{BackendNotices, Entries, Withheld};
+use super::{BackendNotices, Entries, UnavailableReason};
 use crate::instances::InstanceId;
 use crate::Millis;
 use silversail_decisions::Event;
-use silversail_limits::{Admission, Heard, LimitAnnouncement, Permit, PermitGrant, PermitRequest};
+use silversail_limits::{
+    Admission, LimitAnnouncement, LimitUpdate, Permit, PermitGrant, PermitRequest,
+};
 use silversail_model::RequestRate;
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -18,7 +20,7 @@
         &self,
         entries: &mut Entries,
         id: &str,
-        heard: &Heard,
+        heard: &LimitUpdate,
         path: &str,
         by: &str,
     ) {
@@ -49,9 +51,9 @@
 
     /// Whether a request may leave for a back end at `now`, with the permit that it takes where
     /// the back end has a limit.
-    pub fn admit(&self, id: &str, now: Millis) -> Result<Option<Permit>, Withheld> {
+    pub fn admit(&self, id: &str, now: Millis) -> Result<Option<Permit>, UnavailableReason> {
         let notice = self.of(id);
-        if let Some(reason) = notice.withheld(now) {
+        if let Some(reason) = notice.unavailable_reason(now) {
             return Err(reason);
         }
         if !notice.is_limited() {
@@ -61,13 +63,13 @@
         match admission {
             Admission::Unlimited => Ok(None),
             Admission::Permitted(permit) => Ok(Some(permit)),
-            Admission::Withheld => Err(Withheld::Limited),
+            Admission::Denied => Err(UnavailableReason::Limited),
         }
     }
 
     /// A request that took a permit was not sent.
-    pub fn give_back(&self, id: &str, permit: Permit) {
-        self.of(id).permits().give_back(permit);
+    pub fn return_permit(&self, id: &str, permit: Permit) {
+        self.of(id).permits().return_permit(permit);
     }
 
     /// What is to be told to the issuers of permits at `now`, where so many requests wait for
@@ -91,20 +93,20 @@
     }
 
     /// Takes what the issuer `from` sent.
-    pub fn take_grant(&self, from: &str, grant: &PermitGrant, now: Millis) {
+    pub fn apply_grant(&self, from: &str, grant: &PermitGrant, now: Millis) {
         let mut entries = self.lock();
         let id = &grant.backend;
         let notice = entries.entry(id).notice.clone();
-        let heard = notice.permits().take_grant(grant, now);
+        let heard = notice.permits().apply_grant(grant, now);
         self.note_limit(&mut entries, id, &heard, PEER, from);
     }
 
     /// Takes a limit that the node `from` told of.
-    pub fn take_announcement(&self, from: &str, announced: &LimitAnnouncement) {
+    pub fn apply_announcement(&self, from: &str, announced: &LimitAnnouncement) {
         let mut entries = self.lock();
         let id = &announced.backend;
         let notice = entries.entry(id).notice.clone();
-        let heard = notice.permits().take_announcement(announced.limit);
+        let heard = notice.permits().apply_announcement(announced.limit);
         self.note_limit(&mut entries, id, &heard, PEER, from);
     }
 
--- a/crates/serving/src/notices/notice.rs
+++ b/crates/serving/src/notices/notice.rs
@@ -1,6 +1,6 @@
 //! What one back end said of itself.
 
-use super::Withheld;
+use super::UnavailableReason;
 use crate::Millis;
 use silversail_limits::PermitPool;
 use silversail_model::RequestRate;
@@ -68,32 +68,33 @@
 
     /// When this node can have a permit that it asks for now; none where it has one or needs none.
     pub fn permit_at(&self, now: Millis) -> Option<Millis> {
-        self.is_limited().then(|| self.permits().next_at(now))?
+        self.is_limited()
+            .then(|| self.permits().next_permit_at(now))?
     }
 
     /// When the `place`-th request that waits for a permit gets one, counted from 1; none where
     /// that is not known.
     pub fn permit_expected_at(&self, place: u32, now: Millis) -> Option<Millis> {
-        self.permits().expected_at(place, now)
+        self.permits().permit_expected_at(place, now)
     }
 
     /// A request was decided that goes there.
-    pub fn choose_permit(&self, now: Millis) {
+    pub fn reserve_permit(&self, now: Millis) {
         if self.is_limited() {
-            self.permits().choose(now);
+            self.permits().reserve(now);
         }
     }
 
     /// A request would rather have gone there.
     pub fn prefer(&self, now: Millis) {
-        self.permits().prefer(now);
+        self.permits().request_preferred(now);
     }
 
     /// Why nothing may be sent to it at `now`; none where it may get work.
-    pub fn withheld(&self, now: Millis) -> Option<Withheld> {
+    pub fn unavailable_reason(&self, now: Millis) -> Option<UnavailableReason> {
         if self.is_leaving() {
-            return Some(Withheld::Leaving);
+            return Some(UnavailableReason::Leaving);
         }
-        self.is_resting(now).then_some(Withheld::Resting)
+        self.is_resting(now).then_some(UnavailableReason::Resting)
     }
 }
--- a/crates/serving/src/policy.rs
+++ b/crates/serving/src/policy.rs
@@ -1,7 +1,7 @@
 //! The mechanisms of deciding, each with a switch, so that what each is worth can be
 //! measured. All are on by default.
 
-use crate::cold::ColdUse;
+use crate::cold::ColdBackendPolicy;
 use crate::instances::ReturnPolicy;
 use crate::regions::RegionAffinity;
 use serde::Deserialize;
@@ -65,7 +65,7 @@
     /// on eight accelerators reads some 50.
     pub prefill_tokens_per_ms: f64,
     /// How cold back ends are used.
-    pub cold_use: ColdUse,
+    pub cold_use: ColdBackendPolicy,
     /// How this node comes back to back ends that asked for rest: what all nodes send at once is
     /// turned away.
     pub returns: ReturnPolicy,
@@ -103,7 +103,7 @@
             near_shards: true,
             region_affinity: RegionAffinity::Popular,
             prefill_tokens_per_ms: 50.0,
-            cold_use: ColdUse::Limited,
+            cold_use: ColdBackendPolicy::Limited,
             returns: ReturnPolicy::default(),
             room_share: 1.0,
             inputs_read_after_ms: 100,
--- a/crates/serving/src/popularity.rs
+++ b/crates/serving/src/popularity.rs
@@ -2,7 +2,7 @@
 //! too, and the engines there hold them.
 
 use crate::ports::PrefixPart;
-use crate::regions::SharedPrompt;
+use crate::regions::SharedPrefixCost;
 use crate::Millis;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::HashMap;
@@ -17,16 +17,21 @@
 
 /// When this node last saw each beginning of a prompt.
 #[derive(Default)]
-pub struct SeenPrompts {
+pub struct PromptPopularity {
     seen_at: HashMap<u64, Millis>,
 }
 
-impl SeenPrompts {
+impl PromptPopularity {
     /// Takes in the prompt of a request and tells how long engines read the part of it that
     /// requests share, at `tokens_per_ms`.
-    pub fn note(&mut self, prefix: &[PrefixPart], tokens_per_ms: f64, now: Millis) -> SharedPrompt {
+    pub fn note(
+        &mut self,
+        prefix: &[PrefixPart],
+        tokens_per_ms: f64,
+        now: Millis,
+    ) -> SharedPrefixCost {
         let mut hasher = DefaultHasher::new();
-        let mut shared = SharedPrompt::default();
+        let mut shared = SharedPrefixCost::default();
         for part in shared_parts(prefix) {
             part.id.hash(&mut hasher);
             let read_ms = f64::from(part.tokens) / tokens_per_ms;
--- a/crates/serving/src/ports.rs
+++ b/crates/serving/src/ports.rs
@@ -93,11 +93,11 @@
 
 impl Pace {
     /// As long as usual; also where a back end does not tell.
-    pub const USUAL: Self = Self(100);
+    pub const NORMAL: Self = Self(100);
 
     /// How much longer than usual, as a share of the usual time; less than 0 where it is quicker.
-    pub fn beyond_usual(self) -> f64 {
-        (f64::from(self.0) - f64::from(Self::USUAL.0)) / f64::from(Self::USUAL.0)
+    pub fn excess_over_normal(self) -> f64 {
+        (f64::from(self.0) - f64::from(Self::NORMAL.0)) / f64::from(Self::NORMAL.0)
     }
 }
 
--- a/crates/serving/src/regions.rs
+++ b/crates/serving/src/regions.rs
@@ -35,7 +35,7 @@
 
 /// The shared beginning of a prompt.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct SharedPrompt {
+pub struct SharedPrefixCost {
     /// Milliseconds that an engine which holds nothing of it takes to read it.
     pub read_ms: f64,
     /// The same for what the engines of a region are believed to hold nothing of, unless the
@@ -45,7 +45,7 @@
 
 /// Inputs of a request at the back ends of a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct InputsAt {
+pub struct ZoneInputs {
     /// The zone.
     pub zone: String,
     /// Their size.
@@ -53,7 +53,7 @@
 }
 
 /// Milliseconds that so many bytes take between regions.
-pub fn moving_ms(bytes: u64) -> f64 {
+pub fn transfer_ms(bytes: u64) -> f64 {
     bytes as f64 / 1e6 * MS_PER_MEGABYTE
 }
 
@@ -142,13 +142,13 @@
 /// What the back end has to fetch from other regions.
 fn fetching_ms(instance: &Instance, request: &SelectionRequest<'_>) -> f64 {
     let topology = request.topology;
-    let is_far = |inputs: &&InputsAt| {
+    let is_far = |inputs: &&ZoneInputs| {
         topology.distance(&inputs.zone, &instance.listed.zone) == Distance::OtherRegion
     };
-    let far: Vec<&InputsAt> = request.inputs.iter().filter(is_far).collect();
+    let far: Vec<&ZoneInputs> = request.inputs.iter().filter(is_far).collect();
     if far.is_empty() {
         return 0.0;
     }
     let bytes = far.iter().map(|inputs| inputs.bytes).sum();
-    topology.round_trip_ms(Distance::OtherRegion) + moving_ms(bytes)
+    topology.round_trip_ms(Distance::OtherRegion) + transfer_ms(bytes)
 }
--- a/crates/serving/src/rollouts.rs
+++ b/crates/serving/src/rollouts.rs
@@ -85,13 +85,13 @@
 /// Without a permit nothing goes to a candidate. A permit is given by whoever knows how fresh
 /// the rollouts are, before each decision that rests on it; at first there is none.
 #[derive(Default)]
-pub struct RolloutBook {
+pub struct RolloutTracker {
     followed: BTreeMap<String, FollowedRollout>,
     roles: VersionRoles,
     is_permitted: bool,
 }
 
-impl RolloutBook {
+impl RolloutTracker {
     /// Takes the latest rollout of each service. Counts of one that goes on are kept.
     pub fn take<'a>(&mut self, rollouts: impl IntoIterator<Item = &'a Rollout>) {
         for rollout in rollouts {
--- a/crates/serving/src/routes.rs
+++ b/crates/serving/src/routes.rs
@@ -22,7 +22,7 @@
 
 /// A request's route, service and tenant.
 #[derive(Clone, Debug)]
-pub struct Routed {
+pub struct ResolvedRoute {
     /// The route.
     pub route: Arc<Route>,
     /// The service that takes the request.
@@ -103,7 +103,7 @@
     }
 
     /// Finds the route of a request and checks its key.
-    pub fn route(&self, call: &CallAttributes) -> Result<Routed, RouteError> {
+    pub fn route(&self, call: &CallAttributes) -> Result<ResolvedRoute, RouteError> {
         let route = self
             .of_host(&call.host)
             .find(|route| call.path.starts_with(&route.path_prefix))
@@ -111,7 +111,7 @@
         let owner = self.owner(call, route)?;
         let own_priority = owner.and_then(|owner| owner.priority);
         let of_tenant = owner.and_then(|owner| owner.allowed_regions.as_ref());
-        Ok(Routed {
+        Ok(ResolvedRoute {
             service: pick_target(&route.targets, &call.id).to_owned(),
             priority: own_priority.unwrap_or(route.priority),
             regions: RegionFilter::of_both(route.allowed_regions.as_ref(), of_tenant),
--- a/crates/serving/src/selection.rs
+++ b/crates/serving/src/selection.rs
@@ -5,11 +5,13 @@
 //! service by the same hash of that beginning, so no node needs to ask another. Where
 //! there are several regions, each names its choice, and [`crate::regions`] compares them.
 
-use crate::cold::ColdUse;
+use crate::cold::ColdBackendPolicy;
 use crate::instances::{Instance, InstanceTable};
 use crate::popularity::shared_parts;
 use crate::ports::PrefixPart;
-use crate::regions::{by_region, cheapest, InputsAt, RegionAffinity, RegionChoice, SharedPrompt};
+use crate::regions::{
+    by_region, cheapest, RegionAffinity, RegionChoice, SharedPrefixCost, ZoneInputs,
+};
 use crate::rollouts::VersionChoice;
 use crate::Millis;
 use silversail_model::topology::RegionFilter;
@@ -50,13 +52,13 @@
     /// Hash of the shared beginning of the prompt.
     pub affinity: Option<u64>,
     /// How long that beginning takes to read.
-    pub shared_prompt: SharedPrompt,
+    pub shared_prompt: SharedPrefixCost,
     /// Inputs that the back end fetches.
-    pub inputs: &'a [InputsAt],
+    pub inputs: &'a [ZoneInputs],
     /// Back ends that were tried before.
     pub tried: &'a [String],
     /// How cold back ends are used.
-    pub cold_use: ColdUse,
+    pub cold_use: ColdBackendPolicy,
     /// Spreads requests over back ends that are as busy as each other.
     pub lot: u64,
 }
@@ -174,11 +176,11 @@
 
 impl Bearing {
     /// What is looked for, in order.
-    fn of(cold_use: ColdUse) -> &'static [Self] {
+    fn of(cold_use: ColdBackendPolicy) -> &'static [Self] {
         match cold_use {
-            ColdUse::Unlimited => &[Self::Any],
-            ColdUse::Limited => &[Self::Another],
-            ColdUse::LastResort => &[Self::Warm, Self::Another],
+            ColdBackendPolicy::Unlimited => &[Self::Any],
+            ColdBackendPolicy::Limited => &[Self::Another],
+            ColdBackendPolicy::LastResort => &[Self::Warm, Self::Another],
         }
     }
 
--- a/crates/serving/src/waits.rs
+++ b/crates/serving/src/waits.rs
@@ -1,7 +1,7 @@
 //! How long phases take now, as the batching nodes told, and which shard of a service
 //! an order goes to.
 
-use crate::regions::moving_ms;
+use crate::regions::transfer_ms;
 use crate::Millis;
 use silversail_model::{Distance, Shard, Topology};
 use silversail_peer::{ShardWaits, RANKS};
@@ -25,7 +25,7 @@
 
 /// An order that is to be placed.
 #[derive(Clone, Copy, Debug)]
-pub struct OrderToPlace<'a> {
+pub struct PlacementRequest<'a> {
     /// Zone where it had better be made, as much has to be moved; empty for any.
     pub zone: &'a str,
     /// Bytes that are moved in all, from or to that zone.
@@ -46,13 +46,13 @@
 }
 
 /// What the batching nodes told, by shard.
-pub struct WaitBook {
+pub struct ShardWaitTable {
     topology: Arc<Topology>,
     prefers_near: bool,
     told: BTreeMap<Shard, (ShardWaits, Millis)>,
 }
 
-impl WaitBook {
+impl ShardWaitTable {
     /// Nothing is known yet at a node in `topology`. Without `prefers_near` the shards of all
     /// regions count as those of one.
     pub fn new(topology: Arc<Topology>, prefers_near: bool) -> Self {
@@ -137,7 +137,7 @@
     /// milliseconds, if so many bytes have to follow it.
     fn leaving_ms(&self, moved_bytes: u64) -> u64 {
         let way = self.topology.round_trip_ms(Distance::OtherRegion);
-        (way + moving_ms(moved_bytes)) as u64 + FAR_MARGIN
+        (way + transfer_ms(moved_bytes)) as u64 + FAR_MARGIN
     }
 
     /// The shard of `shards` that an order goes to: one of the region where it had better be
@@ -146,7 +146,7 @@
     pub fn choose<'a>(
         &self,
         shards: &[&'a Shard],
-        order: &OrderToPlace,
+        order: &PlacementRequest,
         now: Millis,
     ) -> Option<&'a Shard> {
         let wanted_zone = match order.zone {
@@ -186,7 +186,7 @@
         &self,
         shards: &[&'a Shard],
         wanted_zone: &str,
-        order: &OrderToPlace,
+        order: &PlacementRequest,
         now: Millis,
     ) -> Option<&'a Shard> {
         let near = shards
--- a/crates/serving/tests/back_end_count.rs
+++ b/crates/serving/tests/back_end_count.rs
@@ -7,9 +7,9 @@
 use rstest::rstest;
 use silversail_decisions::{DecisionLog, LogLimits};
 use silversail_peer::ListedInstance;
-use silversail_serving::cold::ColdUse;
+use silversail_serving::cold::ColdBackendPolicy;
 use silversail_serving::instances::InstanceTable;
-use silversail_serving::regions::{RegionAffinity, SharedPrompt};
+use silversail_serving::regions::{RegionAffinity, SharedPrefixCost};
 use silversail_serving::rollouts::VersionChoice;
 use silversail_serving::selection::{select, SelectionRequest};
 use std::collections::BTreeMap;
@@ -47,10 +47,10 @@
         regions: &ANY_REGION,
         region_affinity: RegionAffinity::Off,
         affinity,
-        shared_prompt: SharedPrompt::default(),
+        shared_prompt: SharedPrefixCost::default(),
         inputs: &[],
         tried: &[],
-        cold_use: ColdUse::Limited,
+        cold_use: ColdBackendPolicy::Limited,
         lot,
     }
 }
--- a/crates/serving/tests/cold.rs
+++ b/crates/serving/tests/cold.rs
@@ -6,9 +6,9 @@
 use rstest::rstest;
 use silversail_decisions::DecisionLog;
 use silversail_model::traffic::ColdSpec;
-use silversail_serving::cold::ColdUse;
+use silversail_serving::cold::ColdBackendPolicy;
 use silversail_serving::instances::InstanceTable;
-use silversail_serving::regions::{RegionAffinity, SharedPrompt};
+use silversail_serving::regions::{RegionAffinity, SharedPrefixCost};
 use silversail_serving::rollouts::VersionChoice;
 use silversail_serving::selection::{select, SelectionRequest};
 use std::ops::Range;
@@ -40,7 +40,7 @@
     table
 }
 
-fn request(cold_use: ColdUse) -> SelectionRequest<'static> {
+fn request(cold_use: ColdBackendPolicy) -> SelectionRequest<'static> {
     SelectionRequest {
         service: "pool",
         versions: VersionChoice::Any,
@@ -48,7 +48,7 @@
         regions: &ANY_REGION,
         region_affinity: RegionAffinity::Popular,
         affinity: Some(7),
-        shared_prompt: SharedPrompt::default(),
+        shared_prompt: SharedPrefixCost::default(),
         inputs: &[],
         tried: &[],
         cold_use,
@@ -58,7 +58,11 @@
 
 /// The most arrivals in one second at `backend` when every node has a request each 10 ms, one
 /// after the other, for 5 s.
-fn most_in_a_second(tables: &mut [InstanceTable], backend: &str, cold_use: ColdUse) -> usize {
+fn most_in_a_second(
+    tables: &mut [InstanceTable],
+    backend: &str,
+    cold_use: ColdBackendPolicy,
+) -> usize {
     let mut arrivals = Vec::new();
     for now in (0..5_000).step_by(10) {
         for table in tables.iter_mut() {
@@ -89,9 +93,9 @@
 fn all_nodes_together_keep_to_what_a_cold_back_end_bears(#[case] nodes: usize) {
     let ids = [("cold", true)];
     let mut tables: Vec<_> = (0..nodes).map(|node| table(node, 0..nodes, &ids)).collect();
-    let most = most_in_a_second(&mut tables, "cold", ColdUse::Limited);
+    let most = most_in_a_second(&mut tables, "cold", ColdBackendPolicy::Limited);
     assert!((4..=BORNE as usize).contains(&most), "{most} in a second");
-    let unlimited = most_in_a_second(&mut tables, "cold", ColdUse::Unlimited);
+    let unlimited = most_in_a_second(&mut tables, "cold", ColdBackendPolicy::Unlimited);
     assert_eq!(unlimited, 100 * nodes);
 }
 
@@ -104,7 +108,7 @@
         false => table(node, 32..64, &ids),
     });
     let mut tables: Vec<_> = halves.collect();
-    let most = most_in_a_second(&mut tables, "cold", ColdUse::Limited);
+    let most = most_in_a_second(&mut tables, "cold", ColdBackendPolicy::Limited);
     assert!(most <= FALLS_OVER_ABOVE, "{most} in a second");
 }
 
@@ -115,7 +119,7 @@
         (0..nodes).map(|node| table(node, 0..nodes, ids)).collect()
     };
     let chosen = |tables: &[InstanceTable]| -> Vec<Option<String>> {
-        let choose = |table| select(table, &request(ColdUse::Limited), 0);
+        let choose = |table| select(table, &request(ColdBackendPolicy::Limited), 0);
         let all = tables.iter().map(choose);
         all.map(|one| one.map(|one| one.listed.id.clone()))
             .collect()
@@ -130,10 +134,10 @@
 fn as_a_last_resort_cold_back_ends_get_nothing_beside_warm_ones() {
     let ids = [("cold", true), ("warm", false)];
     let mut tables: Vec<_> = (0..9).map(|node| table(node, 0..9, &ids)).collect();
-    let most = most_in_a_second(&mut tables, "cold", ColdUse::LastResort);
+    let most = most_in_a_second(&mut tables, "cold", ColdBackendPolicy::LastResort);
     assert_eq!(most, 0);
     let mut alone: Vec<_> = (0..9).map(|node| table(node, 0..9, &ids[..1])).collect();
-    assert!(most_in_a_second(&mut alone, "cold", ColdUse::LastResort) > 0);
+    assert!(most_in_a_second(&mut alone, "cold", ColdBackendPolicy::LastResort) > 0);
 }
 
 /// The list that says whether they are cold comes a while after the end of an evacuation.
@@ -146,7 +150,7 @@
         table.set_evacuated(Default::default(), 0);
     }
     let sends_at = |now| {
-        let wanted = request(ColdUse::Limited);
+        let wanted = request(ColdBackendPolicy::Limited);
         let chosen = tables
             .iter()
             .filter_map(|table| select(table, &wanted, now));
@@ -162,7 +166,7 @@
     let mut table = table(0, 0..64, &[("cold", true)]);
     table.set_cold_specs(Default::default());
     for now in 0..20 {
-        assert!(select(&table, &request(ColdUse::Limited), now).is_some());
+        assert!(select(&table, &request(ColdBackendPolicy::Limited), now).is_some());
         table.sent("cold", 1, now);
     }
 }
--- a/crates/serving/tests/limits.rs
+++ b/crates/serving/tests/limits.rs
@@ -9,7 +9,7 @@
 use silversail_model::{NamedLimit, RequestRate, ResultCode};
 use silversail_serving::dispatcher::{Action, Dispatcher, NotRunReason, Refusal, SendOutcome};
 use silversail_serving::instances::InstanceTable;
-use silversail_serving::notices::{AnswerContext, AnswerPath, Withheld};
+use silversail_serving::notices::{AnswerContext, ExchangeKind, UnavailableReason};
 use silversail_serving::ports::SelfReport;
 use std::collections::BTreeMap;
 
@@ -33,7 +33,9 @@
 fn hear(table: &InstanceTable, ids: &[&str], per_second: f64) {
     for id in ids {
         let said = limit(per_second);
-        table.notices().hear(id, AnswerPath::Request, &said, 0);
+        table
+            .notices()
+            .record_report(id, ExchangeKind::Request, &said, 0);
     }
     table.notices().permit_requests(&NONE_WAITING, 0);
 }
@@ -78,7 +80,7 @@
     dispatcher
         .instances
         .notices()
-        .take_grant("n2", &grant("g1", 10, 1, 0), 5);
+        .apply_grant("n2", &grant("g1", 10, 1, 0), 5);
     let to = (0..6).map(|number| sent_to(&ask(&mut dispatcher, number, 10)));
     let to: Vec<String> = to.flatten().collect();
     let limited = to.iter().filter(|one| *one == "g1").count();
@@ -108,7 +110,7 @@
     let first = sent_to(&ask(&mut dispatcher, 1, 0)).expect("sent");
     hear(&dispatcher.instances, &[&first], 1.0);
     let admitted = dispatcher.instances.notices().admit(&first, 5);
-    assert_eq!(admitted, Err(Withheld::Limited));
+    assert_eq!(admitted, Err(UnavailableReason::Limited));
     let second = sent_to(&dispatcher.send_ended(1, WITHHELD, None, 5)).expect("sent anew");
     assert_ne!(second, first);
 }
@@ -118,11 +120,11 @@
     let dispatcher = dispatcher();
     let notices = dispatcher.instances.notices();
     hear(&dispatcher.instances, &["g1"], 1.0);
-    notices.take_grant("n2", &grant("g1", 10, 1, 0), 5);
+    notices.apply_grant("n2", &grant("g1", 10, 1, 0), 5);
     let permit = notices.admit("g1", 10).expect("admitted");
     assert_eq!(permit.map(|one| one.serial), Some(10));
-    assert_eq!(notices.admit("g1", 10), Err(Withheld::Limited));
-    notices.give_back("g1", permit.expect("a permit"));
+    assert_eq!(notices.admit("g1", 10), Err(UnavailableReason::Limited));
+    notices.return_permit("g1", permit.expect("a permit"));
     assert!(notices.admit("g1", 20).is_ok());
 }
 
@@ -133,11 +135,11 @@
     hear(&dispatcher.instances, &["g1"], 1.0);
     let lifted_by = |permit, is_sound| {
         let answer = AnswerContext {
-            path: AnswerPath::Request,
+            path: ExchangeKind::Request,
             permit,
             is_sound,
         };
-        notices.hear("g1", answer, &SelfReport::default(), 20);
+        notices.record_report("g1", answer, &SelfReport::default(), 20);
         let told = notices.permit_requests(&NONE_WAITING, 20);
         told.first().map(|request| request.lifted_by)
     };
@@ -166,7 +168,7 @@
         dispatcher
             .instances
             .notices()
-            .take_grant("n2", &grant(engine, 10, 1, 0), 300);
+            .apply_grant("n2", &grant(engine, 10, 1, 0), 300);
         let sent = sent_to(&dispatcher.send_waiting(300));
         assert_eq!(sent.as_ref(), Some(engine));
         assert!(dispatcher.permits_wanted().is_empty());
@@ -183,7 +185,7 @@
         dispatcher
             .instances
             .notices()
-            .take_grant("n2", &grant("g1", 10, 1, 0), 300);
+            .apply_grant("n2", &grant("g1", 10, 1, 0), 300);
         let sent = dispatcher.send_waiting(300);
         let number = sent.iter().find_map(|action| match action {
             Action::Send { number, .. } => Some(*number),
@@ -204,7 +206,7 @@
         for (engine, count) in dispatcher.permits_wanted() {
             let waiting = BTreeMap::from([(engine.clone(), count)]);
             notices.permit_requests(&waiting, 10);
-            notices.take_grant("n2", &grant(&engine, 10, 0, 8_000), 20);
+            notices.apply_grant("n2", &grant(&engine, 10, 0, 8_000), 20);
             refused.extend(refusals(&dispatcher.refuse_without_permit(&engine, 20)));
         }
         assert!(!refused.is_empty());
@@ -255,7 +257,7 @@
         let makers: Vec<&str> = calls.iter().map(|call| call.instance.as_str()).collect();
         assert_eq!(makers, ["s2"]);
         assert_eq!(batcher.permits_wanted(&table, 0), ["s1"]);
-        table.notices().take_grant("n2", &grant("s1", 10, 1, 0), 5);
+        table.notices().apply_grant("n2", &grant("s1", 10, 1, 0), 5);
         let calls = batcher.next_calls(&table, 10);
         assert_eq!(calls.len(), 1);
         assert_eq!(
--- a/crates/serving/tests/quarantine.rs
+++ b/crates/serving/tests/quarantine.rs
@@ -9,7 +9,7 @@
 use silversail_peer::PieceFailure;
 use silversail_quarantine::{Limits, QuarantineList};
 use silversail_serving::batcher::{Batcher, OrderKey};
-use silversail_serving::crashes::BrokenSend;
+use silversail_serving::crashes::InterruptedSend;
 use silversail_serving::dispatcher::{Action, Refusal, SendOutcome, UnknownReason};
 use silversail_serving::instances::InstanceTable;
 use silversail_serving::policy::Policy;
@@ -108,14 +108,14 @@
     let mut dispatcher = dispatcher();
     dispatcher.arrive(1, bad_call("r1", "/gate/x"), 0);
     let actions = dispatcher.send_ended(1, BROKEN, None, 20);
-    let broken: Vec<&Vec<BrokenSend>> = actions
+    let broken: Vec<&Vec<InterruptedSend>> = actions
         .iter()
         .filter_map(|action| match action {
             Action::Diagnose { broken } => Some(&broken.sends),
             _ => None,
         })
         .collect();
-    let expected = vec![BrokenSend {
+    let expected = vec![InterruptedSend {
         request: "r1".into(),
         fingerprint: bad("/gate/x"),
     }];
--- a/crates/serving/tests/regions.rs
+++ b/crates/serving/tests/regions.rs
@@ -7,11 +7,11 @@
 use silversail_decisions::DecisionLog;
 use silversail_model::topology::RegionFilter;
 use silversail_model::Topology;
-use silversail_serving::cold::ColdUse;
+use silversail_serving::cold::ColdBackendPolicy;
 use silversail_serving::instances::InstanceTable;
-use silversail_serving::popularity::SeenPrompts;
+use silversail_serving::popularity::PromptPopularity;
 use silversail_serving::ports::{Pace, PrefixPart, ReportedLoad};
-use silversail_serving::regions::{InputsAt, RegionAffinity, SharedPrompt};
+use silversail_serving::regions::{RegionAffinity, SharedPrefixCost, ZoneInputs};
 use silversail_serving::rollouts::VersionChoice;
 use silversail_serving::selection::{select, SelectionRequest};
 use std::collections::BTreeSet;
@@ -41,7 +41,7 @@
                 running: (f64::from(slots) * share) as u32,
                 waiting: 0,
                 slots,
-                pace: Pace::USUAL,
+                pace: Pace::NORMAL,
             };
             table.reported(&id, report, 0);
         }
@@ -56,10 +56,10 @@
         regions: &ANY_REGION,
         region_affinity,
         affinity: None,
-        shared_prompt: SharedPrompt::default(),
+        shared_prompt: SharedPrefixCost::default(),
         inputs: &[],
         tried: &[],
-        cold_use: ColdUse::Limited,
+        cold_use: ColdBackendPolicy::Limited,
         lot: 0,
     }
 }
@@ -72,7 +72,7 @@
     SelectionRequest {
         versions: VersionChoice::Any,
         affinity: Some(session),
-        shared_prompt: SharedPrompt {
+        shared_prompt: SharedPrefixCost {
             read_ms: 127.0,
             rare_read_ms,
         },
@@ -211,7 +211,7 @@
 #[test]
 fn an_engine_is_chosen_near_its_inputs() {
     let table = table();
-    let inputs = [InputsAt {
+    let inputs = [ZoneInputs {
         zone: "d".into(),
         bytes: 3_000_000,
     }];
@@ -267,7 +267,7 @@
 /// The common part of two prompts is popular with the second; its rare part is not.
 #[test]
 fn parts_are_popular_that_were_seen_in_the_last_seconds() {
-    let mut seen = SeenPrompts::default();
+    let mut seen = PromptPopularity::default();
     let mut note = |ids: &[u64], now| {
         let shared = seen.note(&parts(ids), 50.0, now);
         (shared.read_ms, shared.rare_read_ms)
@@ -284,7 +284,7 @@
 
 #[test]
 fn what_is_remembered_of_prompts_is_bounded() {
-    let mut seen = SeenPrompts::default();
+    let mut seen = PromptPopularity::default();
     for request in 0..20_000 {
         seen.note(&parts(&[request, request]), 50.0, request / 10);
     }
--- a/crates/serving/tests/request_regions.rs
+++ b/crates/serving/tests/request_regions.rs
@@ -69,7 +69,7 @@
         running,
         waiting: 0,
         slots: 64,
-        pace: Pace::USUAL,
+        pace: Pace::NORMAL,
     };
     dispatcher.instances.reported("e1", load, 0);
     let (_, phase) = arrive(&mut dispatcher);
--- a/crates/serving/tests/rest_seeds.rs
+++ b/crates/serving/tests/rest_seeds.rs
@@ -19,7 +19,7 @@
 use silversail_serving::dispatcher::{
     Action, Dispatcher, NotRunReason, SendOutcome, SendPlan, UnknownReason,
 };
-use silversail_serving::notices::AnswerPath;
+use silversail_serving::notices::ExchangeKind;
 use silversail_serving::policy::Policy;
 use silversail_serving::ports::SelfReport;
 use silversail_serving::routes::RouteTable;
@@ -72,9 +72,9 @@
     }
 
     /// An answer comes from a back end, on any path.
-    fn hear(&mut self, id: &str, path: AnswerPath, said: &SelfReport, now: u64) {
+    fn hear(&mut self, id: &str, path: ExchangeKind, said: &SelfReport, now: u64) {
         let notices = self.dispatcher.instances.notices();
-        notices.hear(id, path, said, now);
+        notices.record_report(id, path, said, now);
         let told = self.told.entry(id.to_owned()).or_default();
         if let Some(rest) = said.rest {
             told.rest_until = told.rest_until.max(now + rest.as_millis() as u64);
@@ -193,7 +193,7 @@
             let outcome = match is_withheld && random.gen() {
                 true => SendOutcome::NotRun(NotRunReason::Withheld),
                 false => {
-                    node.hear(&plan.instance, AnswerPath::Request, &said, now);
+                    node.hear(&plan.instance, ExchangeKind::Request, &said, now);
                     outcome_of(&said, random)
                 }
             };
@@ -215,7 +215,7 @@
                 .calls
                 .swap_remove(random.gen_range(0..node.calls.len()));
             let said = said(random);
-            node.hear(&call.instance, AnswerPath::Batch, &said, now);
+            node.hear(&call.instance, ExchangeKind::Batch, &said, now);
             let outcome = match said.rest {
                 Some(_) => CallOutcome::NotRun,
                 None if random.gen_range(0..8) == 0 => CallOutcome::Withheld,
--- a/crates/serving/tests/rests.rs
+++ b/crates/serving/tests/rests.rs
@@ -12,7 +12,7 @@
     Action, Dispatcher, NotRunReason, Refusal, SendOutcome, UnknownReason,
 };
 use silversail_serving::instances::{InstanceTable, ReturnPolicy};
-use silversail_serving::notices::AnswerPath;
+use silversail_serving::notices::ExchangeKind;
 use silversail_serving::policy::Policy;
 use silversail_serving::ports::SelfReport;
 use silversail_serving::retry_budget::RetryLimits;
@@ -48,7 +48,9 @@
 
 fn hear(table: &InstanceTable, ids: &[&str], said: &SelfReport, now: u64) {
     for id in ids {
-        table.notices().hear(id, AnswerPath::Request, said, now);
+        table
+            .notices()
+            .record_report(id, ExchangeKind::Request, said, now);
     }
 }
 
--- a/crates/serving/tests/rollouts.rs
+++ b/crates/serving/tests/rollouts.rs
@@ -28,7 +28,7 @@
     running: 0,
     waiting: 0,
     slots: 64,
-    pace: Pace::USUAL,
+    pace: Pace::NORMAL,
 };
 
 /// A dispatcher with three engines of `v1` and two of `v2`, and gates alike, that may send to
--- a/crates/serving/tests/selection.rs
+++ b/crates/serving/tests/selection.rs
@@ -4,10 +4,10 @@
 
 use common::{instance, instances, ANY_REGION, NO_REGIONS};
 use silversail_decisions::DecisionLog;
-use silversail_serving::cold::ColdUse;
+use silversail_serving::cold::ColdBackendPolicy;
 use silversail_serving::instances::InstanceTable;
 use silversail_serving::ports::{Pace, PrefixPart, ReportedLoad};
-use silversail_serving::regions::{RegionAffinity, SharedPrompt};
+use silversail_serving::regions::{RegionAffinity, SharedPrefixCost};
 use silversail_serving::rollouts::VersionChoice;
 use silversail_serving::selection::{affinity_key, select, SelectionRequest};
 use std::collections::BTreeSet;
@@ -26,10 +26,10 @@
         regions: &ANY_REGION,
         region_affinity: RegionAffinity::Popular,
         affinity,
-        shared_prompt: SharedPrompt::default(),
+        shared_prompt: SharedPrefixCost::default(),
         inputs: &[],
         tried: &[],
-        cold_use: ColdUse::Limited,
+        cold_use: ColdBackendPolicy::Limited,
         lot: 0,
     }
 }
@@ -67,7 +67,7 @@
         running: 64,
         waiting: 20,
         slots: 64,
-        pace: Pace::USUAL,
+        pace: Pace::NORMAL,
     };
     table.reported(&favourite, busy, 100);
     assert_ne!(
--- a/crates/serving/tests/waits.rs
+++ b/crates/serving/tests/waits.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use silversail_model::{Shard, ShardPlace};
 use silversail_peer::{ShardWaits, RANKS};
-use silversail_serving::waits::{OrderToPlace, WaitBook};
+use silversail_serving::waits::{PlacementRequest, ShardWaitTable};
 use std::collections::BTreeSet;
 
 const ZONES: [&str; 4] = ["a", "b", "c", "d"];
@@ -26,16 +26,16 @@
 }
 
 /// A book of a node in zone `a`.
-fn book(backlogs: &[(&str, u32)]) -> WaitBook {
-    let mut book = WaitBook::new(in_zone("a"), true);
+fn book(backlogs: &[(&str, u32)]) -> ShardWaitTable {
+    let mut book = ShardWaitTable::new(in_zone("a"), true);
     for (zone, backlog_ms) in backlogs {
         book.take(told(zone, *backlog_ms, 0), 1_000);
     }
     book
 }
 
-fn order(zone: &str, moved_bytes: u64, lot: u64) -> OrderToPlace<'_> {
-    OrderToPlace {
+fn order(zone: &str, moved_bytes: u64, lot: u64) -> PlacementRequest<'_> {
+    PlacementRequest {
         zone,
         moved_bytes,
         rank: 1,
@@ -44,7 +44,7 @@
 }
 
 /// Zones that orders go to, over many lots.
-fn zones_chosen(book: &WaitBook, zone: &str, now: u64) -> BTreeSet<String> {
+fn zones_chosen(book: &ShardWaitTable, zone: &str, now: u64) -> BTreeSet<String> {
     let all = shards();
     let all: Vec<&Shard> = all.iter().collect();
     let choose = |lot| {
@@ -87,7 +87,7 @@
 
 #[test]
 fn what_another_node_passes_on_late_does_not_displace_what_is_newer() {
-    let mut book = WaitBook::new(in_zone("a"), true);
+    let mut book = ShardWaitTable::new(in_zone("a"), true);
     book.take(told("a", 500, 0), 1_000);
     book.take(told("a", 0, 300), 1_200);
     assert_eq!(
@@ -111,14 +111,14 @@
 }
 
 /// A book of a node in zone `a` of region `north`, which holds `a` and `b`.
-fn book_in_regions(backlogs: &[(&str, u32)]) -> WaitBook {
+fn book_in_regions(backlogs: &[(&str, u32)]) -> ShardWaitTable {
     let regions = [
         ("a", "north"),
         ("b", "north"),
         ("c", "south"),
         ("d", "south"),
     ];
-    let mut book = WaitBook::new(in_regions("a", &regions), true);
+    let mut book = ShardWaitTable::new(in_regions("a", &regions), true);
     for (zone, backlog_ms) in backlogs {
         book.take(told(zone, *backlog_ms, 0), 1_000);
     }
@@ -191,7 +191,7 @@
         ("c", "south"),
         ("d", "south"),
     ];
-    let mut book = WaitBook::new(in_regions("a", &regions), false);
+    let mut book = ShardWaitTable::new(in_regions("a", &regions), false);
     for zone in ZONES {
         book.take(told(zone, if zone == "a" { 400 } else { 0 }, 0), 1_000);
     }
