--- a/crates/daemon/src/gateway/actor.rs
+++ b/crates/daemon/src/gateway/actor.rs
@@ -317,7 +317,7 @@
             failures: None,
         };
         self.open.insert(number, open);
-        for name in &call.withheld {
+        for name in &call.stripped_headers {
             let withheld = &self.setup.metrics.withheld_headers;
             withheld.with_label_values(&[name]).inc();
         }
--- a/crates/daemon/src/gateway/calls.rs
+++ b/crates/daemon/src/gateway/calls.rs
@@ -286,7 +286,7 @@
             let answer = AnswerContext {
                 path: *path,
                 permit: permit.as_ref().and_then(SendPermit::serial),
-                is_sound: status == 200,
+                is_success: status == 200,
             };
             self.listener.heard(instance, answer, &head.report);
         }
--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/exchange.rs
@@ -127,7 +127,7 @@
         let answer = AnswerContext {
             path: ExchangeKind::Request,
             permit,
-            is_sound: is_sound(status, &head) && status < 500,
+            is_success: is_sound(status, &head) && status < 500,
         };
         self.listener.heard(&plan.instance, answer, &head.report);
         if head.not_run {
@@ -234,7 +234,7 @@
 /// itself is none: passed on it would say that the request did not run.
 fn is_sound(status: u16, head: &AnswerHead) -> bool {
     let is_success = (200..300).contains(&status);
-    head.belongs && (head.is_signed || !is_success) && !PROMISES.contains(&status)
+    head.matches_request && (head.is_signed || !is_success) && !PROMISES.contains(&status)
 }
 
 async fn keep_after_refusal(connection: Connection, body: Incoming) {
--- a/crates/daemon/src/gateway/limits.rs
+++ b/crates/daemon/src/gateway/limits.rs
@@ -14,7 +14,7 @@
         let now = self.now(cx);
         match message {
             LimitMessage::Request(request) if self.issues_for(&request.backend) => {
-                let grants = self.permit_issuer.request(&from, &request, now);
+                let grants = self.permit_issuer.handle_request(&from, &request, now);
                 self.send_grants(grants, now);
                 self.announce_limits();
             }
@@ -57,7 +57,7 @@
                 continue;
             };
             if issuer == self.node {
-                let grants = self.permit_issuer.request(&issuer, &request, now);
+                let grants = self.permit_issuer.handle_request(&issuer, &request, now);
                 self.send_grants(grants, now);
                 self.announce_limits();
             } else {
--- a/crates/daemon/src/gateway/versions.rs
+++ b/crates/daemon/src/gateway/versions.rs
@@ -20,7 +20,7 @@
             return;
         }
         self.dispatcher.take_rollouts(rollouts.all());
-        self.batcher.rollouts.take(rollouts.all());
+        self.batcher.rollouts.update(rollouts.all());
         self.renew_rollout_permit(now);
         self.tell_evidence(now);
     }
--- a/crates/limits/src/issuer.rs
+++ b/crates/limits/src/issuer.rs
@@ -266,7 +266,7 @@
 
 impl PermitIssuer {
     /// A node asks for permits or tells what it knows. Returns what is to be sent, to whom.
-    pub fn request(
+    pub fn handle_request(
         &mut self,
         from: &NodeName,
         request: &PermitRequest,
--- a/crates/limits/src/pool.rs
+++ b/crates/limits/src/pool.rs
@@ -80,17 +80,17 @@
 
     /// An answer came whose head named the limit `named`, to a request that was sent with the permit
     /// `permit`. One that names none takes the limit back only where the request was sent after
-    /// the limit was known, and where the answer `is_sound`: others may have been written before.
+    /// the limit was known, and where the answer `is_success`: others may have been written before.
     pub fn record_answer(
         &mut self,
         named: Option<RequestRate>,
         permit: Option<Serial>,
-        is_sound: bool,
+        is_success: bool,
     ) -> LimitUpdate {
         let before = self.limit();
         match named {
             Some(rate) => self.named(rate, permit),
-            None if is_sound => self.named_none(permit.unwrap_or(0)),
+            None if is_success => self.named_none(permit.unwrap_or(0)),
             None => {}
         }
         LimitUpdate {
--- a/crates/limits/tests/common/mod.rs
+++ b/crates/limits/tests/common/mod.rs
@@ -238,7 +238,7 @@
         match message {
             LimitMessage::Request(request) => {
                 if self.issuer_by(node) == Some(node) {
-                    let grants = self.nodes[node].issuer.request(from, &request, now);
+                    let grants = self.nodes[node].issuer.handle_request(from, &request, now);
                     self.send_grants(node, grants);
                     self.announce(node);
                 }
--- a/crates/limits/tests/pool.rs
+++ b/crates/limits/tests/pool.rs
@@ -52,11 +52,11 @@
 #[case::a_failure(Some(101), false, false)]
 fn only_a_sound_answer_to_a_later_permit_takes_a_limit_back(
     #[case] permit: Option<Serial>,
-    #[case] is_sound: bool,
+    #[case] is_success: bool,
     #[case] is_lifted: bool,
 ) {
     let mut pool = asking();
-    pool.record_answer(None, permit, is_sound);
+    pool.record_answer(None, permit, is_success);
     assert_eq!(lifts(&mut pool), is_lifted);
     // The issuer lifts it, for all nodes.
     assert!(pool.limit().is_some());
--- a/crates/serving/src/batcher/versions.rs
+++ b/crates/serving/src/batcher/versions.rs
@@ -129,7 +129,7 @@
         table: &InstanceTable,
     ) -> Option<CountedSend> {
         let role = table.get(maker).map(Instance::role).unwrap_or_default();
-        self.rollouts.sent(&shard.service, BATCH_ROUTE, role)
+        self.rollouts.record_send(&shard.service, BATCH_ROUTE, role)
     }
 
     /// What is under way or still wanted at a service's baseline: its calls, and results that
@@ -171,6 +171,6 @@
                 }
             }
         };
-        self.answered(call.service, BATCH_ROUTE, counted, answer);
+        self.record_answer(call.service, BATCH_ROUTE, counted, answer);
     }
 }
--- a/crates/serving/src/dispatcher.rs
+++ b/crates/serving/src/dispatcher.rs
@@ -126,7 +126,7 @@
 
     /// Takes the latest rollout of each service.
     pub fn take_rollouts<'a>(&mut self, rollouts: impl IntoIterator<Item = &'a Rollout>) {
-        self.rollouts.take(rollouts);
+        self.rollouts.update(rollouts);
         let roles = self.rollouts.roles().clone();
         self.instances.set_version_roles(roles);
     }
@@ -134,7 +134,7 @@
     /// Takes how long shards of batched services take now.
     pub fn set_waits(&mut self, waits: impl IntoIterator<Item = ShardWaits>, now: Millis) {
         for one in waits {
-            self.admission.waits.take(one, now);
+            self.admission.waits.update(one, now);
         }
     }
 
@@ -214,7 +214,7 @@
         let wait = call
             .deadline_ms
             .map_or(timeout, |deadline| deadline.min(timeout));
-        self.budget.request(&routed.service, now);
+        self.budget.record_first_attempt(&routed.service, now);
         let mut request = ActiveRequest::new(call, routed, self.policy, since, since + wait);
         self.log.record(Event::Admitted {
             request: request.call.id.clone(),
@@ -227,7 +227,7 @@
         });
         if request.routed.route.has_prefix {
             let speed = self.policy.prefill_tokens_per_ms;
-            request.shared_prompt = self.seen_prompts.note(&request.call.prefix, speed, now);
+            request.shared_prompt = self.seen_prompts.record(&request.call.prefix, speed, now);
         }
         let is_quarantined = self.quarantine.refuses(&request.fingerprint);
         let is_served_nowhere = self.is_served_nowhere(&request);
--- a/crates/serving/src/dispatcher/outcomes.rs
+++ b/crates/serving/src/dispatcher/outcomes.rs
@@ -211,7 +211,10 @@
     /// Whether one more send may be tried: a code where not.
     pub(super) fn take_retry(&mut self, number: RequestNumber, now: Millis) -> Option<ResultCode> {
         let request = self.requests.get(&number)?;
-        if !self.budget.take(&request.routed.service, self.nodes, now) {
+        if !self
+            .budget
+            .try_take_retry(&request.routed.service, self.nodes, now)
+        {
             return Some(ResultCode::RetryBudgetSpent);
         }
         None
--- a/crates/serving/src/dispatcher/sending.rs
+++ b/crates/serving/src/dispatcher/sending.rs
@@ -32,7 +32,7 @@
         let role = instance.role();
         let tokens = request.tokens();
         let route = &request.routed.route.name;
-        let counted = self.rollouts.sent(&plan.service, route, role);
+        let counted = self.rollouts.record_send(&plan.service, route, role);
         self.instances.sent(&plan.instance, tokens, now);
         if let Some(request) = self.requests.get_mut(&number) {
             request.sends += 1;
@@ -162,7 +162,7 @@
         };
         let service = &request.routed.service;
         let route = &request.routed.route.name;
-        self.rollouts.answered(service, route, counted, answer);
+        self.rollouts.record_answer(service, route, counted, answer);
     }
 }
 
--- a/crates/serving/src/notices.rs
+++ b/crates/serving/src/notices.rs
@@ -66,7 +66,7 @@
     pub permit: Option<Serial>,
     /// Whether it is an answer that shows how the back end fares: the back end's own to this
     /// request, and no failure.
-    pub is_sound: bool,
+    pub is_success: bool,
 }
 
 impl From<ExchangeKind> for AnswerContext {
@@ -74,7 +74,7 @@
         Self {
             path,
             permit: None,
-            is_sound: false,
+            is_success: false,
         }
     }
 }
@@ -228,7 +228,7 @@
         let named = said.limit.lowest;
         let heard = notice
             .permits()
-            .record_answer(named, answer.permit, answer.is_sound);
+            .record_answer(named, answer.permit, answer.is_success);
         news.is_other_limit = heard.is_change();
         self.note_limit(&mut entries, id, &heard, path.name(), "");
         drop(entries);
--- a/crates/serving/src/popularity.rs
+++ b/crates/serving/src/popularity.rs
@@ -24,7 +24,7 @@
 impl PromptPopularity {
     /// Takes in the prompt of a request and tells how long engines read the part of it that
     /// requests share, at `tokens_per_ms`.
-    pub fn note(
+    pub fn record(
         &mut self,
         prefix: &[PrefixPart],
         tokens_per_ms: f64,
@@ -35,9 +35,9 @@
         for part in shared_parts(prefix) {
             part.id.hash(&mut hasher);
             let read_ms = f64::from(part.tokens) / tokens_per_ms;
-            shared.read_ms += read_ms;
+            shared.prefill_ms += read_ms;
             if !self.is_popular(hasher.finish(), now) {
-                shared.rare_read_ms += read_ms;
+                shared.rare_prefill_ms += read_ms;
             }
         }
         shared
@@ -62,7 +62,7 @@
     }
 
     /// How many beginnings are remembered.
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_prefixes(&self) -> usize {
         self.seen_at.len()
     }
 }
--- a/crates/serving/src/ports.rs
+++ b/crates/serving/src/ports.rs
@@ -41,8 +41,8 @@
     /// From what the pieces of phases without inputs are made.
     pub piece_key: String,
     /// Names of headers that only the system may set and that the caller sent; they
-    /// are withheld from engines.
-    pub withheld: Vec<String>,
+    /// are stripped_headers from engines.
+    pub stripped_headers: Vec<String>,
     /// Digest of its target and body.
     pub content: ContentDigest,
 }
@@ -125,7 +125,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnswerHead {
     /// Whether it names the request that was sent.
-    pub belongs: bool,
+    pub matches_request: bool,
     /// Whether the engine says that it did not run the request.
     pub not_run: bool,
     /// Whether it bears the engine's signature.
--- a/crates/serving/src/regions.rs
+++ b/crates/serving/src/regions.rs
@@ -37,10 +37,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SharedPrefixCost {
     /// Milliseconds that an engine which holds nothing of it takes to read it.
-    pub read_ms: f64,
+    pub prefill_ms: f64,
     /// The same for what the engines of a region are believed to hold nothing of, unless the
     /// prompt has its home there.
-    pub rare_read_ms: f64,
+    pub rare_prefill_ms: f64,
 }
 
 /// Inputs of a request at the back ends of a zone.
@@ -134,8 +134,8 @@
     }
     match (choice.is_home, is_home_of_all) {
         (_, true) => 0.0,
-        (true, false) => request.shared_prompt.rare_read_ms,
-        (false, false) => request.shared_prompt.read_ms,
+        (true, false) => request.shared_prompt.rare_prefill_ms,
+        (false, false) => request.shared_prompt.prefill_ms,
     }
 }
 
--- a/crates/serving/src/retry_budget.rs
+++ b/crates/serving/src/retry_budget.rs
@@ -41,14 +41,14 @@
     }
 
     /// A request for `service` arrived.
-    pub fn request(&mut self, service: &str, now: Millis) {
+    pub fn record_first_attempt(&mut self, service: &str, now: Millis) {
         let counts = self.counts(service, now);
         counts.requests.push_back(now);
     }
 
     /// Takes a second send out of the budget; false when it is used up. `nodes`
     /// share the allowance.
-    pub fn take(&mut self, service: &str, nodes: usize, now: Millis) -> bool {
+    pub fn try_take_retry(&mut self, service: &str, nodes: usize, now: Millis) -> bool {
         let limits = self.limits;
         let counts = self.counts(service, now);
         let share = limits.ratio * counts.requests.len() as f64;
--- a/crates/serving/src/rollouts.rs
+++ b/crates/serving/src/rollouts.rs
@@ -93,7 +93,7 @@
 
 impl RolloutTracker {
     /// Takes the latest rollout of each service. Counts of one that goes on are kept.
-    pub fn take<'a>(&mut self, rollouts: impl IntoIterator<Item = &'a Rollout>) {
+    pub fn update<'a>(&mut self, rollouts: impl IntoIterator<Item = &'a Rollout>) {
         for rollout in rollouts {
             self.roles.take(rollout);
             let service = &rollout.order.service;
@@ -160,7 +160,12 @@
     }
 
     /// Counts a send to a version with the part `role`.
-    pub fn sent(&mut self, service: &str, route: &str, role: VersionRole) -> Option<CountedSend> {
+    pub fn record_send(
+        &mut self,
+        service: &str,
+        route: &str,
+        role: VersionRole,
+    ) -> Option<CountedSend> {
         let followed = self.followed.get_mut(service)?;
         let to_candidate = role == VersionRole::Candidate;
         followed.budget.sent(to_candidate);
@@ -172,7 +177,7 @@
     }
 
     /// Counts what came of a send. One of a rollout that has ended counts for nothing.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         service: &str,
         route: &str,
--- a/crates/serving/src/waits.rs
+++ b/crates/serving/src/waits.rs
@@ -64,7 +64,7 @@
     }
 
     /// Takes what a batching node told, unless something newer is known.
-    pub fn take(&mut self, waits: ShardWaits, now: Millis) {
+    pub fn update(&mut self, waits: ShardWaits, now: Millis) {
         let told_at = now.saturating_sub(waits.age_ms);
         let known = self.told.get(&waits.shard);
         if known.is_none_or(|(_, at)| *at <= told_at) {
--- a/crates/serving/tests/batcher_rollouts.rs
+++ b/crates/serving/tests/batcher_rollouts.rs
@@ -36,7 +36,7 @@
     }
 
     fn take(&mut self, rollout: &Rollout) {
-        self.batcher.rollouts.take([rollout]);
+        self.batcher.rollouts.update([rollout]);
         let roles = self.batcher.rollouts.roles().clone();
         self.table.set_version_roles(roles);
     }
--- a/crates/serving/tests/limits.rs
+++ b/crates/serving/tests/limits.rs
@@ -133,11 +133,11 @@
     let dispatcher = dispatcher();
     let notices = dispatcher.instances.notices();
     hear(&dispatcher.instances, &["g1"], 1.0);
-    let lifted_by = |permit, is_sound| {
+    let lifted_by = |permit, is_success| {
         let answer = AnswerContext {
             path: ExchangeKind::Request,
             permit,
-            is_sound,
+            is_success,
         };
         notices.record_report("g1", answer, &SelfReport::default(), 20);
         let told = notices.permit_requests(&NONE_WAITING, 20);
--- a/crates/serving/tests/regions.rs
+++ b/crates/serving/tests/regions.rs
@@ -67,14 +67,14 @@
 fn with_prompt(
     region_affinity: RegionAffinity,
     session: u64,
-    rare_read_ms: f64,
+    rare_prefill_ms: f64,
 ) -> SelectionRequest<'static> {
     SelectionRequest {
         versions: VersionChoice::Any,
         affinity: Some(session),
         shared_prompt: SharedPrefixCost {
-            read_ms: 127.0,
-            rare_read_ms,
+            prefill_ms: 127.0,
+            rare_prefill_ms,
         },
         ..request(region_affinity)
     }
@@ -88,9 +88,14 @@
 fn zones_of_sessions(
     table: &InstanceTable,
     region_affinity: RegionAffinity,
-    rare_read_ms: f64,
+    rare_prefill_ms: f64,
 ) -> BTreeSet<String> {
-    let zone = |session| zone_of(table, &with_prompt(region_affinity, session, rare_read_ms));
+    let zone = |session| {
+        zone_of(
+            table,
+            &with_prompt(region_affinity, session, rare_prefill_ms),
+        )
+    };
     SESSIONS.map(zone).collect()
 }
 
@@ -106,10 +111,10 @@
 #[case::popular(RegionAffinity::Popular, 0.0, &["a", "b"])]
 fn a_shared_prompt_is_read_in_the_region_where_that_pays(
     #[case] region_affinity: RegionAffinity,
-    #[case] rare_read_ms: f64,
+    #[case] rare_prefill_ms: f64,
     #[case] expected: &[&str],
 ) {
-    let chosen = zones_of_sessions(&table(), region_affinity, rare_read_ms);
+    let chosen = zones_of_sessions(&table(), region_affinity, rare_prefill_ms);
     assert_eq!(chosen, zones(expected));
 }
 
@@ -269,8 +274,8 @@
 fn parts_are_popular_that_were_seen_in_the_last_seconds() {
     let mut seen = PromptPopularity::default();
     let mut note = |ids: &[u64], now| {
-        let shared = seen.note(&parts(ids), 50.0, now);
-        (shared.read_ms, shared.rare_read_ms)
+        let shared = seen.record(&parts(ids), 50.0, now);
+        (shared.prefill_ms, shared.rare_prefill_ms)
     };
     assert_eq!(note(&[1, 7, 100], 0), (40.0, 40.0));
     assert_eq!(note(&[1, 8, 101], 1_000), (40.0, 20.0));
@@ -286,7 +291,11 @@
 fn what_is_remembered_of_prompts_is_bounded() {
     let mut seen = PromptPopularity::default();
     for request in 0..20_000 {
-        seen.note(&parts(&[request, request]), 50.0, request / 10);
+        seen.record(&parts(&[request, request]), 50.0, request / 10);
     }
-    assert!(seen.remembered() <= 4_096, "{}", seen.remembered());
+    assert!(
+        seen.tracked_prefixes() <= 4_096,
+        "{}",
+        seen.tracked_prefixes()
+    );
 }
--- a/crates/serving/tests/waits.rs
+++ b/crates/serving/tests/waits.rs
@@ -29,7 +29,7 @@
 fn book(backlogs: &[(&str, u32)]) -> ShardWaitTable {
     let mut book = ShardWaitTable::new(in_zone("a"), true);
     for (zone, backlog_ms) in backlogs {
-        book.take(told(zone, *backlog_ms, 0), 1_000);
+        book.update(told(zone, *backlog_ms, 0), 1_000);
     }
     book
 }
@@ -88,13 +88,13 @@
 #[test]
 fn what_another_node_passes_on_late_does_not_displace_what_is_newer() {
     let mut book = ShardWaitTable::new(in_zone("a"), true);
-    book.take(told("a", 500, 0), 1_000);
-    book.take(told("a", 0, 300), 1_200);
+    book.update(told("a", 500, 0), 1_000);
+    book.update(told("a", 0, 300), 1_200);
     assert_eq!(
         book.expected("s", 1, 1_200).map(|one| one.backlog_ms),
         Some(500)
     );
-    book.take(told("a", 100, 50), 1_200);
+    book.update(told("a", 100, 50), 1_200);
     assert_eq!(
         book.expected("s", 1, 1_200).map(|one| one.backlog_ms),
         Some(100)
@@ -120,7 +120,7 @@
     ];
     let mut book = ShardWaitTable::new(in_regions("a", &regions), true);
     for (zone, backlog_ms) in backlogs {
-        book.take(told(zone, *backlog_ms, 0), 1_000);
+        book.update(told(zone, *backlog_ms, 0), 1_000);
     }
     book
 }
@@ -193,7 +193,7 @@
     ];
     let mut book = ShardWaitTable::new(in_regions("a", &regions), false);
     for zone in ZONES {
-        book.take(told(zone, if zone == "a" { 400 } else { 0 }, 0), 1_000);
+        book.update(told(zone, if zone == "a" { 400 } else { 0 }, 0), 1_000);
     }
     assert_eq!(zones_chosen(&book, "", 1_000), zones(&["b", "c", "d"]));
     let expected = book.expected("s", 1, 1_000);
