--- a/crates/limits/src/issuer.rs
+++ b/crates/limits/src/issuer.rs
@@ -1,4 +1,4 @@
-//! The node that issues the permits of a back end.
+//! The permit issuer of a back end: one node that distributes the limit over all nodes.
 
 use crate::messages::{
     KnownLimit, LimitAnnouncement, LimitState, PermitGrant, PermitRequest, Serial,
@@ -10,29 +10,31 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
 
-/// How long a node that issues for a back end for the first time gives nothing, in milliseconds:
-/// another one may still issue by an older view, and its permits may still be used.
-const TAKEOVER_PAUSE: Millis = 1_500;
-/// What is given at once at most after a time in which nobody asked, in milliseconds of the rate.
-const BURST: f64 = 50.0;
-/// How long a request for permits counts that is not repeated, in milliseconds.
-const WANTED_FOR: Millis = 2_500;
-/// Once a limit is over, the rate rises this often, in milliseconds: what waited must not come at
-/// once.
-const RISES_EVERY: Millis = 500;
-/// The first rises double the rate; then the back end counts as any other, unless requests still
-/// wait.
-const DOUBLINGS: i32 = 6;
-/// Each further rise, until nobody waits.
-const LATER_RISE: f64 = 1.25;
-/// Rises at the most: more than any rate needs.
-const MOST_RISES: Millis = 100;
-/// How long an account is kept of which nobody asks, in milliseconds.
-const KEPT_FOR: Millis = 60_000;
-/// Distance to the serials of an issuer before, which are not all known.
-const SERIALS_SKIPPED: Serial = 1 << 20;
+/// Time in which a new issuer grants no permits, in milliseconds: the previous issuer may still
+/// act on an older view, and its permits may still be in use.
+const TAKEOVER_DELAY: Millis = 1_500;
+/// Token bucket capacity, in milliseconds of the rate.
+const BURST_MS: f64 = 50.0;
+/// How long a permit request stays valid unless it is repeated, in milliseconds.
+const REQUEST_LIFETIME: Millis = 2_500;
+/// Interval between increases of the rate while a limit is lifted, in milliseconds. The gradual
+/// increase prevents a burst of the waiting requests.
+const INCREASE_INTERVAL: Millis = 500;
+/// Number of initial increases that double the rate; after them the limit is lifted unless
+/// requests still wait.
+const DOUBLING_INCREASES: i32 = 6;
+/// Factor of each further increase, until no request waits.
+const LATER_INCREASE_FACTOR: f64 = 1.25;
+/// Maximum number of increases, which bounds the computed rate.
+const MAX_INCREASES: Millis = 100;
+/// How long an account is kept after its last request, in milliseconds.
+const ACCOUNT_LIFETIME: Millis = 60_000;
+/// Gap between the highest known serial and the first of a new issuer, which covers serials of
+/// the previous issuer that are not known.
+const TAKEOVER_SERIAL_GAP: Serial = 1 << 20;
 
-/// The node that issues the permits of a back end: the first by rendezvous rank.
+/// The permit issuer of a back end: the node with the highest rendezvous hash. None without
+/// nodes.
 pub fn issuer_of<'a>(nodes: impl Iterator<Item = &'a str>, backend: &str) -> Option<&'a str> {
     let rank = |node: &str| {
         let mut hasher = DefaultHasher::new();
@@ -42,40 +44,40 @@
     nodes.max_by_key(|node| (rank(node), *node))
 }
 
-/// Permits that one node waits for.
+/// Outstanding permits of one node.
 #[derive(Debug)]
-struct Waiting {
+struct WaitingNode {
     node: NodeName,
     wanted: u32,
     asked_at: Millis,
-    /// The node's own clock when it asked.
+    /// The node's local time of the request, which the grant echoes.
     echo: Millis,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Limited,
-    /// An answer named no limit: the rate rises until the limit is over.
+    /// An answer carried no limit: the rate increases until the limit is lifted.
     Recovering {
         since: Millis,
         by: Serial,
     },
 }
 
-/// What is issued for one back end.
+/// State of the permits of one back end.
 #[derive(Debug)]
 struct Account {
     limit: KnownLimit,
     phase: Phase,
     next_serial: Serial,
-    /// Permits that may be given now.
+    /// Tokens of the bucket: permits that can be granted now.
     available: f64,
-    filled_at: Millis,
-    /// In the order in which they get their next permit.
-    waiting: VecDeque<Waiting>,
+    refilled_at: Millis,
+    /// Nodes in round-robin order of their next permit.
+    waiting: VecDeque<WaitingNode>,
     asked_at: Millis,
-    /// Whether all nodes are to be told of the limit.
-    is_news: bool,
+    /// Whether the limit must be announced to all nodes.
+    needs_announcement: bool,
 }
 
 impl Account {
@@ -84,67 +86,69 @@
         Self {
             limit: request.limit,
             phase: Phase::Limited,
-            next_serial: known + SERIALS_SKIPPED,
+            next_serial: known + TAKEOVER_SERIAL_GAP,
             available: 0.0,
-            filled_at: now + TAKEOVER_PAUSE,
+            refilled_at: now + TAKEOVER_DELAY,
             waiting: VecDeque::new(),
             asked_at: now,
-            is_news: true,
+            needs_announcement: true,
         }
     }
 
     fn per_second(&self, now: Millis) -> f64 {
-        let named = effective_per_second(self.limit.rate);
+        let limit_per_second = effective_per_second(self.limit.rate);
         match self.phase {
-            Phase::Limited => named,
+            Phase::Limited => limit_per_second,
             Phase::Recovering { since, .. } => {
-                let rises = now.saturating_sub(since) / RISES_EVERY;
-                let rises = 1 + rises.min(MOST_RISES) as i32;
-                let later = (rises - DOUBLINGS).max(0);
-                named * 2_f64.powi(rises.min(DOUBLINGS)) * LATER_RISE.powi(later)
+                let increases = now.saturating_sub(since) / INCREASE_INTERVAL;
+                let increases = 1 + increases.min(MAX_INCREASES) as i32;
+                let later = (increases - DOUBLING_INCREASES).max(0);
+                limit_per_second
+                    * 2_f64.powi(increases.min(DOUBLING_INCREASES))
+                    * LATER_INCREASE_FACTOR.powi(later)
             }
         }
     }
 
-    /// The permit that showed the limit to be over, once the rate has risen so far that nobody
-    /// waits.
-    fn over_by(&self, now: Millis) -> Option<Serial> {
+    /// Serial of the permit whose answer carried no limit, once the initial increases are complete
+    /// and no node waits.
+    fn lifted_by(&self, now: Millis) -> Option<Serial> {
         match self.phase {
             Phase::Limited => None,
             Phase::Recovering { since, by } => {
-                let risen_for = RISES_EVERY * DOUBLINGS as Millis;
-                let has_risen = now.saturating_sub(since) >= risen_for;
-                (has_risen && self.waiting.is_empty()).then_some(by)
+                let doubling_ms = INCREASE_INTERVAL * DOUBLING_INCREASES as Millis;
+                let has_doubled = now.saturating_sub(since) >= doubling_ms;
+                (has_doubled && self.waiting.is_empty()).then_some(by)
             }
         }
     }
 
-    fn fill(&mut self, now: Millis) {
+    fn refill(&mut self, now: Millis) {
         let per_second = self.per_second(now);
-        let passed = now.saturating_sub(self.filled_at) as f64;
-        let most = (per_second * BURST / 1_000.0).max(1.0);
-        self.available = (self.available + per_second * passed / 1_000.0).min(most);
-        self.filled_at = self.filled_at.max(now);
+        let passed = now.saturating_sub(self.refilled_at) as f64;
+        let capacity = (per_second * BURST_MS / 1_000.0).max(1.0);
+        self.available = (self.available + per_second * passed / 1_000.0).min(capacity);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Takes what a node knows of the limit.
-    fn hear(&mut self, request: &PermitRequest, now: Millis) {
-        let told = request.limit;
-        self.next_serial = self.next_serial.max(told.serial + 1);
-        if told.replaces(&self.limit) {
-            self.fill(now);
-            self.limit = told;
-            let is_named_again = match self.phase {
+    /// Merges the limit that a node reported.
+    fn merge_report(&mut self, request: &PermitRequest, now: Millis) {
+        let reported = request.limit;
+        self.next_serial = self.next_serial.max(reported.serial + 1);
+        if reported.replaces(&self.limit) {
+            self.refill(now);
+            self.limit = reported;
+            let is_reimposed = match self.phase {
                 Phase::Limited => true,
-                Phase::Recovering { by, .. } => told.serial > by,
+                Phase::Recovering { by, .. } => reported.serial > by,
             };
-            if is_named_again {
-                self.is_news |= self.phase != Phase::Limited;
+            if is_reimposed {
+                self.needs_announcement |= self.phase != Phase::Limited;
                 self.phase = Phase::Limited;
             }
         }
         if request.lifted_by > self.limit.serial && self.phase == Phase::Limited {
-            self.fill(now);
+            self.refill(now);
             self.phase = Phase::Recovering {
                 since: now,
                 by: request.lifted_by,
@@ -152,54 +156,60 @@
         }
     }
 
-    /// Takes how many permits a node waits for, in the place that it has in the queue.
+    /// Sets the number of permits that a node waits for; its queue position is kept.
     fn set_wanted(&mut self, node: &NodeName, request: &PermitRequest, now: Millis) {
-        let known = self.waiting.iter().position(|one| one.node == *node);
-        let waiting = Waiting {
+        let position = self
+            .waiting
+            .iter()
+            .position(|waiting| waiting.node == *node);
+        let waiting = WaitingNode {
             node: node.clone(),
             wanted: request.wanted,
             asked_at: now,
             echo: request.sent_at,
         };
-        match known {
-            Some(place) if request.wanted == 0 => {
-                self.waiting.remove(place);
+        match position {
+            Some(position) if request.wanted == 0 => {
+                self.waiting.remove(position);
             }
-            Some(place) => self.waiting[place] = waiting,
+            Some(position) => self.waiting[position] = waiting,
             None if request.wanted == 0 => {}
             None => self.waiting.push_back(waiting),
         }
     }
 
-    /// Milliseconds until the last permit that a node waits for, as one node after the other gets
-    /// one; 0 where it waits for none.
+    /// Milliseconds until the last outstanding permit of a node under round-robin; 0 if it waits
+    /// for none.
     fn wait_ms(&self, node: &NodeName, now: Millis) -> Millis {
-        let place = self.waiting.iter().position(|one| one.node == *node);
-        let Some(place) = place else {
+        let position = self
+            .waiting
+            .iter()
+            .position(|waiting| waiting.node == *node);
+        let Some(position) = position else {
             return 0;
         };
-        let own = self.waiting[place].wanted;
+        let own = self.waiting[position].wanted;
         let before = self.waiting.iter().enumerate().map(|(other, one)| {
-            let rounds = if other <= place { own } else { own - 1 };
+            let rounds = if other <= position { own } else { own - 1 };
             u64::from(one.wanted.min(rounds))
         });
         let missing = (before.sum::<u64>() as f64 - self.available).max(0.0);
-        let pause = self.filled_at.saturating_sub(now);
+        let pause = self.refilled_at.saturating_sub(now);
         pause + (missing / self.per_second(now) * 1_000.0) as Millis
     }
 
-    /// Gives what may be given now, to one node after the other.
+    /// Grants the available permits to the waiting nodes in round-robin order.
     fn issue(&mut self, now: Millis) -> BTreeMap<NodeName, Issued> {
-        self.fill(now);
+        self.refill(now);
         self.waiting
-            .retain(|one| now.saturating_sub(one.asked_at) < WANTED_FOR);
-        let mut given: BTreeMap<NodeName, Issued> = BTreeMap::new();
+            .retain(|waiting| now.saturating_sub(waiting.asked_at) < REQUEST_LIFETIME);
+        let mut granted: BTreeMap<NodeName, Issued> = BTreeMap::new();
         while self.available >= 1.0 {
             let Some(mut first) = self.waiting.pop_front() else {
                 break;
             };
             self.available -= 1.0;
-            let issued = given.entry(first.node.clone()).or_default();
+            let issued = granted.entry(first.node.clone()).or_default();
             issued.count += 1;
             issued.echo = first.echo;
             first.wanted -= 1;
@@ -207,7 +217,7 @@
                 self.waiting.push_back(first);
             }
         }
-        given
+        granted
     }
 
     fn grant(&mut self, backend: &str, to: &NodeName, issued: Issued, now: Millis) -> PermitGrant {
@@ -239,15 +249,15 @@
     }
 }
 
-/// Permits that one node gets at once.
+/// Permits that are granted to one node in one message.
 #[derive(Clone, Copy, Debug, Default)]
 struct Issued {
     count: u32,
     echo: Millis,
 }
 
-/// Tells a node that a limit is over.
-fn lifted(backend: &str, by: Serial) -> PermitGrant {
+/// A grant without permits that reports the limit as lifted.
+fn lifted_grant(backend: &str, by: Serial) -> PermitGrant {
     PermitGrant {
         backend: backend.to_owned(),
         state: LimitState::Lifted(by),
@@ -258,14 +268,14 @@
     }
 }
 
-/// Issues the permits of the back ends that this node is the issuer of.
+/// Issues the permits of all back ends whose issuer this node is.
 #[derive(Debug, Default)]
 pub struct PermitIssuer {
     accounts: BTreeMap<String, Account>,
 }
 
 impl PermitIssuer {
-    /// A node asks for permits or tells what it knows. Returns what is to be sent, to whom.
+    /// Handles a permit request of node `from`. Returns the grants to send, each with its receiver.
     pub fn handle_request(
         &mut self,
         from: &NodeName,
@@ -278,9 +288,9 @@
             .entry(backend.clone())
             .or_insert_with(|| Account::new(request, now));
         account.asked_at = now;
-        account.hear(request, now);
-        if let Some(by) = account.over_by(now) {
-            return vec![(from.clone(), lifted(backend, by))];
+        account.merge_report(request, now);
+        if let Some(by) = account.lifted_by(now) {
+            return vec![(from.clone(), lifted_grant(backend, by))];
         }
         account.set_wanted(from, request, now);
         let issued = account.issue(now);
@@ -296,10 +306,10 @@
         grants
     }
 
-    /// What is to be given now, to whom.
+    /// Grants the permits that became available since the last call, each with its receiver.
     pub fn issue_due(&mut self, now: Millis) -> Vec<(NodeName, PermitGrant)> {
         self.accounts
-            .retain(|_, account| now.saturating_sub(account.asked_at) < KEPT_FOR);
+            .retain(|_, account| now.saturating_sub(account.asked_at) < ACCOUNT_LIFETIME);
         let mut grants = Vec::new();
         for (backend, account) in &mut self.accounts {
             if account.waiting.is_empty() {
@@ -311,29 +321,31 @@
         grants
     }
 
-    /// The limits that all nodes are to be told of, each once.
+    /// Returns the limits that must be announced to all nodes, each once.
     pub fn take_announcements(&mut self) -> Vec<LimitAnnouncement> {
         let accounts = self.accounts.iter_mut();
-        let news = accounts.filter_map(|(backend, account)| {
-            std::mem::take(&mut account.is_news).then(|| LimitAnnouncement {
+        let announcements = accounts.filter_map(|(backend, account)| {
+            std::mem::take(&mut account.needs_announcement).then(|| LimitAnnouncement {
                 backend: backend.clone(),
                 limit: account.limit,
             })
         });
-        news.collect()
+        announcements.collect()
     }
 
-    /// Whether nodes wait for permits.
+    /// Whether any node waits for permits.
     pub fn has_waiting(&self) -> bool {
-        self.accounts.values().any(|one| !one.waiting.is_empty())
+        self.accounts
+            .values()
+            .any(|account| !account.waiting.is_empty())
     }
 
-    /// Gives up the back ends of which this node is no issuer any more.
+    /// Drops the accounts of back ends whose issuer this node no longer is.
     pub fn keep_only(&mut self, is_issuer_of: impl Fn(&str) -> bool) {
         self.accounts.retain(|backend, _| is_issuer_of(backend));
     }
 
-    /// The limits that it issues permits by, by back end.
+    /// The limits by which permits are issued, each with the identifier of its back end.
     pub fn limits(&self) -> impl Iterator<Item = (&str, RequestRate)> {
         let accounts = self.accounts.iter();
         accounts.map(|(backend, account)| (backend.as_str(), account.limit.rate))
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,9 +1,9 @@
-//! Limits that back ends name for all nodes together.
+//! Distributed rate limiting: a back end advertises one request rate for all nodes together.
 //!
-//! One node, chosen by hash among those of the view, issues permits for a back end as fast as it
-//! bears requests; each request takes one directly before it is sent. Nodes ask for permits by
-//! what waits on them, so that the limit is used where the requests are. Nothing here knows a
-//! network or a clock: times are milliseconds of the caller's clock.
+//! Rendezvous hashing selects one node of the view as the permit issuer of a back end. It issues
+//! permits at the advertised rate, and each request consumes one directly before it is sent.
+//! Nodes ask for as many permits as they have waiting requests, so that capacity goes where the
+//! demand is. The crate does no I/O and reads no clock: callers pass the time in milliseconds.
 
 mod issuer;
 mod messages;
@@ -15,9 +15,9 @@
 };
 pub use pool::{Admission, LimitUpdate, Permit, PermitPool};
 
-/// Milliseconds of a node's own clock.
+/// Milliseconds of the node's local clock, which is not comparable between nodes.
 pub type Millis = u64;
 
-/// How long a permit holds after it reached its node, in milliseconds: long enough for a
-/// connection, short enough that what nobody used does not add to what comes later.
+/// Lifetime of a permit from its arrival at the node, in milliseconds: long enough to connect,
+/// short enough that unused permits do not add up to a burst.
 pub const PERMIT_LIFETIME: Millis = 800;
--- a/crates/limits/src/messages.rs
+++ b/crates/limits/src/messages.rs
@@ -1,91 +1,92 @@
-//! What nodes tell each other of limits.
+//! Messages by which nodes coordinate the limits of back ends.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 use silversail_model::RequestRate;
 
-/// Number of a permit of one back end; a later permit has a higher one. 0 stands for none.
+/// Serial number of a permit of one back end, ascending in order of issue. 0 means none.
 pub type Serial = u64;
 
-/// A limit with what it was learnt from.
+/// A limit and the permit by which its age is compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownLimit {
-    /// Requests from all nodes together.
+    /// Rate for all nodes together.
     pub rate: RequestRate,
-    /// The permit of the request whose answer named it; 0 where that had none.
+    /// Serial of the permit of the request whose answer advertised the limit; 0 if it had none.
     pub serial: Serial,
 }
 
 impl KnownLimit {
-    /// Whether it is a later word than another, or as late and lower.
+    /// Whether this limit is newer than `other`, or equally new and lower.
     pub(crate) fn replaces(&self, other: &Self) -> bool {
         let is_lower = self.rate < other.rate;
         self.serial > other.serial || (self.serial == other.serial && is_lower)
     }
 }
 
-/// Asks for permits, and tells what the sender knows.
+/// Asks the issuer for permits and reports the sender's knowledge of the limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// The start of the back end.
+    /// Identifier of the running process of the back end.
     pub backend: String,
-    /// The limit by what the sender knows.
+    /// The limit that the sender currently applies.
     pub limit: KnownLimit,
-    /// The latest permit with which a request was answered without a limit; 0 for none.
+    /// Serial of the latest permit whose request was answered without a limit; 0 for none.
     pub lifted_by: Serial,
-    /// The highest serial that the sender knows.
+    /// The highest permit serial known to the sender.
     pub highest: Serial,
-    /// Permits that the sender wants and does not have: all of them, not only new ones.
+    /// Total number of permits that the sender lacks, including those requested before.
     pub wanted: u32,
-    /// The sender's clock, echoed in the grants.
+    /// Sender's clock at sending, in milliseconds; echoed in the grants.
     pub sent_at: Millis,
 }
 
-/// Whether a back end has a limit, by what its issuer knows.
+/// The issuer's knowledge of the limit of a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LimitState {
-    /// It has this one.
+    /// The back end has this limit.
     Limited(KnownLimit),
-    /// It has none any more, as an answer to this permit showed.
+    /// The limit is lifted; the answer to the request with this permit carried none.
     Lifted(Serial),
 }
 
-/// Answers a request for permits, and gives permits later.
+/// Answers a [`PermitRequest`], or delivers permits that became available later.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitGrant {
-    /// The start of the back end.
+    /// Identifier of the running process of the back end.
     pub backend: String,
-    /// What the issuer knows of its limit.
+    /// The limit as known to the issuer.
     pub state: LimitState,
-    /// Serial of the first permit.
+    /// Serial of the first permit; the others follow it without gaps.
     pub first: Serial,
-    /// How many permits.
+    /// Number of permits granted.
     pub count: u32,
-    /// Milliseconds until the last permit that the receiver still waits for, where it waits.
+    /// Milliseconds until the receiver's last outstanding permit is expected; 0 if it waits for
+    /// none.
     pub wait_ms: Millis,
     /// `sent_at` of the receiver's latest request.
     pub echo: Millis,
 }
 
-/// Tells that a back end has a limit.
+/// Announces to nodes that a back end has a limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitAnnouncement {
-    /// The start of the back end.
+    /// Identifier of the running process of the back end.
     pub backend: String,
-    /// Its limit.
+    /// The limit, with the serial that orders it against other announcements.
     pub limit: KnownLimit,
 }
 
-/// Messages of limits.
+/// Peer messages of the rate-limit protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LimitMessage {
-    /// To the issuer.
+    /// From a node to the issuer.
     Request(PermitRequest),
-    /// From the issuer.
+    /// From the issuer to a node.
     Grant(PermitGrant),
-    /// From the issuer to relays, which pass it on to their nodes: those that have not heard of a
-    /// limit would each find out by a request.
+    /// From the issuer to relays, which forward it to their nodes; without it each node would
+    /// send one request before it learns of the limit.
     Announce(LimitAnnouncement),
-    /// From a relay.
+    /// From a relay to its nodes.
     Announced(LimitAnnouncement),
 }
--- a/crates/limits/src/pool.rs
+++ b/crates/limits/src/pool.rs
@@ -1,96 +1,97 @@
-//! What one node knows of the limit of one back end, and the permits that it holds.
+//! A node's view of the limit of one back end, and the permits that the node holds.
 
 use crate::messages::{KnownLimit, LimitState, PermitGrant, PermitRequest, Serial};
 use crate::{Millis, PERMIT_LIFETIME};
 use silversail_model::RequestRate;
 use std::collections::VecDeque;
 
-/// How often the issuer is asked again while permits are wanted, in milliseconds: messages may
-/// be lost, and another node may issue by now.
-const ASKED_AGAIN_AFTER: Millis = 1_000;
-/// How long a wait that the issuer told counts, in milliseconds.
-const WAIT_TOLD_FOR: Millis = 2_000;
+/// Interval at which an unanswered permit request is repeated, in milliseconds: the message may
+/// be lost, or another node may have become the issuer.
+const REQUEST_REPEAT_INTERVAL: Millis = 1_000;
+/// How long the issuer's wait estimate stays valid, in milliseconds.
+const WAIT_ESTIMATE_LIFETIME: Millis = 2_000;
 
-/// How old the request for permits may be that a grant answers, in milliseconds: a process that
-/// stood still gets in one moment what was given in all that time.
-const GRANT_CURRENT_FOR: Millis = 3_000;
+/// Maximum age of the permit request that a grant answers, in milliseconds: a process that was
+/// paused would otherwise receive all permits of the pause at once.
+const MAX_GRANT_REQUEST_AGE: Millis = 3_000;
 
-/// The permission to send one request.
+/// Permission to send one request to a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
-    /// Its number.
+    /// Serial number that the issuer assigned.
     pub serial: Serial,
-    /// When it lapses.
+    /// Time from which the permit is no longer valid, in milliseconds of the local clock.
     pub expires_at: Millis,
 }
 
-/// Whether a request may leave.
+/// Result of asking to send a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may: there is no limit.
+    /// The back end has no limit.
     Unlimited,
-    /// It may, with this permit.
+    /// The request may be sent and consumes this permit.
     Permitted(Permit),
-    /// It may not: there is no permit.
+    /// The back end has a limit and no permit is available.
     Denied,
 }
 
-/// What was new in an answer.
+/// The limit before and after an update.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitUpdate {
-    /// The limit before.
+    /// Limit before the update; none if there was none.
     pub before: Option<RequestRate>,
-    /// The limit now.
+    /// Limit after the update; none if there is none.
     pub after: Option<RequestRate>,
 }
 
 impl LimitUpdate {
-    /// Whether the limit is another than before.
+    /// Whether the update changed the rate, set a limit or lifted it.
     pub fn is_change(&self) -> bool {
         self.before != self.after
     }
 }
 
-/// The limit of one back end, as one node knows it, with its permits.
+/// The limit of one back end as known to this node, and the permits that the node holds.
 #[derive(Debug, Default)]
 pub struct PermitPool {
     limit: Option<KnownLimit>,
     lifted_by: Serial,
     highest: Serial,
     permits: VecDeque<Permit>,
-    /// Permits that are meant for requests which were decided and not yet sent.
-    chosen: usize,
-    /// Permits that are waited for.
+    /// Permits reserved for requests that are assigned to the back end but not yet sent.
+    reserved: usize,
+    /// Permits that the node lacks.
     wanted: u32,
-    /// What the issuer was last told of that.
-    told_wanted: u32,
-    told_at: Option<Millis>,
-    has_news: bool,
-    /// When the last permit that is waited for is expected, and when that was told.
+    /// Value of `wanted` that was last reported to the issuer.
+    reported_wanted: u32,
+    reported_at: Option<Millis>,
+    has_unreported_change: bool,
+    /// When the last outstanding permit is expected, and when the issuer estimated that.
     expected: Option<(Millis, Millis)>,
-    /// Until when one permit is wanted for requests that went elsewhere.
+    /// Until when one permit is requested for demand that went to other back ends.
     preferred_until: Millis,
 }
 
 impl PermitPool {
-    /// The limit; none where the back end has none.
+    /// The current rate limit; none if the back end has none.
     pub fn limit(&self) -> Option<RequestRate> {
         self.limit.map(|limit| limit.rate)
     }
 
-    /// An answer came whose head named the limit `named`, to a request that was sent with the permit
-    /// `permit`. One that names none takes the limit back only where the request was sent after
-    /// the limit was known, and where the answer `is_success`: others may have been written before.
+    /// Records the limit `advertised` in an answer to a request that was sent with `permit`.
+    ///
+    /// An answer without a limit starts to lift a known limit only if it `is_success` and its
+    /// request was sent after the limit was known; others may have been written before it.
     pub fn record_answer(
         &mut self,
-        named: Option<RequestRate>,
+        advertised: Option<RequestRate>,
         permit: Option<Serial>,
         is_success: bool,
     ) -> LimitUpdate {
         let before = self.limit();
-        match named {
-            Some(rate) => self.named(rate, permit),
-            None if is_success => self.named_none(permit.unwrap_or(0)),
+        match advertised {
+            Some(rate) => self.record_limit(rate, permit),
+            None if is_success => self.record_no_limit(permit.unwrap_or(0)),
             None => {}
         }
         LimitUpdate {
@@ -99,112 +100,113 @@
         }
     }
 
-    /// A lower limit holds whenever it was named, a higher one only where it is the later word.
-    fn named(&mut self, rate: RequestRate, permit: Option<Serial>) {
+    /// Applies a lower limit always, and a higher one only if it is newer than the known one.
+    fn record_limit(&mut self, rate: RequestRate, permit: Option<Serial>) {
         let Some(known) = self.limit else {
-            // Where an earlier limit was over, this one is later than all that is known.
+            // After an earlier limit was lifted, this one must compare as newer than that.
             let serial = permit.unwrap_or(self.highest + 1);
             self.limit = Some(KnownLimit { rate, serial });
-            self.has_news = true;
+            self.has_unreported_change = true;
             return;
         };
-        let later = permit.filter(|serial| *serial > known.serial);
-        let serial = match later {
+        let newer = permit.filter(|serial| *serial > known.serial);
+        let serial = match newer {
             Some(serial) => serial,
-            // Held against what others know, it is the latest word.
+            // Takes precedence over the limits known to other nodes.
             None if rate < known.rate => known.serial.max(self.highest) + 1,
             None => return,
         };
-        let is_again = self.lifted_by > 0 && serial > self.lifted_by;
-        self.has_news |= known.rate != rate || is_again;
+        let is_reimposed = self.lifted_by > 0 && serial > self.lifted_by;
+        self.has_unreported_change |= known.rate != rate || is_reimposed;
         self.limit = Some(KnownLimit { rate, serial });
-        if is_again {
+        if is_reimposed {
             self.lifted_by = 0;
         }
     }
 
-    /// The issuer takes the limit back, for all nodes and step by step.
-    fn named_none(&mut self, serial: Serial) {
-        let is_later = |known: KnownLimit| serial > known.serial.max(self.lifted_by);
-        if self.limit.is_some_and(is_later) {
+    /// Records that an answer carried no limit. The issuer then lifts it gradually for all nodes.
+    fn record_no_limit(&mut self, serial: Serial) {
+        let is_newer = |known: KnownLimit| serial > known.serial.max(self.lifted_by);
+        if self.limit.is_some_and(is_newer) {
             self.lifted_by = serial;
-            self.has_news = true;
+            self.has_unreported_change = true;
         }
     }
 
-    /// Forgets permits that lapsed.
+    /// Drops expired permits.
     fn expire(&mut self, now: Millis) {
         while self
             .permits
             .front()
-            .is_some_and(|one| one.expires_at <= now)
+            .is_some_and(|permit| permit.expires_at <= now)
         {
             self.permits.pop_front();
         }
-        self.chosen = self.chosen.min(self.permits.len());
+        self.reserved = self.reserved.min(self.permits.len());
     }
 
-    /// Permits that no decided request is to have.
+    /// Number of permits that are neither expired nor reserved.
     pub fn available(&mut self, now: Millis) -> usize {
         self.expire(now);
-        self.permits.len() - self.chosen
+        self.permits.len() - self.reserved
     }
 
-    /// A request was decided that is to have a permit.
+    /// Reserves a permit for a request that is assigned to the back end, if one is available.
     pub fn reserve(&mut self, now: Millis) {
         if self.available(now) > 0 {
-            self.chosen += 1;
+            self.reserved += 1;
         }
     }
 
-    /// Whether a request may leave now, with the permit that it takes; asked directly before. What
-    /// was decided earlier is no permission.
+    /// Decides directly before a send whether the request may be sent, and consumes a permit. An
+    /// earlier reservation does not guarantee one.
     pub fn admit(&mut self, now: Millis) -> Admission {
         if self.limit.is_none() {
             return Admission::Unlimited;
         }
         self.expire(now);
-        self.chosen = self.chosen.saturating_sub(1);
+        self.reserved = self.reserved.saturating_sub(1);
         let permit = self.permits.pop_front();
         permit.map_or(Admission::Denied, Admission::Permitted)
     }
 
-    /// The request that took a permit was not sent.
+    /// Returns the permit of a request that was not sent.
     pub fn return_permit(&mut self, permit: Permit) {
         let is_known = self.limit.is_some();
-        if is_known && !self.permits.iter().any(|one| one.serial == permit.serial) {
+        if is_known && !self.permits.iter().any(|held| held.serial == permit.serial) {
             self.permits.push_front(permit);
         }
     }
 
-    /// When a permit can be had that is asked for now; none where one is there or none is needed.
+    /// When a permit that is requested now can be expected; none if one is available or none is
+    /// needed.
     pub fn next_permit_at(&mut self, now: Millis) -> Option<Millis> {
         let interval = interval_of(self.limit?.rate);
         if self.available(now) > 0 {
             return None;
         }
-        let told = self
+        let estimate = self
             .expected
-            .filter(|(_, told_at)| now.saturating_sub(*told_at) < WAIT_TOLD_FOR);
-        let last = told.map_or(now, |(at, _)| at.max(now));
+            .filter(|(_, estimated_at)| now.saturating_sub(*estimated_at) < WAIT_ESTIMATE_LIFETIME);
+        let last = estimate.map_or(now, |(at, _)| at.max(now));
         Some(last.saturating_add(interval).max(now + 1))
     }
 
-    /// When the `place`-th of the `wanted` permits that are waited for is expected, counted from
-    /// 1; none where the issuer told nothing of it lately.
-    pub fn permit_expected_at(&self, place: u32, now: Millis) -> Option<Millis> {
-        let (last, told_at) = self.expected?;
-        let is_current = now.saturating_sub(told_at) < WAIT_TOLD_FOR && last > now;
+    /// When the outstanding permit at queue position `position`, counted from 1, is expected; none
+    /// without a valid estimate from the issuer.
+    pub fn permit_expected_at(&self, position: u32, now: Millis) -> Option<Millis> {
+        let (last, estimated_at) = self.expected?;
+        let is_current = now.saturating_sub(estimated_at) < WAIT_ESTIMATE_LIFETIME && last > now;
         let wanted = u64::from(self.wanted.max(1));
-        is_current.then(|| now + (last - now) * u64::from(place).min(wanted) / wanted)
+        is_current.then(|| now + (last - now) * u64::from(position).min(wanted) / wanted)
     }
 
-    /// A request would rather have gone to this back end: one permit is wanted for the next one.
+    /// Requests one permit because a request would have preferred this back end.
     pub fn request_preferred(&mut self, now: Millis) {
         self.preferred_until = now + PERMIT_LIFETIME;
     }
 
-    /// Takes how many requests wait for this back end.
+    /// Sets the number of requests that wait for this back end.
     pub fn set_waiting(&mut self, waiting: u32, now: Millis) {
         let preferred = u32::from(now < self.preferred_until);
         let held = u32::try_from(self.available(now)).unwrap_or(u32::MAX);
@@ -214,20 +216,21 @@
         }
     }
 
-    /// What is to be told to the issuer now, where something is.
+    /// Returns the request that is due to be sent to the issuer; none if nothing has changed.
     pub fn request_due(&mut self, backend: &str, now: Millis) -> Option<PermitRequest> {
         let limit = self.limit?;
-        let is_silent = self
-            .told_at
-            .is_none_or(|at| now.saturating_sub(at) >= ASKED_AGAIN_AFTER);
-        let is_due =
-            self.has_news || self.wanted != self.told_wanted || (self.wanted > 0 && is_silent);
+        let is_repeat_due = self
+            .reported_at
+            .is_none_or(|at| now.saturating_sub(at) >= REQUEST_REPEAT_INTERVAL);
+        let is_due = self.has_unreported_change
+            || self.wanted != self.reported_wanted
+            || (self.wanted > 0 && is_repeat_due);
         if !is_due {
             return None;
         }
-        self.has_news = false;
-        self.told_wanted = self.wanted;
-        self.told_at = Some(now);
+        self.has_unreported_change = false;
+        self.reported_wanted = self.wanted;
+        self.reported_at = Some(now);
         Some(PermitRequest {
             backend: backend.to_owned(),
             limit,
@@ -238,17 +241,17 @@
         })
     }
 
-    /// Takes what the issuer sent. Tells the limit before and after.
+    /// Applies a grant from the issuer: its limit, and its permits if they are current.
     pub fn apply_grant(&mut self, grant: &PermitGrant, now: Millis) -> LimitUpdate {
         let before = self.limit();
         match grant.state {
-            LimitState::Limited(limit) => self.follow(limit),
-            LimitState::Lifted(serial) => self.lift(serial),
+            LimitState::Limited(limit) => self.adopt_limit(limit),
+            LimitState::Lifted(serial) => self.lift_limit(serial),
         }
-        // A former process of this node may have asked, or this one long ago.
-        let is_recent = now.saturating_sub(grant.echo) < GRANT_CURRENT_FOR;
-        if self.limit.is_some() && self.told_at.is_some() && is_recent {
-            self.take_permits(grant, now);
+        // The grant may answer a former process of this node, or an outdated request.
+        let is_recent = now.saturating_sub(grant.echo) < MAX_GRANT_REQUEST_AGE;
+        if self.limit.is_some() && self.reported_at.is_some() && is_recent {
+            self.store_permits(grant, now);
         }
         LimitUpdate {
             before,
@@ -256,24 +259,24 @@
         }
     }
 
-    /// Takes a limit that another node heard of.
-    pub fn apply_announcement(&mut self, told: KnownLimit) -> LimitUpdate {
+    /// Applies a limit that was announced by another node.
+    pub fn apply_announcement(&mut self, announced: KnownLimit) -> LimitUpdate {
         let before = self.limit();
-        self.follow(told);
+        self.adopt_limit(announced);
         LimitUpdate {
             before,
             after: self.limit(),
         }
     }
 
-    fn follow(&mut self, told: KnownLimit) {
-        if self.limit.is_none_or(|known| told.replaces(&known)) {
-            self.limit = Some(told);
+    fn adopt_limit(&mut self, announced: KnownLimit) {
+        if self.limit.is_none_or(|known| announced.replaces(&known)) {
+            self.limit = Some(announced);
         }
-        self.highest = self.highest.max(told.serial);
+        self.highest = self.highest.max(announced.serial);
     }
 
-    fn lift(&mut self, serial: Serial) {
+    fn lift_limit(&mut self, serial: Serial) {
         if self.limit.is_some_and(|known| serial <= known.serial) {
             return;
         }
@@ -284,26 +287,26 @@
         };
     }
 
-    fn take_permits(&mut self, grant: &PermitGrant, now: Millis) {
+    fn store_permits(&mut self, grant: &PermitGrant, now: Millis) {
         let expires_at = now + PERMIT_LIFETIME;
         for serial in grant.first..grant.first + u64::from(grant.count) {
             self.permits.push_back(Permit { serial, expires_at });
             self.highest = self.highest.max(serial);
         }
         self.wanted = self.wanted.saturating_sub(grant.count);
-        self.told_wanted = self.told_wanted.saturating_sub(grant.count);
-        self.expected = (self.told_wanted > 0).then(|| (now + grant.wait_ms, now));
+        self.reported_wanted = self.reported_wanted.saturating_sub(grant.count);
+        self.expected = (self.reported_wanted > 0).then(|| (now + grant.wait_ms, now));
     }
 }
 
-/// Milliseconds between two requests at a rate.
+/// Interval between two requests at a rate, in milliseconds.
 pub(crate) fn interval_of(rate: RequestRate) -> Millis {
     (1_000.0 / effective_per_second(rate)).ceil() as Millis
 }
 
-/// Requests a second that are sent at a rate: a back end that takes none, or next to none, is
-/// asked now and then, as nobody would hear that its limit is over else.
+/// Requests per second that are sent at a rate. It has a lower bound, so that a back end with a
+/// rate near zero still gets probes whose answers show when the limit is lifted.
 pub(crate) fn effective_per_second(rate: RequestRate) -> f64 {
-    const LEAST: f64 = 0.1;
-    rate.requests_per_second().max(LEAST)
+    const MIN_REQUESTS_PER_SECOND: f64 = 0.1;
+    rate.requests_per_second().max(MIN_REQUESTS_PER_SECOND)
 }
--- a/crates/limits/tests/common/mod.rs
+++ b/crates/limits/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Nodes by chance before one back end that names a limit: messages that take their time or are
-//! lost, views that differ, nodes that start again or stand still, answers that cross.
+//! Seeded simulation of nodes before one back end with a limit, with message delay and loss,
+//! diverging views, restarts and pauses of nodes, and reordered answers.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -11,55 +11,54 @@
 
 const BACKEND: &str = "e1";
 const STEP: Millis = 5;
-/// How long a request waits for a permit.
-const PATIENCE: Millis = 4_000;
-/// Span in which arrivals are counted, in any place.
+/// How long a request waits for a permit, in milliseconds.
+const PERMIT_TIMEOUT: Millis = 4_000;
+/// Length of the sliding window in which arrivals are counted, in milliseconds.
 pub const WINDOW: Millis = 4_000;
-/// Time after a limit was first named from which arrivals are counted.
+/// Time from the first advertisement of a limit until arrivals are counted, in milliseconds.
 const COUNTED_AFTER: Millis = 3_000;
-/// How long a node that started again or stood still is not counted.
-const EXCUSED_FOR: Millis = 3_000;
+/// How long arrivals from a node are not counted after its restart or pause, in milliseconds.
+const EXCLUDED_AFTER_FAULT: Millis = 3_000;
 
-/// What one run is made of.
+/// Parameters of one simulation run.
 #[derive(Clone)]
 pub struct Plan {
     pub nodes: usize,
-    /// Requests a second that the back end names, by the time from which it does; none where it
-    /// names no limit.
+    /// Requests per second that the back end advertises, each with its start time; none for no
+    /// limit.
     pub limits: Vec<(Millis, Option<f64>)>,
-    /// Requests a second from callers of all nodes.
-    pub asked: f64,
-    /// Nodes at which callers ask; all where there are fewer.
-    pub asking_nodes: usize,
+    /// Offered load of all nodes, in requests per second.
+    pub offered_per_second: f64,
+    /// Number of nodes that receive requests, capped at the number of nodes.
+    pub entry_nodes: usize,
     pub length: Millis,
-    /// Whether views differ, nodes start again or stand still, and messages are lost.
-    pub trouble: bool,
+    /// Whether views diverge, nodes restart or pause, and messages are lost.
+    pub injects_faults: bool,
 }
 
 struct Node {
     name: NodeName,
     pool: PermitPool,
     issuer: PermitIssuer,
-    /// Nodes that it takes for usable.
+    /// Whether this node's view contains each node.
     view: Vec<bool>,
     waiting: VecDeque<Millis>,
     inbox: BTreeMap<(Millis, u64), (NodeName, LimitMessage)>,
-    frozen_until: Millis,
-    excused_until: Millis,
+    paused_until: Millis,
+    excluded_until: Millis,
 }
 
 /// A request that reached the back end.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
     pub at: Millis,
-    /// Whether it counts: also where its node was told of the limit by other nodes only, which is
-    /// more than the users' rule counts.
+    /// Whether the arrival counts towards the limit.
     pub counts: bool,
 }
 
 struct Answer {
     node: usize,
-    named: Option<RequestRate>,
+    advertised: Option<RequestRate>,
     permit: Option<Serial>,
 }
 
@@ -70,15 +69,15 @@
     nodes: Vec<Node>,
     answers: BTreeMap<(Millis, u64), Answer>,
     views: BTreeMap<(Millis, u64), (usize, usize, bool)>,
-    next_event: u64,
-    first_named: Option<Millis>,
+    event_count: u64,
+    first_advertised_at: Option<Millis>,
     pub arrivals: Vec<Arrival>,
-    /// Messages of limits that were sent.
+    /// Number of protocol messages sent.
     pub messages: u64,
 }
 
 impl Run {
-    pub fn play(plan: Plan, seed: u64) -> Self {
+    pub fn simulate(plan: Plan, seed: u64) -> Self {
         let nodes = (0..plan.nodes).map(|number| Node {
             name: NodeName(format!("n{number}")),
             pool: PermitPool::default(),
@@ -86,8 +85,8 @@
             view: vec![true; plan.nodes],
             waiting: VecDeque::new(),
             inbox: BTreeMap::new(),
-            frozen_until: 0,
-            excused_until: 0,
+            paused_until: 0,
+            excluded_until: 0,
         });
         let mut run = Self {
             nodes: nodes.collect(),
@@ -95,8 +94,8 @@
             now: 0,
             answers: BTreeMap::new(),
             views: BTreeMap::new(),
-            next_event: 0,
-            first_named: None,
+            event_count: 0,
+            first_advertised_at: None,
             arrivals: Vec::new(),
             messages: 0,
             plan,
@@ -107,76 +106,76 @@
         run
     }
 
-    fn event(&mut self, after: std::ops::Range<Millis>) -> (Millis, u64) {
-        self.next_event += 1;
-        (self.now + self.random.gen_range(after), self.next_event)
+    fn schedule(&mut self, after: std::ops::Range<Millis>) -> (Millis, u64) {
+        self.event_count += 1;
+        (self.now + self.random.gen_range(after), self.event_count)
     }
 
     fn step(&mut self) {
         self.now += STEP;
-        if self.plan.trouble {
-            self.make_trouble();
+        if self.plan.injects_faults {
+            self.inject_fault();
         }
-        self.take_views();
-        self.take_answers();
-        self.callers_ask();
+        self.apply_view_changes();
+        self.deliver_answers();
+        self.generate_requests();
         for node in 0..self.nodes.len() {
-            if self.nodes[node].frozen_until <= self.now {
+            if self.nodes[node].paused_until <= self.now {
                 self.run_node(node);
             }
         }
     }
 
-    /// One in so many steps something happens to one node.
-    fn make_trouble(&mut self) {
-        const ONE_IN: u32 = 400;
-        if !self.random.gen_ratio(1, ONE_IN) {
+    /// Injects a fault into a random node, on average every `STEPS_PER_FAULT` steps.
+    fn inject_fault(&mut self) {
+        const STEPS_PER_FAULT: u32 = 400;
+        if !self.random.gen_ratio(1, STEPS_PER_FAULT) {
             return;
         }
         let node = self.random.gen_range(0..self.nodes.len());
         match self.random.gen_range(0..3) {
-            // It stops as planned: the others learn so at different times, and of its return.
+            // Planned stop and return: the other nodes see both at different times.
             0 => {
                 for other in 0..self.nodes.len() {
-                    let left = self.event(1..1_200);
-                    self.views.insert(left, (other, node, false));
-                    let back = self.event(4_000..5_200);
-                    self.views.insert(back, (other, node, true));
+                    let leave = self.schedule(1..1_200);
+                    self.views.insert(leave, (other, node, false));
+                    let rejoin = self.schedule(4_000..5_200);
+                    self.views.insert(rejoin, (other, node, true));
                 }
             }
-            // It starts again and knows nothing.
+            // Restart with loss of all state.
             1 => {
                 let now = self.now;
                 let one = &mut self.nodes[node];
                 one.pool = PermitPool::default();
                 one.issuer = PermitIssuer::default();
                 one.waiting.clear();
-                one.excused_until = now + EXCUSED_FOR;
+                one.excluded_until = now + EXCLUDED_AFTER_FAULT;
             }
             _ => {
                 let length = self.random.gen_range(200..3_000);
                 let one = &mut self.nodes[node];
-                one.frozen_until = self.now + length;
-                one.excused_until = one.frozen_until + EXCUSED_FOR;
+                one.paused_until = self.now + length;
+                one.excluded_until = one.paused_until + EXCLUDED_AFTER_FAULT;
             }
         }
     }
 
-    fn take_views(&mut self) {
+    fn apply_view_changes(&mut self) {
         while let Some(entry) = self
             .views
             .first_entry()
             .filter(|one| one.key().0 <= self.now)
         {
-            let (seen_by, node, is_usable) = entry.remove();
-            self.nodes[seen_by].view[node] = is_usable;
-            if self.issuer_by(seen_by) != Some(seen_by) {
-                self.nodes[seen_by].issuer.keep_only(|_| false);
+            let (observer, node, is_usable) = entry.remove();
+            self.nodes[observer].view[node] = is_usable;
+            if self.issuer_in_view_of(observer) != Some(observer) {
+                self.nodes[observer].issuer.keep_only(|_| false);
             }
         }
     }
 
-    fn issuer_by(&self, node: usize) -> Option<usize> {
+    fn issuer_in_view_of(&self, node: usize) -> Option<usize> {
         let usable = (0..self.nodes.len()).filter(|other| self.nodes[node].view[*other]);
         let names = usable.map(|other| self.nodes[other].name.as_str());
         let issuer = issuer_of(names, BACKEND)?;
@@ -185,7 +184,7 @@
             .position(|one| one.name.as_str() == issuer)
     }
 
-    fn take_answers(&mut self) {
+    fn deliver_answers(&mut self) {
         while let Some(entry) = self
             .answers
             .first_entry()
@@ -193,17 +192,18 @@
         {
             let answer = entry.remove();
             let node = &mut self.nodes[answer.node];
-            node.pool.record_answer(answer.named, answer.permit, true);
+            node.pool
+                .record_answer(answer.advertised, answer.permit, true);
         }
     }
 
-    fn callers_ask(&mut self) {
-        let expected = self.plan.asked * STEP as f64 / 1_000.0;
+    fn generate_requests(&mut self) {
+        let expected = self.plan.offered_per_second * STEP as f64 / 1_000.0;
         let mut count = expected as u64;
         count += u64::from(self.random.gen_bool(expected.fract()));
-        let asking = self.plan.asking_nodes.min(self.nodes.len());
+        let entry_nodes = self.plan.entry_nodes.min(self.nodes.len());
         for _ in 0..count {
-            let node = self.random.gen_range(0..asking);
+            let node = self.random.gen_range(0..entry_nodes);
             self.nodes[node].waiting.push_back(self.now);
         }
     }
@@ -215,15 +215,15 @@
                 break;
             }
             let (from, message) = entry.remove();
-            self.take_message(node, &from, message);
+            self.handle_message(node, &from, message);
         }
         let one = &mut self.nodes[node];
-        one.waiting.retain(|since| now - since < PATIENCE);
+        one.waiting.retain(|since| now - since < PERMIT_TIMEOUT);
         self.send_waiting(node);
         let one = &mut self.nodes[node];
         one.pool.set_waiting(one.waiting.len() as u32, now);
         if let Some(request) = one.pool.request_due(BACKEND, now) {
-            if let Some(issuer) = self.issuer_by(node) {
+            if let Some(issuer) = self.issuer_in_view_of(node) {
                 self.send(node, issuer, LimitMessage::Request(request));
             }
         }
@@ -233,11 +233,11 @@
         }
     }
 
-    fn take_message(&mut self, node: usize, from: &NodeName, message: LimitMessage) {
+    fn handle_message(&mut self, node: usize, from: &NodeName, message: LimitMessage) {
         let now = self.now;
         match message {
             LimitMessage::Request(request) => {
-                if self.issuer_by(node) == Some(node) {
+                if self.issuer_in_view_of(node) == Some(node) {
                     let grants = self.nodes[node].issuer.handle_request(from, &request, now);
                     self.send_grants(node, grants);
                     self.announce(node);
@@ -253,12 +253,12 @@
         }
     }
 
-    /// Relays pass it on to all nodes.
+    /// Announces new limits to all nodes, as the relays do.
     fn announce(&mut self, node: usize) {
         let announcements = self.nodes[node].issuer.take_announcements();
         for announced in announcements {
             for other in 0..self.nodes.len() {
-                let at = self.event(2..100);
+                let at = self.schedule(2..100);
                 let message = LimitMessage::Announced(announced.clone());
                 let from = self.nodes[node].name.clone();
                 self.nodes[other].inbox.insert(at, (from, message));
@@ -279,13 +279,13 @@
 
     fn send(&mut self, from: usize, to: usize, message: LimitMessage) {
         self.messages += 1;
-        let is_lost = self.plan.trouble && self.random.gen_ratio(1, 50);
+        let is_lost = self.plan.injects_faults && self.random.gen_ratio(1, 50);
         if is_lost {
             return;
         }
         let at = match from == to {
-            true => self.event(0..1),
-            false => self.event(1..6),
+            true => self.schedule(0..1),
+            false => self.schedule(1..6),
         };
         let name = self.nodes[from].name.clone();
         self.nodes[to].inbox.insert(at, (name, message));
@@ -299,47 +299,49 @@
                 Admission::Denied => return,
             };
             self.nodes[node].waiting.pop_front();
-            self.arrive(node, permit);
+            self.record_arrival(node, permit);
         }
     }
 
-    fn named_now(&self) -> Option<RequestRate> {
+    fn advertised_limit(&self) -> Option<RequestRate> {
         let began = self.plan.limits.iter().rev();
         let mut began = began.filter(|(from, _)| *from <= self.now);
         began.next()?.1.and_then(RequestRate::per_second)
     }
 
-    fn arrive(&mut self, node: usize, permit: Option<Serial>) {
-        let named = self.named_now();
+    fn record_arrival(&mut self, node: usize, permit: Option<Serial>) {
+        let advertised = self.advertised_limit();
         let now = self.now;
-        if named.is_some() {
-            self.first_named.get_or_insert(now);
+        if advertised.is_some() {
+            self.first_advertised_at.get_or_insert(now);
         }
         let one = &self.nodes[node];
-        let is_late = self.first_named.is_some_and(|at| at + COUNTED_AFTER <= now);
+        let is_late = self
+            .first_advertised_at
+            .is_some_and(|at| at + COUNTED_AFTER <= now);
         self.arrivals.push(Arrival {
             at: now,
-            counts: is_late && one.excused_until <= now,
+            counts: is_late && one.excluded_until <= now,
         });
-        // The head of a stream or of a slow answer comes late, and crosses others.
+        // Some answers are slow, so that answers arrive out of order.
         let longest = if self.random.gen_ratio(1, 5) {
             1_500
         } else {
             60
         };
-        let at = self.event(5..longest);
+        let at = self.schedule(5..longest);
         self.answers.insert(
             at,
             Answer {
                 node,
-                named,
+                advertised,
                 permit,
             },
         );
     }
 }
 
-/// The most arrivals that count in any window.
+/// Maximum number of counted arrivals in any window.
 pub fn most_in_a_window(arrivals: &[Arrival]) -> usize {
     let counted = arrivals.iter().filter(|one| one.counts);
     let times: Vec<Millis> = counted.map(|one| one.at).collect();
--- a/crates/limits/tests/pool.rs
+++ b/crates/limits/tests/pool.rs
@@ -1,4 +1,4 @@
-//! What one node knows of a limit: which word holds, and when its permits hold.
+//! Tests of a node's permit pool: which limit applies and when permits are valid.
 
 use rstest::rstest;
 use silversail_limits::{
@@ -30,35 +30,36 @@
     })
 }
 
-/// A pool that knows a limit of 1 a second by an answer to the permit 100, and asked for one.
-fn asking() -> PermitPool {
+/// A pool with a limit of 1 per second, learned with permit 100, that has requested one permit.
+fn pool_with_pending_request() -> PermitPool {
     let mut pool = PermitPool::default();
     pool.record_answer(Some(rate(1.0)), Some(100), true);
     pool.set_waiting(1, ASKED_AT);
-    pool.request_due("e1", ASKED_AT).expect("asks");
+    pool.request_due("e1", ASKED_AT)
+        .expect("a permit request is due");
     pool
 }
 
-fn lifts(pool: &mut PermitPool) -> bool {
+fn reports_lifted_limit(pool: &mut PermitPool) -> bool {
     let request = pool.request_due("e1", ASKED_AT + 10);
     request.is_some_and(|request| request.lifted_by > request.limit.serial)
 }
 
 #[rstest]
-#[case::of_a_later_permit(Some(101), true, true)]
-#[case::of_the_same_permit(Some(100), true, false)]
-#[case::of_an_earlier_permit(Some(99), true, false)]
+#[case::later_permit(Some(101), true, true)]
+#[case::same_permit(Some(100), true, false)]
+#[case::earlier_permit(Some(99), true, false)]
 #[case::sent_before_the_limit_was_known(None, true, false)]
-#[case::a_failure(Some(101), false, false)]
-fn only_a_sound_answer_to_a_later_permit_takes_a_limit_back(
+#[case::failed_answer(Some(101), false, false)]
+fn only_a_successful_answer_to_a_later_permit_lifts_a_limit(
     #[case] permit: Option<Serial>,
     #[case] is_success: bool,
     #[case] is_lifted: bool,
 ) {
-    let mut pool = asking();
+    let mut pool = pool_with_pending_request();
     pool.record_answer(None, permit, is_success);
-    assert_eq!(lifts(&mut pool), is_lifted);
-    // The issuer lifts it, for all nodes.
+    assert_eq!(reports_lifted_limit(&mut pool), is_lifted);
+    // Only the issuer lifts the limit, for all nodes.
     assert!(pool.limit().is_some());
 }
 
@@ -68,43 +69,43 @@
 #[case::higher_and_later(2.0, Some(101), 2.0)]
 #[case::higher_and_earlier(2.0, Some(99), 1.0)]
 #[case::higher_sent_without_permit(2.0, None, 1.0)]
-fn a_lower_limit_holds_at_once_and_a_higher_one_where_it_is_later(
-    #[case] named: f64,
+fn a_lower_limit_applies_at_once_and_a_higher_one_only_if_it_is_newer(
+    #[case] advertised: f64,
     #[case] permit: Option<Serial>,
-    #[case] holds: f64,
+    #[case] expected: f64,
 ) {
-    let mut pool = asking();
-    pool.record_answer(Some(rate(named)), permit, true);
-    assert_eq!(pool.limit(), Some(rate(holds)));
+    let mut pool = pool_with_pending_request();
+    pool.record_answer(Some(rate(advertised)), permit, true);
+    assert_eq!(pool.limit(), Some(rate(expected)));
 }
 
 #[test]
-fn a_limit_that_the_issuer_knows_by_an_earlier_answer_does_not_raise_a_lower_one() {
-    let mut pool = asking();
+fn an_older_limit_of_the_issuer_does_not_replace_a_lower_one() {
+    let mut pool = pool_with_pending_request();
     pool.record_answer(Some(rate(0.5)), Some(100), true);
     pool.apply_grant(&grant(limited(1.0, 100), 200, 1), ASKED_AT + 5);
     assert_eq!(pool.limit(), Some(rate(0.5)));
 }
 
 #[test]
-fn a_limit_named_again_after_it_was_over_is_not_taken_for_the_former() {
-    let mut pool = asking();
+fn a_limit_advertised_after_the_last_was_lifted_is_a_new_limit() {
+    let mut pool = pool_with_pending_request();
     pool.apply_grant(&grant(LimitState::Lifted(300), 0, 0), ASKED_AT + 5);
     assert_eq!(pool.limit(), None);
-    // A request without a permit, as there was no limit.
+    // Without a limit, the request was sent without a permit.
     pool.record_answer(Some(rate(2.0)), None, true);
-    // The issuer may still know the former end only.
+    // The issuer may only know that the former limit was lifted.
     pool.apply_grant(&grant(LimitState::Lifted(300), 0, 0), ASKED_AT + 20);
     assert_eq!(pool.limit(), Some(rate(2.0)));
 }
 
 #[test]
-fn a_permit_is_taken_once_and_given_back_where_nothing_was_sent() {
-    let mut pool = asking();
+fn a_permit_is_consumed_once_and_can_be_returned_if_nothing_was_sent() {
+    let mut pool = pool_with_pending_request();
     let now = ASKED_AT + 5;
     pool.apply_grant(&grant(limited(1.0, 100), 200, 1), now);
     let Admission::Permitted(permit) = pool.admit(now) else {
-        panic!("a permit is there");
+        panic!("a permit should be available");
     };
     assert_eq!(pool.admit(now), Admission::Denied);
     pool.return_permit(permit);
@@ -114,8 +115,8 @@
 }
 
 #[test]
-fn a_permit_that_is_meant_for_a_decided_request_is_not_free_for_another() {
-    let mut pool = asking();
+fn a_reserved_permit_is_not_available_for_another_request() {
+    let mut pool = pool_with_pending_request();
     let now = ASKED_AT + 5;
     pool.apply_grant(&grant(limited(1.0, 100), 200, 1), now);
     assert_eq!((pool.available(now), pool.next_permit_at(now)), (1, None));
@@ -125,8 +126,8 @@
 }
 
 #[test]
-fn permits_lapse_and_do_not_pile_up() {
-    let mut pool = asking();
+fn permits_expire_and_do_not_accumulate() {
+    let mut pool = pool_with_pending_request();
     let now = ASKED_AT + 5;
     pool.apply_grant(&grant(limited(1.0, 100), 200, 3), now);
     let later = now + PERMIT_LIFETIME;
@@ -136,41 +137,41 @@
 
 #[rstest]
 #[case::in_time(ASKED_AT + 2_900, 1)]
-#[case::after_the_process_stood_still(ASKED_AT + 60_000, 0)]
-fn what_was_given_long_ago_is_no_permission(#[case] now: Millis, #[case] permits: usize) {
-    let mut pool = asking();
+#[case::after_a_process_pause(ASKED_AT + 60_000, 0)]
+fn a_grant_for_an_outdated_request_adds_no_permits(#[case] now: Millis, #[case] permits: usize) {
+    let mut pool = pool_with_pending_request();
     pool.apply_grant(&grant(limited(1.0, 100), 200, 1), now);
     assert_eq!(pool.available(now), permits);
 }
 
 #[test]
-fn what_a_former_process_of_the_node_asked_for_is_no_permission() {
+fn a_grant_for_a_former_process_of_the_node_adds_no_permits() {
     let mut pool = PermitPool::default();
     pool.apply_grant(&grant(limited(1.0, 100), 200, 1), ASKED_AT + 5);
-    // But it tells of the limit.
+    // The limit in it applies nevertheless.
     assert_eq!(pool.limit(), Some(rate(1.0)));
     assert_eq!(pool.admit(ASKED_AT + 5), Admission::Denied);
 }
 
 #[test]
-fn an_engine_that_takes_nothing_is_asked_now_and_then() {
+fn an_engine_with_a_limit_of_zero_is_probed_periodically() {
     let mut pool = PermitPool::default();
     pool.record_answer(Some(RequestRate::ZERO), None, true);
     assert_eq!(pool.next_permit_at(0), Some(10_000));
 }
 
 #[test]
-fn the_issuer_is_asked_by_what_waits_and_again_where_it_is_silent() {
-    let mut pool = asking();
-    let mut asks = |waiting, now| {
+fn permit_requests_follow_demand_and_are_repeated_without_an_answer() {
+    let mut pool = pool_with_pending_request();
+    let mut wanted_in_request = |waiting, now| {
         pool.set_waiting(waiting, now);
         let request = pool.request_due("e1", now);
         request.map(|request| request.wanted)
     };
-    assert_eq!(asks(1, ASKED_AT + 10), None);
-    assert_eq!(asks(2, ASKED_AT + 20), Some(2));
-    assert_eq!(asks(2, ASKED_AT + 500), None);
-    assert_eq!(asks(2, ASKED_AT + 1_020), Some(2));
-    assert_eq!(asks(0, ASKED_AT + 1_030), Some(0));
-    assert_eq!(asks(0, ASKED_AT + 9_000), None);
+    assert_eq!(wanted_in_request(1, ASKED_AT + 10), None);
+    assert_eq!(wanted_in_request(2, ASKED_AT + 20), Some(2));
+    assert_eq!(wanted_in_request(2, ASKED_AT + 500), None);
+    assert_eq!(wanted_in_request(2, ASKED_AT + 1_020), Some(2));
+    assert_eq!(wanted_in_request(0, ASKED_AT + 1_030), Some(0));
+    assert_eq!(wanted_in_request(0, ASKED_AT + 9_000), None);
 }
