--- a/crates/serving/tests/allowed_regions.rs
+++ b/crates/serving/tests/allowed_regions.rs
@@ -1,4 +1,4 @@
-//! Requests that only some regions may serve: each place that gives work.
+//! Tests of requests that only some regions may serve, in routing, dispatch and batching.
 
 mod common;
 
@@ -16,7 +16,7 @@
 use silversail_serving::routes::RouteTable;
 use std::collections::BTreeSet;
 
-/// Zone `a` lies in the north, `b` in the south.
+/// Zone `a` is in region `north`, zone `b` in region `south`.
 const ZONES: [(&str, &str); 2] = [("a", "north"), ("b", "south")];
 const UNREACHABLE: SendOutcome = SendOutcome::NotRun(NotRunReason::Unreachable);
 
@@ -24,7 +24,7 @@
     regions.iter().map(|region| (*region).to_owned()).collect()
 }
 
-/// A configuration whose routes allow some regions, if any are named.
+/// A configuration whose routes are restricted to `regions`; none for no restriction.
 fn restricted(regions: Option<&[&str]>) -> TrafficConfiguration {
     let mut traffic = traffic();
     for route in &mut traffic.routes {
@@ -33,7 +33,7 @@
     traffic
 }
 
-/// A dispatcher in the north.
+/// A dispatcher in region `north`.
 fn dispatcher(traffic: &TrafficConfiguration) -> Dispatcher {
     let topology = in_regions("a", &ZONES);
     let mut dispatcher =
@@ -70,17 +70,17 @@
 #[case::tenant(None, Some(&["south"][..]), &["south"])]
 #[case::both(Some(&["north", "south"][..]), Some(&["south", "east"][..]), &["south"])]
 #[case::nothing_in_common(Some(&["north"][..]), Some(&["south"][..]), &[])]
-fn where_route_and_tenant_name_regions_both_bind(
-    #[case] of_route: Option<&[&str]>,
-    #[case] of_tenant: Option<&[&str]>,
+fn the_allowed_regions_are_the_intersection_of_route_and_tenant(
+    #[case] route_regions: Option<&[&str]>,
+    #[case] tenant_regions: Option<&[&str]>,
     #[case] expected: &[&str],
 ) {
-    let mut traffic = restricted(of_route);
+    let mut traffic = restricted(route_regions);
     traffic.tenants = vec![TenantKeys {
         tenant: "t1".into(),
         key_hashes: vec![hash_key("secret")],
         priority: None,
-        allowed_regions: of_tenant.map(set),
+        allowed_regions: tenant_regions.map(set),
     }];
     let mut request = call("r1");
     request.key = Some("secret".into());
@@ -93,9 +93,8 @@
     assert_eq!(allowed, expected);
 }
 
-/// A host's routes may differ: its addresses may lie where any of them is allowed.
 #[test]
-fn a_hosts_regions_are_those_of_any_of_its_routes() {
+fn the_regions_of_a_host_are_the_union_over_its_routes() {
     let mut traffic = restricted(Some(&["north"]));
     traffic.routes[1].allowed_regions = Some(set(&["south"]));
     let regions = RouteTable::new(&traffic).allowed_regions_of_host("A.example:80");
@@ -109,9 +108,9 @@
     assert_eq!(table.allowed_regions_of_host("other"), RegionFilter::any());
 }
 
-/// Nearer engines are free, and retries find none that is untried.
+/// Holds although nearer engines are idle, and when all allowed engines were tried.
 #[test]
-fn engines_and_retries_lie_in_the_allowed_region() {
+fn sends_and_retries_stay_in_the_allowed_region() {
     let mut dispatcher = dispatcher(&restricted(Some(&["south"])));
     let first = dispatcher.arrive(1, call("r1"), 0);
     let first = engine_of(&first).expect("sent").to_owned();
@@ -124,17 +123,17 @@
     assert_eq!(dispatcher.open_requests(), 0);
 }
 
-/// Said at the arrival, before any phase is made, and true: nothing ran.
+/// The rejection comes on arrival, before any phase runs.
 #[rstest]
 #[case::no_engine("/chat/x", &["e2", "e3"])]
-#[case::no_maker_of_a_phase("/staged/x", &["s2"])]
-fn without_allowed_back_ends_a_request_is_refused_at_once(
+#[case::no_batch_back_end("/staged/x", &["s2"])]
+fn without_allowed_back_ends_a_request_is_rejected_on_arrival(
     #[case] path: &str,
-    #[case] gone: &[&str],
+    #[case] removed: &[&str],
 ) {
     let mut dispatcher = dispatcher(&restricted(Some(&["south"])));
     let mut listed = instances();
-    listed.retain(|one| !gone.contains(&one.id.as_str()));
+    listed.retain(|listed| !removed.contains(&listed.id.as_str()));
     dispatcher.instances.replace(&listed);
     let mut request = call_of("r1", path);
     request.pieces = vec![2, 2];
@@ -145,9 +144,8 @@
     assert_eq!(dispatcher.open_requests(), 0);
 }
 
-/// An evacuated region is like one that is lost: what may be served there only is refused.
 #[test]
-fn an_allowed_region_that_is_evacuated_serves_nothing_and_nobody_else_does() {
+fn a_request_is_rejected_while_its_only_allowed_region_is_evacuated() {
     let mut dispatcher = dispatcher(&restricted(Some(&["south"])));
     dispatcher.instances.set_evacuated(set(&["b"]), 0);
     let actions = dispatcher.arrive(1, call("r1"), 0);
@@ -155,7 +153,7 @@
 }
 
 #[test]
-fn orders_carry_the_regions_that_may_do_them() {
+fn orders_carry_the_allowed_regions() {
     let mut dispatcher = dispatcher(&restricted(Some(&["south"])));
     let mut request = call_of("r1", "/staged/x");
     request.pieces = vec![2, 2];
@@ -170,7 +168,7 @@
 }
 
 #[test]
-fn a_phase_that_no_allowed_maker_takes_is_said_so() {
+fn a_phase_without_an_allowed_back_end_ends_with_its_own_result_code() {
     let mut dispatcher = dispatcher(&restricted(Some(&["south"])));
     let mut request = call_of("r1", "/staged/x");
     request.pieces = vec![2, 2];
@@ -184,9 +182,9 @@
     assert_eq!(code_of(&ended), Some(ResultCode::NoAllowedBackend));
 }
 
-/// Another configuration counts for the next send and the next order of a request.
+/// A new configuration applies to the next send and the next order of a request.
 #[test]
-fn what_a_new_configuration_allows_counts_for_requests_under_way() {
+fn a_new_configuration_applies_to_requests_in_progress() {
     let mut dispatcher = dispatcher(&restricted(None));
     let first = dispatcher.arrive(1, call("r1"), 0);
     let mut staged = call_of("r2", "/staged/x");
@@ -202,7 +200,7 @@
     dispatcher.set_routes(RouteTable::new(&restricted(Some(&["north"]))));
     assert_eq!(dispatcher.regions_of_work(work), Some(&only(&["north"])));
     let again = dispatcher.send_ended(1, UNREACHABLE, None, 10);
-    assert_eq!(engine_of(&again), None, "e2 and e3 lie in the south");
+    assert_eq!(engine_of(&again), None, "e2 and e3 are in region south");
     dispatcher.set_routes(RouteTable::new(&restricted(None)));
     assert_eq!(dispatcher.regions_of_work(work), Some(&RegionFilter::any()));
 }
@@ -218,9 +216,9 @@
     }
 }
 
-/// One node batches for all zones: its calls keep to the regions of each order.
+/// One node batches for all zones; its calls respect the regions of each order.
 #[test]
-fn a_call_holds_pieces_only_of_orders_that_its_maker_may_make() {
+fn a_call_contains_only_pieces_that_its_back_end_may_run() {
     let table = table(&[("s1", "a"), ("s2", "b")]);
     let mut batcher = batcher_in_regions();
     for number in 1..4 {
@@ -228,15 +226,15 @@
         order.expect("taken");
     }
     let calls = batcher.next_calls(&table, 0);
-    let makers: Vec<&str> = calls.iter().map(|call| call.instance.as_str()).collect();
-    assert_eq!(makers, ["s2"]);
-    // Free makers elsewhere get what nothing restricts.
+    let back_ends: Vec<&str> = calls.iter().map(|call| call.instance.as_str()).collect();
+    assert_eq!(back_ends, ["s2"]);
+    // Idle back ends of other regions get unrestricted orders.
     batcher
         .submit(key(9), work(9, 2), &table, 1)
         .expect("taken");
     let calls = batcher.next_calls(&table, 1);
-    let makers: Vec<&str> = calls.iter().map(|call| call.instance.as_str()).collect();
-    assert_eq!(makers, ["s1"]);
+    let back_ends: Vec<&str> = calls.iter().map(|call| call.instance.as_str()).collect();
+    assert_eq!(back_ends, ["s1"]);
     assert!(calls[0]
         .pieces
         .iter()
@@ -244,27 +242,30 @@
 }
 
 #[test]
-fn an_order_without_allowed_makers_is_refused_or_ended() {
-    let mut makers = table(&[("s1", "a"), ("s2", "b")]);
+fn an_order_without_allowed_back_ends_is_rejected_or_ended() {
+    let mut table = table(&[("s1", "a"), ("s2", "b")]);
     let mut batcher = batcher_in_regions();
     batcher
-        .submit(key(1), in_south(1), &makers, 0)
+        .submit(key(1), in_south(1), &table, 0)
         .expect("taken");
     batcher
-        .submit(key(2), work(2, 2), &makers, 0)
+        .submit(key(2), work(2, 2), &table, 0)
         .expect("taken");
-    assert!(batcher.end_unstaffed(&makers).is_empty());
-    makers.set_evacuated(set(&["b"]), 10);
-    let refused = batcher.submit(key(3), in_south(3), &makers, 10);
+    assert!(batcher.end_unstaffed(&table).is_empty());
+    table.set_evacuated(set(&["b"]), 10);
+    let refused = batcher.submit(key(3), in_south(3), &table, 10);
     assert_eq!(refused, Err(PieceFailure::NoBackend));
-    let ended = batcher.end_unstaffed(&makers);
-    let ended: Vec<_> = ended.into_iter().map(|one| (one.key, one.result)).collect();
+    let ended = batcher.end_unstaffed(&table);
+    let ended: Vec<_> = ended
+        .into_iter()
+        .map(|order| (order.key, order.result))
+        .collect();
     assert_eq!(ended, [(key(1), Err(PieceFailure::NoBackend))]);
 }
 
-/// Orders leave a shard whose makers all fail at once, not after its queue is lost.
+/// Placement must move orders to other shards as soon as all back ends of a shard fail.
 #[test]
-fn a_shard_whose_makers_all_fail_tells_a_queue() {
+fn a_shard_whose_back_ends_all_fail_reports_a_queue() {
     let table = table(&[("s1", "a"), ("s2", "a")]);
     let shard = Shard::in_zone("encode", "a");
     let mut batcher = batcher_in_regions();
@@ -285,6 +286,6 @@
     batcher.cancel(&key(2));
     assert_eq!(batcher.waits(&shard, &table, 10).queue_ms, 250);
     assert!(with_one_left > 0);
-    // Until one may be tried again.
+    // Until a back end may be tried again.
     assert_eq!(batcher.waits(&shard, &table, 260).queue_ms, 0);
 }
--- a/crates/serving/tests/crashes.rs
+++ b/crates/serving/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! What connections that break off say of a back end.
+//! Tests of crash detection by lost connections.
 
 use rstest::rstest;
 use silversail_model::{ContentDigest, RequestFingerprint};
@@ -15,7 +15,7 @@
     }
 }
 
-fn broken(instance: &str, request: &str) -> ConnectionLoss {
+fn loss(instance: &str, request: &str) -> ConnectionLoss {
     ConnectionLoss {
         instance: instance.to_owned(),
         service: "pool".to_owned(),
@@ -42,47 +42,50 @@
 }
 
 #[test]
-fn a_back_end_is_asked_once_for_all_that_broke_off_and_later_ones_are_of_the_same_crash() {
-    let mut watch = CrashDetector::default();
-    assert_eq!(watch.connection_lost(broken("e1", "a"), 10), probe("e1"));
+fn losses_within_the_window_share_one_probe_and_its_result() {
+    let mut detector = CrashDetector::default();
+    assert_eq!(detector.connection_lost(loss("e1", "a"), 10), probe("e1"));
     assert_eq!(
-        watch.connection_lost(broken("e1", "b"), 11),
+        detector.connection_lost(loss("e1", "b"), 11),
         ConnectionLossAction::Wait
     );
-    assert_eq!(watch.connection_lost(broken("e2", "c"), 11), probe("e2"));
-    let first = watch.probe_finished("e1", ProbeResult::Refused);
+    assert_eq!(detector.connection_lost(loss("e2", "c"), 11), probe("e2"));
+    let first = detector.probe_finished("e1", ProbeResult::Refused);
     assert_eq!(
         first,
         Some(diagnosis(10, ProbeResult::Refused, &["a", "b"]))
     );
-    // Its silent connection shows the end later.
+    // An idle connection is found lost later.
     let known = diagnosis(10, ProbeResult::Refused, &["d"]);
     assert_eq!(
-        watch.connection_lost(broken("e1", "d"), 1_500),
+        detector.connection_lost(loss("e1", "d"), 1_500),
         ConnectionLossAction::Known(known)
     );
-    assert_eq!(watch.probe_finished("e1", ProbeResult::Refused), None);
-    // It was back since, and crashed again.
-    assert_eq!(watch.connection_lost(broken("e1", "e"), 2_010), probe("e1"));
+    assert_eq!(detector.probe_finished("e1", ProbeResult::Refused), None);
+    // After the window, a loss counts as a new crash.
+    assert_eq!(
+        detector.connection_lost(loss("e1", "e"), 2_010),
+        probe("e1")
+    );
 }
 
 #[rstest]
 #[case(ProbeResult::Accepted)]
 #[case(ProbeResult::Silent)]
-fn a_back_end_that_did_not_refuse_is_asked_again(#[case] answer: ProbeResult) {
-    let mut watch = CrashDetector::default();
-    watch.connection_lost(broken("e1", "a"), 10);
+fn a_back_end_that_did_not_refuse_the_probe_is_probed_again(#[case] answer: ProbeResult) {
+    let mut detector = CrashDetector::default();
+    detector.connection_lost(loss("e1", "a"), 10);
     assert_eq!(
-        watch.probe_finished("e1", answer),
+        detector.probe_finished("e1", answer),
         Some(diagnosis(10, answer, &["a"]))
     );
-    assert_eq!(watch.connection_lost(broken("e1", "b"), 20), probe("e1"));
-    let second = watch.probe_finished("e1", ProbeResult::Refused);
+    assert_eq!(detector.connection_lost(loss("e1", "b"), 20), probe("e1"));
+    let second = detector.probe_finished("e1", ProbeResult::Refused);
     assert_eq!(second, Some(diagnosis(20, ProbeResult::Refused, &["b"])));
 }
 
 #[test]
-fn an_answer_that_nobody_waits_for_says_nothing() {
-    let mut watch = CrashDetector::default();
-    assert_eq!(watch.probe_finished("e1", ProbeResult::Refused), None);
+fn an_unsolicited_probe_result_is_ignored() {
+    let mut detector = CrashDetector::default();
+    assert_eq!(detector.probe_finished("e1", ProbeResult::Refused), None);
 }
--- a/crates/serving/tests/limits.rs
+++ b/crates/serving/tests/limits.rs
@@ -1,5 +1,4 @@
-//! Engines and makers that take only so many requests from all nodes together: what they get from
-//! this node, and what becomes of requests that only they may have.
+//! Tests of rate-limited engines and batch back ends: permits, waiting requests and rejections.
 
 mod common;
 
@@ -30,12 +29,12 @@
     }
 }
 
-fn hear(table: &InstanceTable, ids: &[&str], per_second: f64) {
+fn advertise_limit(table: &InstanceTable, ids: &[&str], per_second: f64) {
     for id in ids {
-        let said = limit(per_second);
+        let report = limit(per_second);
         table
             .notices()
-            .record_report(id, ExchangeKind::Request, &said, 0);
+            .record_report(id, ExchangeKind::Request, &report, 0);
     }
     table.notices().permit_requests(&NONE_WAITING, 0);
 }
@@ -69,46 +68,46 @@
     refused.collect()
 }
 
-fn ask(dispatcher: &mut Dispatcher, number: u64, now: u64) -> Vec<Action> {
+fn send_request(dispatcher: &mut Dispatcher, number: u64, now: u64) -> Vec<Action> {
     dispatcher.arrive(number, call_of(&format!("r{number}"), "/gate/x"), now)
 }
 
 #[test]
-fn a_limited_engine_gets_what_there_are_permits_for_and_the_other_the_rest() {
+fn a_limited_engine_gets_one_request_per_permit_and_the_other_engine_the_rest() {
     let mut dispatcher = dispatcher();
-    hear(&dispatcher.instances, &["g1"], 1.0);
+    advertise_limit(&dispatcher.instances, &["g1"], 1.0);
     dispatcher
         .instances
         .notices()
         .apply_grant("n2", &grant("g1", 10, 1, 0), 5);
-    let to = (0..6).map(|number| sent_to(&ask(&mut dispatcher, number, 10)));
+    let to = (0..6).map(|number| sent_to(&send_request(&mut dispatcher, number, 10)));
     let to: Vec<String> = to.flatten().collect();
-    let limited = to.iter().filter(|one| *one == "g1").count();
+    let limited = to.iter().filter(|engine| *engine == "g1").count();
     assert_eq!((limited, to.len()), (1, 6));
 }
 
 #[test]
-fn no_list_takes_a_limit_back() {
+fn a_list_update_does_not_clear_a_limit() {
     let mut dispatcher = dispatcher();
-    hear(&dispatcher.instances, &["g1"], 1.0);
+    advertise_limit(&dispatcher.instances, &["g1"], 1.0);
     let without: Vec<_> = instances()
         .into_iter()
-        .filter(|one| one.id != "g1")
+        .filter(|listed| listed.id != "g1")
         .collect();
     dispatcher.take_listing(&list_of(&without), 100);
     dispatcher.take_listing(&list_of(&instances()), 1_100);
     assert_eq!(
-        sent_to(&ask(&mut dispatcher, 1, 1_200)).as_deref(),
+        sent_to(&send_request(&mut dispatcher, 1, 1_200)).as_deref(),
         Some("g2")
     );
 }
 
-/// The choice was made while there was no limit, or with a permit that another request took.
+/// The limit may appear, or another request may consume the permit, after the engine is chosen.
 #[test]
-fn a_request_that_finds_no_permit_when_it_leaves_is_chosen_anew() {
+fn a_request_without_a_permit_at_its_send_is_reassigned() {
     let mut dispatcher = dispatcher();
-    let first = sent_to(&ask(&mut dispatcher, 1, 0)).expect("sent");
-    hear(&dispatcher.instances, &[&first], 1.0);
+    let first = sent_to(&send_request(&mut dispatcher, 1, 0)).expect("sent");
+    advertise_limit(&dispatcher.instances, &[&first], 1.0);
     let admitted = dispatcher.instances.notices().admit(&first, 5);
     assert_eq!(admitted, Err(UnavailableReason::Limited));
     let second = sent_to(&dispatcher.send_ended(1, WITHHELD, None, 5)).expect("sent anew");
@@ -116,23 +115,23 @@
 }
 
 #[test]
-fn a_permit_is_for_one_request_on_whatever_path() {
+fn a_permit_admits_one_request() {
     let dispatcher = dispatcher();
     let notices = dispatcher.instances.notices();
-    hear(&dispatcher.instances, &["g1"], 1.0);
+    advertise_limit(&dispatcher.instances, &["g1"], 1.0);
     notices.apply_grant("n2", &grant("g1", 10, 1, 0), 5);
     let permit = notices.admit("g1", 10).expect("admitted");
-    assert_eq!(permit.map(|one| one.serial), Some(10));
+    assert_eq!(permit.map(|permit| permit.serial), Some(10));
     assert_eq!(notices.admit("g1", 10), Err(UnavailableReason::Limited));
     notices.return_permit("g1", permit.expect("a permit"));
     assert!(notices.admit("g1", 20).is_ok());
 }
 
 #[test]
-fn an_answer_to_a_permitted_request_is_what_ends_a_limit() {
+fn only_a_successful_answer_to_a_permitted_request_lifts_a_limit() {
     let dispatcher = dispatcher();
     let notices = dispatcher.instances.notices();
-    hear(&dispatcher.instances, &["g1"], 1.0);
+    advertise_limit(&dispatcher.instances, &["g1"], 1.0);
     let lifted_by = |permit, is_success| {
         let answer = AnswerContext {
             path: ExchangeKind::Request,
@@ -140,27 +139,27 @@
             is_success,
         };
         notices.record_report("g1", answer, &SelfReport::default(), 20);
-        let told = notices.permit_requests(&NONE_WAITING, 20);
-        told.first().map(|request| request.lifted_by)
+        let requests = notices.permit_requests(&NONE_WAITING, 20);
+        requests.first().map(|request| request.lifted_by)
     };
     assert_eq!(lifted_by(None, true), None);
     assert_eq!(lifted_by(Some(10), false), None);
     assert_eq!(lifted_by(Some(10), true), Some(10));
 }
 
-mod where_all_are_limited {
+mod all_engines_limited {
     use super::*;
 
     fn limited() -> Dispatcher {
         let dispatcher = dispatcher();
-        hear(&dispatcher.instances, &["g1", "g2"], 1.0);
+        advertise_limit(&dispatcher.instances, &["g1", "g2"], 1.0);
         dispatcher
     }
 
     #[test]
-    fn a_request_waits_for_a_permit_and_goes_with_it() {
+    fn a_request_waits_for_a_permit_and_is_sent_with_it() {
         let mut dispatcher = limited();
-        assert!(ask(&mut dispatcher, 1, 0).is_empty());
+        assert!(send_request(&mut dispatcher, 1, 0).is_empty());
         let wanted = dispatcher.permits_wanted();
         let (engine, count) = wanted.iter().next().expect("wants one");
         assert_eq!((wanted.len(), *count), (1, 1));
@@ -175,7 +174,7 @@
     }
 
     #[test]
-    fn the_most_urgent_of_those_that_wait_gets_the_first_permit() {
+    fn the_most_urgent_waiting_request_gets_the_first_permit() {
         let mut dispatcher = limited();
         for number in 1..=3 {
             let mut call = call_of(&format!("r{number}"), "/gate/x");
@@ -194,12 +193,12 @@
         assert_eq!(number, Some(3));
     }
 
-    /// The issuer told that the last permit comes in eight seconds; callers wait four.
+    /// The issuer estimates eight seconds until the last permit; callers wait four.
     #[test]
-    fn what_gets_no_permit_in_time_is_refused_at_once_with_the_time() {
+    fn a_request_without_a_permit_in_time_is_rejected_at_once_with_a_retry_delay() {
         let mut dispatcher = limited();
         for number in 1..=4 {
-            assert!(ask(&mut dispatcher, number, 0).is_empty());
+            assert!(send_request(&mut dispatcher, number, 0).is_empty());
         }
         let mut refused = Vec::new();
         let notices = dispatcher.instances.notices().clone();
@@ -219,38 +218,38 @@
     }
 
     #[rstest]
-    #[case::a_second_apart(1.0, true)]
-    #[case::ten_seconds_apart(0.1, false)]
-    fn a_request_that_can_have_no_permit_in_time_is_refused_before_its_phases(
+    #[case::one_per_second(1.0, true)]
+    #[case::one_per_ten_seconds(0.1, false)]
+    fn a_request_that_cannot_get_a_permit_in_time_is_rejected_before_its_phases(
         #[case] per_second: f64,
-        #[case] is_taken: bool,
+        #[case] is_accepted: bool,
     ) {
         let mut dispatcher = dispatcher();
-        hear(&dispatcher.instances, &["e1", "e2", "e3"], per_second);
+        advertise_limit(&dispatcher.instances, &["e1", "e2", "e3"], per_second);
         let mut staged = call_of("r", "/staged/x");
         staged.pieces = vec![1, 1, 1];
         let actions = dispatcher.arrive(1, staged, 10);
         let is_submitted = |action: &Action| matches!(action, Action::Submit { .. });
-        assert_eq!(actions.iter().any(is_submitted), is_taken);
+        assert_eq!(actions.iter().any(is_submitted), is_accepted);
         let code = refusals(&actions).first().map(|(_, refusal)| refusal.code);
-        let expected = (!is_taken).then_some(ResultCode::BackendsLimited);
+        let expected = (!is_accepted).then_some(ResultCode::BackendsLimited);
         assert_eq!(code, expected);
     }
 }
 
-mod makers {
+mod batch_back_ends {
     use super::*;
     use common::batches::{batcher, key, table, whole, work};
 
     #[test]
-    fn a_limited_maker_gets_calls_with_permits_only_and_counts_by_its_limit() {
+    fn a_limited_batch_back_end_gets_calls_only_with_permits_and_its_limit_raises_wait_estimates() {
         let (table, mut batcher) = (table(&[("s1", "a"), ("s2", "a")]), batcher());
         for request in 1..=3 {
             let taken = batcher.submit(key(request), work(request, 8), &table, 0);
             taken.expect("taken");
         }
         let before = batcher.waits(&whole(), &table, 0);
-        hear(&table, &["s1"], 1.0);
+        advertise_limit(&table, &["s1"], 1.0);
         let after = batcher.waits(&whole(), &table, 0);
         assert!(after.queue_ms > before.queue_ms, "{before:?}, {after:?}");
         let calls = batcher.next_calls(&table, 0);
--- a/crates/serving/tests/notices.rs
+++ b/crates/serving/tests/notices.rs
@@ -1,4 +1,4 @@
-//! What back ends said of themselves: what is kept, for how long, and what takes it back.
+//! Tests of advertised back-end state: updates, retention and removal.
 
 use rstest::rstest;
 use silversail_decisions::DecisionLog;
@@ -18,7 +18,7 @@
     }
 }
 
-fn leaving() -> SelfReport {
+fn draining() -> SelfReport {
     SelfReport {
         is_leaving: true,
         ..SelfReport::default()
@@ -28,15 +28,15 @@
 #[rstest]
 #[case::a_later_end(2_000, 5_500, true)]
 #[case::an_earlier_end(500, 4_000, false)]
-fn of_two_rests_the_later_end_holds(
+fn the_rest_that_ends_later_applies(
     #[case] second: u64,
     #[case] until: u64,
     #[case] is_longer: bool,
 ) {
     let notices = notices();
     notices.record_report("e1", ExchangeKind::Request, &rest(3_000), 1_000);
-    let news = notices.record_report("e1", ExchangeKind::Batch, &rest(second), 3_500);
-    assert_eq!(news.is_longer_rest, is_longer);
+    let changes = notices.record_report("e1", ExchangeKind::Batch, &rest(second), 3_500);
+    assert_eq!(changes.is_longer_rest, is_longer);
     let notice = notices.of("e1");
     assert!(notice.is_resting(until - 1));
     assert!(!notice.is_resting(until));
@@ -44,21 +44,21 @@
 }
 
 #[test]
-fn an_answer_that_says_nothing_takes_nothing_back() {
+fn an_answer_without_state_clears_nothing() {
     let notices = notices();
     notices.record_report("e1", ExchangeKind::Request, &rest(3_000), 1_000);
-    notices.record_report("e1", ExchangeKind::Request, &leaving(), 1_000);
+    notices.record_report("e1", ExchangeKind::Request, &draining(), 1_000);
     let nothing = SelfReport::default();
-    let news = notices.record_report("e1", ExchangeKind::Request, &nothing, 1_500);
-    assert_eq!(news, SelfReportChanges::default());
+    let changes = notices.record_report("e1", ExchangeKind::Request, &nothing, 1_500);
+    assert_eq!(changes, SelfReportChanges::default());
     assert!(notices.of("e1").is_resting(3_999));
     assert!(notices.of("e1").is_leaving());
-    let again = notices.record_report("e1", ExchangeKind::Free, &leaving(), 1_600);
-    assert!(!again.is_leaving, "told once");
+    let again = notices.record_report("e1", ExchangeKind::Free, &draining(), 1_600);
+    assert!(!again.is_leaving, "draining is a change only once");
 }
 
 #[test]
-fn a_rest_without_end_does_not_overflow() {
+fn an_unbounded_rest_does_not_overflow() {
     let notices = notices();
     notices.record_report("e1", ExchangeKind::Request, &rest(u64::MAX), 1_000);
     let longest = SelfReport {
@@ -72,20 +72,20 @@
 }
 
 #[test]
-fn a_part_of_a_millisecond_is_rounded_up() {
+fn a_fraction_of_a_millisecond_is_rounded_up() {
     let notices = notices();
-    let said = SelfReport {
+    let report = SelfReport {
         rest: Some(Duration::from_micros(1_200)),
         ..SelfReport::default()
     };
-    notices.record_report("e1", ExchangeKind::Request, &said, 1_000);
+    notices.record_report("e1", ExchangeKind::Request, &report, 1_000);
     assert_eq!(notices.of("e1").rest_until(), 1_002);
 }
 
 #[test]
-fn lists_that_lack_a_back_end_for_a_while_make_nothing_forgotten() {
+fn state_survives_a_temporary_absence_from_the_list() {
     let notices = notices();
-    notices.record_report("e1", ExchangeKind::Request, &leaving(), 1_000);
+    notices.record_report("e1", ExchangeKind::Request, &draining(), 1_000);
     notices.record_report("e2", ExchangeKind::Request, &rest(3_000), 1_000);
     notices.of("e3");
     for id in ["e1", "e2", "e3"] {
@@ -101,30 +101,30 @@
 }
 
 #[test]
-fn what_long_gone_back_ends_said_is_forgotten() {
-    const LONG: u64 = 3_600_000;
+fn state_of_unlisted_back_ends_expires() {
+    const AFTER_RETENTION: u64 = 3_600_000;
     let notices = notices();
-    notices.record_report("e1", ExchangeKind::Request, &leaving(), 1_000);
+    notices.record_report("e1", ExchangeKind::Request, &draining(), 1_000);
     notices.listed("e1");
     notices.unlisted("e1", 2_000);
-    notices.forget_unlisted(LONG);
+    notices.forget_unlisted(AFTER_RETENTION);
     assert!(!notices.of("e1").is_leaving());
 }
 
 #[test]
-fn what_back_ends_said_that_no_list_named_is_forgotten_in_time_too() {
-    const LONG: u64 = 3_600_000;
+fn state_of_never_listed_back_ends_expires() {
+    const AFTER_RETENTION: u64 = 3_600_000;
     let notices = notices();
-    notices.record_report("e1", ExchangeKind::Request, &leaving(), 1_000);
+    notices.record_report("e1", ExchangeKind::Request, &draining(), 1_000);
     notices.forget_unlisted(2_000);
     assert!(notices.of("e1").is_leaving());
-    notices.forget_unlisted(LONG);
+    notices.forget_unlisted(AFTER_RETENTION);
     assert!(!notices.of("e1").is_leaving());
 }
 
 #[test]
-fn a_limit_is_news_where_it_is_another_than_the_one_named_before() {
-    let named = |requests| SelfReport {
+fn a_limit_is_a_change_only_if_it_differs_from_the_last_advertised() {
+    let with_limit = |requests| SelfReport {
         limit: NamedLimit {
             lowest: RequestRate::per_second(requests),
             is_unreadable: false,
@@ -132,12 +132,12 @@
         ..SelfReport::default()
     };
     let notices = notices();
-    let hear = |said: &SelfReport| {
-        let news = notices.record_report("e1", ExchangeKind::Request, said, 1_000);
-        news.is_other_limit
+    let changes_limit = |report: &SelfReport| {
+        let changes = notices.record_report("e1", ExchangeKind::Request, report, 1_000);
+        changes.is_other_limit
     };
-    assert!(hear(&named(1.0)));
-    assert!(!hear(&named(1.0)));
-    assert!(!hear(&SelfReport::default()));
-    assert!(hear(&named(0.5)));
+    assert!(changes_limit(&with_limit(1.0)));
+    assert!(!changes_limit(&with_limit(1.0)));
+    assert!(!changes_limit(&SelfReport::default()));
+    assert!(changes_limit(&with_limit(0.5)));
 }
--- a/crates/serving/tests/quarantine.rs
+++ b/crates/serving/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash back ends, on the path of a pass-through request.
+//! Tests of quarantined requests in the dispatcher and the batcher.
 
 mod common;
 
@@ -19,7 +19,7 @@
 
 const BROKEN: SendOutcome = SendOutcome::Unknown(UnknownReason::Broken);
 
-fn bad_call(id: &str, path: &str) -> CallAttributes {
+fn crashing_call(id: &str, path: &str) -> CallAttributes {
     CallAttributes {
         content: ContentDigest::of(path, b"bad"),
         pieces: vec![1, 1, 1],
@@ -27,19 +27,19 @@
     }
 }
 
-fn bad(path: &str) -> RequestFingerprint {
+fn fingerprint_of(path: &str) -> RequestFingerprint {
     RequestFingerprint::of(None, &ContentDigest::of(path, b"bad"))
 }
 
 fn refuse(quarantine: &mut RequestQuarantine, path: &str) {
     quarantine.take(Arc::new(QuarantineList {
         revision: 1,
-        refused: [bad(path)].into(),
+        refused: [fingerprint_of(path)].into(),
         watched: [].into(),
     }));
 }
 
-fn answered(actions: &[Action]) -> Vec<Refusal> {
+fn refusals(actions: &[Action]) -> Vec<Refusal> {
     let answers = actions.iter().filter_map(|action| match action {
         Action::Answer { refusal, .. } => Some(*refusal),
         _ => None,
@@ -47,7 +47,7 @@
     answers.collect()
 }
 
-fn sends(actions: &[Action]) -> usize {
+fn send_count(actions: &[Action]) -> usize {
     let is_send = |action: &&Action| matches!(action, Action::Send { .. });
     actions.iter().filter(is_send).count()
 }
@@ -58,32 +58,32 @@
 };
 
 #[test]
-fn a_refused_request_is_answered_at_once_and_told_not_to_come_again() {
+fn a_quarantined_request_is_rejected_at_once_without_retry_delay() {
     let mut dispatcher = dispatcher();
     refuse(&mut dispatcher.quarantine, "/chat/x");
-    let actions = dispatcher.arrive(1, bad_call("r1", "/chat/x"), 0);
-    assert_eq!(answered(&actions), [REFUSED]);
+    let actions = dispatcher.arrive(1, crashing_call("r1", "/chat/x"), 0);
+    assert_eq!(refusals(&actions), [REFUSED]);
     assert_eq!(ResultCode::RequestQuarantined.http_status(), 400);
-    // Others, of the same path too, go on.
+    // Other requests are accepted, even for the same path.
     let other = CallAttributes {
         content: ContentDigest::of("/chat/x", b"good"),
         ..call_of("r2", "/chat/x")
     };
-    assert_eq!(sends(&dispatcher.arrive(2, other, 0)), 1);
+    assert_eq!(send_count(&dispatcher.arrive(2, other, 0)), 1);
 }
 
 #[test]
-fn a_verdict_ends_requests_whose_phases_are_under_way_and_lets_sent_ones_end() {
+fn quarantine_ends_requests_in_their_phases_but_not_those_sent_to_an_engine() {
     let mut dispatcher = dispatcher();
-    let submitted = dispatcher.arrive(1, bad_call("r1", "/staged/x"), 0);
+    let submitted = dispatcher.arrive(1, crashing_call("r1", "/staged/x"), 0);
     assert!(submitted
         .iter()
         .any(|action| matches!(action, Action::Submit { .. })));
-    let at_engine = dispatcher.arrive(2, bad_call("r2", "/chat/x"), 0);
-    assert_eq!(sends(&at_engine), 1);
+    let at_engine = dispatcher.arrive(2, crashing_call("r2", "/chat/x"), 0);
+    assert_eq!(send_count(&at_engine), 1);
     refuse(&mut dispatcher.quarantine, "/staged/x");
     let actions = dispatcher.end_quarantined(10);
-    assert_eq!(answered(&actions), [REFUSED]);
+    assert_eq!(refusals(&actions), [REFUSED]);
     assert!(actions
         .iter()
         .any(|action| matches!(action, Action::Cancel { .. })));
@@ -91,22 +91,25 @@
     assert_eq!(dispatcher.end_quarantined(10), []);
 }
 
-/// It ran at an engine that broke off: "not run" would not be true of this attempt.
+/// The request may have run at the engine, so that "not run" would be wrong.
 #[test]
-fn a_request_that_is_refused_meanwhile_is_not_sent_again_and_not_said_to_be_not_run() {
+fn a_request_quarantined_after_its_send_is_not_retried_and_not_reported_as_not_run() {
     let mut dispatcher = dispatcher();
-    dispatcher.arrive(1, bad_call("r1", "/lookup/x"), 0);
+    dispatcher.arrive(1, crashing_call("r1", "/lookup/x"), 0);
     refuse(&mut dispatcher.quarantine, "/lookup/x");
     let actions = dispatcher.send_ended(1, BROKEN, None, 20);
-    assert_eq!(sends(&actions), 0);
-    let codes: Vec<ResultCode> = answered(&actions).iter().map(|one| one.code).collect();
+    assert_eq!(send_count(&actions), 0);
+    let codes: Vec<ResultCode> = refusals(&actions)
+        .iter()
+        .map(|refusal| refusal.code)
+        .collect();
     assert_eq!(codes, [ResultCode::BackendFailed]);
 }
 
 #[test]
-fn what_breaks_off_is_to_be_diagnosed_and_a_late_end_is_not() {
+fn a_lost_connection_is_diagnosed_and_a_missed_deadline_is_not() {
     let mut dispatcher = dispatcher();
-    dispatcher.arrive(1, bad_call("r1", "/gate/x"), 0);
+    dispatcher.arrive(1, crashing_call("r1", "/gate/x"), 0);
     let actions = dispatcher.send_ended(1, BROKEN, None, 20);
     let broken: Vec<&Vec<InterruptedSend>> = actions
         .iter()
@@ -117,10 +120,10 @@
         .collect();
     let expected = vec![InterruptedSend {
         request: "r1".into(),
-        fingerprint: bad("/gate/x"),
+        fingerprint: fingerprint_of("/gate/x"),
     }];
     assert_eq!(broken, [&expected]);
-    dispatcher.arrive(2, bad_call("r2", "/gate/x"), 0);
+    dispatcher.arrive(2, crashing_call("r2", "/gate/x"), 0);
     let late = SendOutcome::Unknown(UnknownReason::Deadline);
     let actions = dispatcher.send_ended(2, late, None, 20);
     assert!(!actions
@@ -129,23 +132,23 @@
 }
 
 #[test]
-fn three_crashes_seen_here_count_here_until_the_verdict_is_lifted() {
+fn local_evidence_of_three_crashes_quarantines_until_the_request_is_released() {
     let mut quarantine = RequestQuarantine::new(Limits::default());
     for backend in ["e1", "e2", "e3"] {
-        assert!(!quarantine.refuses(&bad("/x")));
-        quarantine.crashed(backend, [bad("/x")], 10);
+        assert!(!quarantine.refuses(&fingerprint_of("/x")));
+        quarantine.crashed(backend, [fingerprint_of("/x")], 10);
     }
-    assert!(quarantine.refuses(&bad("/x")));
+    assert!(quarantine.refuses(&fingerprint_of("/x")));
     refuse(&mut quarantine, "/x");
     quarantine.take(Arc::new(QuarantineList {
         revision: 2,
         ..QuarantineList::default()
     }));
-    assert!(!quarantine.refuses(&bad("/x")));
+    assert!(!quarantine.refuses(&fingerprint_of("/x")));
 }
 
 #[test]
-fn waiting_orders_of_a_refused_request_end_and_calls_name_their_suspects() {
+fn waiting_orders_of_a_quarantined_request_end_and_lost_calls_report_their_requests() {
     let mut batcher = Batcher::new(Policy::default(), DecisionLog::off());
     batcher.set_specs([("encode".to_owned(), common::batch_spec())].into());
     let mut table = InstanceTable::new(DecisionLog::off());
@@ -156,7 +159,7 @@
             work: number,
         };
         let mut order = work(number, 2);
-        order.fingerprint = bad(path);
+        order.fingerprint = fingerprint_of(path);
         batcher.submit(key, order, &table, 0).expect("taken");
     };
     submit(&mut batcher, 1, "/a");
@@ -170,7 +173,7 @@
         .collect();
     suspects.sort_unstable();
     suspects.dedup();
-    let mut expected = vec![bad("/a"), bad("/b")];
+    let mut expected = vec![fingerprint_of("/a"), fingerprint_of("/b")];
     expected.sort_unstable();
     assert_eq!(suspects, expected);
     for number in 3..9 {
@@ -182,5 +185,5 @@
     assert_eq!(ended.len(), 6);
     assert!(ended
         .iter()
-        .all(|one| one.result == Err(PieceFailure::Quarantined)));
+        .all(|order| order.result == Err(PieceFailure::Quarantined)));
 }
--- a/crates/serving/tests/regions.rs
+++ b/crates/serving/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Which region's back end gets a request, by one cost in milliseconds.
+//! Tests of the choice between regions by cost in milliseconds.
 
 mod common;
 
@@ -18,10 +18,10 @@
 
 const ZONES: [&str; 4] = ["a", "b", "c", "d"];
 const SOUTH: [&str; 2] = ["c", "d"];
-/// Sessions that a test looks at.
+/// Sessions that each test evaluates.
 const SESSIONS: std::ops::Range<u64> = 0..200;
 
-/// Three engines in each zone, each named after it.
+/// Three engines in each zone, named after the zone.
 fn table() -> InstanceTable {
     let mut table = InstanceTable::new(DecisionLog::off());
     let listed = ZONES.iter().flat_map(|zone| {
@@ -31,14 +31,14 @@
     table
 }
 
-/// Makes all engines of some zones as busy as a share of their slots.
-fn load(table: &mut InstanceTable, zones: &[&str], share: f64) {
+/// Sets the utilization of all engines of some zones.
+fn set_utilization(table: &mut InstanceTable, zones: &[&str], utilization: f64) {
     for zone in zones {
         for number in 0..3 {
             let id = format!("{zone}{number}");
             let slots = table.get(&id).expect("listed").listed.slots;
             let report = ReportedLoad {
-                running: (f64::from(slots) * share) as u32,
+                running: (f64::from(slots) * utilization) as u32,
                 waiting: 0,
                 slots,
                 pace: Pace::NORMAL,
@@ -104,12 +104,12 @@
 }
 
 #[rstest]
-#[case::all_regions_count_as_one(RegionAffinity::Off, 76.0, &["a", "b", "c", "d"])]
-#[case::always_the_own_region(RegionAffinity::Always, 76.0, &["a", "b"])]
+#[case::regions_ignored(RegionAffinity::Off, 76.0, &["a", "b", "c", "d"])]
+#[case::own_region_always(RegionAffinity::Always, 76.0, &["a", "b"])]
 #[case::rare_and_long(RegionAffinity::Popular, 76.0, &["a", "b", "c", "d"])]
 #[case::rare_and_short(RegionAffinity::Popular, 11.0, &["a", "b"])]
 #[case::popular(RegionAffinity::Popular, 0.0, &["a", "b"])]
-fn a_shared_prompt_is_read_in_the_region_where_that_pays(
+fn a_shared_prompt_is_prefilled_in_the_region_with_the_lowest_cost(
     #[case] region_affinity: RegionAffinity,
     #[case] rare_prefill_ms: f64,
     #[case] expected: &[&str],
@@ -118,9 +118,9 @@
     assert_eq!(chosen, zones(expected));
 }
 
-/// A rarely seen prompt has one home, whichever node asks.
+/// A rare prefix has the same home engine for the nodes of all regions.
 #[test]
-fn nodes_of_all_regions_send_a_rare_prompt_to_one_engine() {
+fn nodes_of_all_regions_send_a_rare_prompt_to_the_same_engine() {
     let table = table();
     let regions = TWO_REGIONS.regions_of_zones().clone();
     let south = Topology::new("d", regions, Default::default()).expect("valid");
@@ -130,22 +130,25 @@
             topology: &south,
             ..from_north.clone()
         };
-        let chosen = |request| select(&table, request, 0).map(|one| one.listed.id.clone());
+        let chosen =
+            |request| select(&table, request, 0).map(|instance| instance.listed.id.clone());
         assert_eq!(chosen(&from_north), chosen(&from_south));
     }
 }
 
-/// As if there were no regions at all: every choice, at many loads.
+/// Compares every choice at many loads.
 #[rstest]
 #[case(RegionAffinity::Always)]
 #[case(RegionAffinity::Popular)]
-fn with_one_region_the_choices_are_those_without(#[case] region_affinity: RegionAffinity) {
+fn the_choices_with_one_region_equal_those_without_regions(
+    #[case] region_affinity: RegionAffinity,
+) {
     let all_north = ZONES.map(|zone| (zone.to_owned(), "north".to_owned()));
     let one_region = Topology::new("a", all_north.into(), Default::default()).expect("valid");
     for session in SESSIONS {
         let mut table = table();
         let busy = ZONES[session as usize % 4];
-        load(&mut table, &[busy], (session % 13) as f64 / 10.0);
+        set_utilization(&mut table, &[busy], (session % 13) as f64 / 10.0);
         for affinity in [None, Some(session)] {
             let in_one = SelectionRequest {
                 topology: &one_region,
@@ -157,33 +160,34 @@
                 region_affinity: RegionAffinity::Off,
                 ..in_one.clone()
             };
-            let chosen = |request| select(&table, request, 0).map(|one| one.listed.id.clone());
+            let chosen =
+                |request| select(&table, request, 0).map(|instance| instance.listed.id.clone());
             assert_eq!(chosen(&in_one), chosen(&without));
         }
     }
 }
 
-/// 40 ms there and back are worth a queue of 0.06 of the places beyond what is free.
+/// A round trip of 40 ms costs as much as a utilization of 0.06 above the queue-free level.
 #[rstest]
-#[case::free(0.5, 0.0, &["a", "b"])]
-#[case::not_quite_worth_it(0.65, 0.0, &["a", "b"])]
-#[case::a_burst_in_the_own_region(0.8, 0.0, &["c", "d"])]
-#[case::as_busy_elsewhere(0.9, 0.9, &["a", "b"])]
-fn a_region_that_is_busy_gives_work_to_others_early(
+#[case::idle(0.5, 0.0, &["a", "b"])]
+#[case::gain_below_network_cost(0.65, 0.0, &["a", "b"])]
+#[case::burst_in_own_region(0.8, 0.0, &["c", "d"])]
+#[case::equally_busy(0.9, 0.9, &["a", "b"])]
+fn a_busy_region_sends_requests_to_others_once_the_gain_exceeds_the_network_cost(
     #[case] own: f64,
     #[case] elsewhere: f64,
     #[case] expected: &[&str],
 ) {
     let mut table = table();
-    load(&mut table, &["a", "b"], own);
-    load(&mut table, &SOUTH, elsewhere);
+    set_utilization(&mut table, &["a", "b"], own);
+    set_utilization(&mut table, &SOUTH, elsewhere);
     let chosen = zones_of_sessions(&table, RegionAffinity::Popular, 0.0);
     assert!(chosen.is_subset(&zones(expected)), "{chosen:?}");
 }
 
-/// Plain requests: the own zone, then the own region, then others; retries too.
+/// The order is own zone, own region, other regions.
 #[test]
-fn plain_requests_and_their_retries_go_to_the_nearest() {
+fn requests_without_affinity_and_their_retries_go_to_the_nearest_back_end() {
     let table = table();
     let mut tried: Vec<String> = Vec::new();
     let mut order = Vec::new();
@@ -203,7 +207,7 @@
 }
 
 #[test]
-fn a_region_whose_engines_fail_is_left_at_once() {
+fn requests_leave_a_region_whose_engines_fail() {
     let mut table = table();
     for id in ["a0", "a1", "a2", "b0", "b1", "b2"] {
         table.failed(id, 0, "unreachable");
@@ -212,9 +216,8 @@
     assert!(SOUTH.contains(&chosen.listed.zone.as_str()));
 }
 
-/// The engine of a request whose inputs lie in another region is chosen there.
 #[test]
-fn an_engine_is_chosen_near_its_inputs() {
+fn an_engine_is_chosen_in_the_region_of_the_inputs() {
     let table = table();
     let inputs = [ZoneInputs {
         zone: "d".into(),
@@ -231,7 +234,7 @@
 #[case(RegionAffinity::Off)]
 #[case(RegionAffinity::Always)]
 #[case(RegionAffinity::Popular)]
-fn only_allowed_regions_get_a_request_also_as_a_last_resort(
+fn only_allowed_regions_get_a_request_even_as_a_last_resort(
     #[case] region_affinity: RegionAffinity,
 ) {
     let south_only = only(&["south"]);
@@ -253,7 +256,7 @@
             tried,
             ..request(region_affinity)
         };
-        select(&table, &request, 1).map(|one| one.listed.zone.clone())
+        select(&table, &request, 1).map(|instance| instance.listed.zone.clone())
     };
     let last = chosen(&south_only, &[]).expect("a last resort");
     assert!(SOUTH.contains(&last.as_str()));
@@ -269,33 +272,33 @@
     ids.iter().map(part).collect()
 }
 
-/// The common part of two prompts is popular with the second; its rare part is not.
+/// The common part of two prompts becomes popular with the second one; its rare part does not.
 #[test]
-fn parts_are_popular_that_were_seen_in_the_last_seconds() {
-    let mut seen = PromptPopularity::default();
-    let mut note = |ids: &[u64], now| {
-        let shared = seen.record(&parts(ids), 50.0, now);
+fn parts_seen_recently_are_popular() {
+    let mut popularity = PromptPopularity::default();
+    let mut record = |ids: &[u64], now| {
+        let shared = popularity.record(&parts(ids), 50.0, now);
         (shared.prefill_ms, shared.rare_prefill_ms)
     };
-    assert_eq!(note(&[1, 7, 100], 0), (40.0, 40.0));
-    assert_eq!(note(&[1, 8, 101], 1_000), (40.0, 20.0));
-    assert_eq!(note(&[1, 8, 102], 2_000), (40.0, 0.0));
-    assert_eq!(note(&[1, 8, 103], 12_000), (40.0, 0.0));
-    assert_eq!(note(&[1, 8, 104], 22_001), (40.0, 40.0));
-    // The same part after another beginning is another.
-    assert_eq!(note(&[2, 8, 105], 22_002), (40.0, 40.0));
-    assert_eq!(note(&[], 22_002), (0.0, 0.0));
+    assert_eq!(record(&[1, 7, 100], 0), (40.0, 40.0));
+    assert_eq!(record(&[1, 8, 101], 1_000), (40.0, 20.0));
+    assert_eq!(record(&[1, 8, 102], 2_000), (40.0, 0.0));
+    assert_eq!(record(&[1, 8, 103], 12_000), (40.0, 0.0));
+    assert_eq!(record(&[1, 8, 104], 22_001), (40.0, 40.0));
+    // The same part after a different prefix counts separately.
+    assert_eq!(record(&[2, 8, 105], 22_002), (40.0, 40.0));
+    assert_eq!(record(&[], 22_002), (0.0, 0.0));
 }
 
 #[test]
-fn what_is_remembered_of_prompts_is_bounded() {
-    let mut seen = PromptPopularity::default();
+fn the_number_of_tracked_prefixes_is_bounded() {
+    let mut popularity = PromptPopularity::default();
     for request in 0..20_000 {
-        seen.record(&parts(&[request, request]), 50.0, request / 10);
+        popularity.record(&parts(&[request, request]), 50.0, request / 10);
     }
     assert!(
-        seen.tracked_prefixes() <= 4_096,
+        popularity.tracked_prefixes() <= 4_096,
         "{}",
-        seen.tracked_prefixes()
+        popularity.tracked_prefixes()
     );
 }
--- a/crates/serving/tests/rest_seeds.rs
+++ b/crates/serving/tests/rest_seeds.rs
@@ -1,7 +1,6 @@
-//! Nodes before engines and makers that ask for rest and say that they leave, by chance, amid lists
-//! that lag and lack entries, owners that move, nodes that stand still, and requests under way.
-//! Nothing may be chosen that rests or leaves by its own word as its node has heard it, whatever
-//! else happens.
+//! Seeded simulation of nodes and back ends that rest or drain, with stale and incomplete lists, moves
+//! of batch owners, paused nodes and requests in flight. A node must never choose a back end that
+//! rests or drains according to the reports that the node has received.
 //!
 //! `SEEDS=1000 cargo test --release -p silversail-serving --test rest_seeds`
 
@@ -28,28 +27,28 @@
 
 const NODES: usize = 3;
 const STEPS: usize = 600;
-/// Longest time between two steps, in milliseconds.
+/// Upper bound of the time between two steps, in milliseconds.
 const STEP_MS: u64 = 40;
-/// Seeds that every run of the tests plays.
-const FEW_SEEDS: u64 = 60;
+/// Number of seeds without the `SEEDS` variable.
+const DEFAULT_SEEDS: u64 = 60;
 const IDS: [&str; 7] = ["e1", "e2", "e3", "g1", "g2", "s1", "s2"];
 const TARGETS: [&str; 3] = ["/gate/x", "/lookup/x", "/chat/x"];
 
-/// What a node was told by a back end itself.
+/// State that a node has received from a back end.
 #[derive(Clone, Copy, Default)]
-struct Told {
+struct ReceivedState {
     rest_until: u64,
-    leaves: bool,
+    is_draining: bool,
 }
 
 struct Node {
     dispatcher: Dispatcher,
     batcher: Batcher,
-    told: BTreeMap<String, Told>,
+    received: BTreeMap<String, ReceivedState>,
     sends: Vec<(u64, SendPlan)>,
     calls: Vec<BatchCall>,
-    /// It does nothing until then.
-    stands_still_until: u64,
+    /// End of the pause of this node.
+    paused_until: u64,
 }
 
 impl Node {
@@ -64,32 +63,35 @@
         Self {
             dispatcher,
             batcher,
-            told: BTreeMap::new(),
+            received: BTreeMap::new(),
             sends: Vec::new(),
             calls: Vec::new(),
-            stands_still_until: 0,
+            paused_until: 0,
         }
     }
 
-    /// An answer comes from a back end, on any path.
-    fn hear(&mut self, id: &str, path: ExchangeKind, said: &SelfReport, now: u64) {
+    /// Records the state in an answer of a back end.
+    fn record_report(&mut self, id: &str, path: ExchangeKind, report: &SelfReport, now: u64) {
         let notices = self.dispatcher.instances.notices();
-        notices.record_report(id, path, said, now);
-        let told = self.told.entry(id.to_owned()).or_default();
-        if let Some(rest) = said.rest {
-            told.rest_until = told.rest_until.max(now + rest.as_millis() as u64);
+        notices.record_report(id, path, report, now);
+        let received = self.received.entry(id.to_owned()).or_default();
+        if let Some(rest) = report.rest {
+            received.rest_until = received.rest_until.max(now + rest.as_millis() as u64);
         }
-        told.leaves |= said.is_leaving;
+        received.is_draining |= report.is_leaving;
     }
 
     fn check(&self, id: &str, now: u64, what: &str) {
-        let told = self.told.get(id).copied().unwrap_or_default();
-        assert!(!told.leaves, "{what} to {id}, which leaves, at {now}");
-        let until = told.rest_until;
+        let received = self.received.get(id).copied().unwrap_or_default();
+        assert!(
+            !received.is_draining,
+            "{what} to {id}, which drains, at {now}"
+        );
+        let until = received.rest_until;
         assert!(now >= until, "{what} to {id} at {now}, rests until {until}");
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>, now: u64) {
+    fn apply_actions(&mut self, actions: Vec<Action>, now: u64) {
         for action in actions {
             if let Action::Send { number, plan } = action {
                 self.check(&plan.instance, now, "a send");
@@ -106,12 +108,12 @@
         }
     }
 
-    /// What its timer does.
+    /// Runs the periodic work of the node.
     fn tick(&mut self, now: u64) {
         let expired = self.dispatcher.expire(now);
-        self.carry_out(expired, now);
+        self.apply_actions(expired, now);
         let waiting = self.dispatcher.send_waiting(now);
-        self.carry_out(waiting, now);
+        self.apply_actions(waiting, now);
         self.batcher.expire(now);
         let table = &self.dispatcher.instances;
         self.batcher.end_unstaffed(table);
@@ -120,34 +122,33 @@
     }
 }
 
-/// What an answer says: mostly nothing, else a rest, or that its sender leaves.
-fn said(random: &mut ChaCha8Rng) -> SelfReport {
-    let mut said = SelfReport::default();
+/// Random state for an answer: mostly none, otherwise a rest or draining.
+fn random_report(random: &mut ChaCha8Rng) -> SelfReport {
+    let mut report = SelfReport::default();
     match random.gen_range(0..100) {
-        0..=14 => said.rest = Some(Duration::from_millis(random.gen_range(1..3_000))),
-        15 => said.rest = Some(Duration::from_secs(random.gen_range(3..60))),
-        16 => said.is_leaving = true,
+        0..=14 => report.rest = Some(Duration::from_millis(random.gen_range(1..3_000))),
+        15 => report.rest = Some(Duration::from_secs(random.gen_range(3..60))),
+        16 => report.is_leaving = true,
         _ => {}
     }
-    said
+    report
 }
 
-/// A list that another node read: it may lack entries, call a back end that leaves ready, or name
-/// a new start of one.
-fn list(starts: &BTreeMap<&str, u32>, random: &mut ChaCha8Rng) -> Vec<ListedInstance> {
+/// A stale list: it may lack entries, contain draining back ends as ready, or contain restarted ones.
+fn stale_list(starts: &BTreeMap<&str, u32>, random: &mut ChaCha8Rng) -> Vec<ListedInstance> {
     let mut listed = instances();
-    for one in &mut listed {
-        let start = starts.get(one.name.as_str()).copied().unwrap_or_default();
+    for entry in &mut listed {
+        let start = starts.get(entry.name.as_str()).copied().unwrap_or_default();
         if start > 0 {
-            one.id = format!("{}#{start}", one.name);
+            entry.id = format!("{}#{start}", entry.name);
         }
     }
     listed.retain(|_| random.gen_range(0..20) > 0);
     listed
 }
 
-fn outcome_of(said: &SelfReport, random: &mut ChaCha8Rng) -> SendOutcome {
-    if said.rest.is_some() {
+fn outcome_of(report: &SelfReport, random: &mut ChaCha8Rng) -> SendOutcome {
+    if report.rest.is_some() {
         return SendOutcome::NotRun(NotRunReason::Full);
     }
     match random.gen_range(0..12) {
@@ -170,7 +171,7 @@
     random: &mut ChaCha8Rng,
 ) {
     let chosen = random.gen_range(0..nodes.len());
-    if nodes[chosen].stands_still_until > now {
+    if nodes[chosen].paused_until > now {
         return;
     }
     let node = &mut nodes[chosen];
@@ -180,25 +181,29 @@
             let actions =
                 node.dispatcher
                     .arrive(number, call_of(&format!("r{number}"), target), now);
-            node.carry_out(actions, now);
+            node.apply_actions(actions, now);
         }
         35..=59 if !node.sends.is_empty() => {
             let (request, plan) = node
                 .sends
                 .swap_remove(random.gen_range(0..node.sends.len()));
-            let said = said(random);
-            let withheld = node.told.get(&plan.instance).copied().unwrap_or_default();
-            let is_withheld = withheld.leaves || now < withheld.rest_until;
-            // Some wait for a connection while another answer comes.
+            let report = random_report(random);
+            let state = node
+                .received
+                .get(&plan.instance)
+                .copied()
+                .unwrap_or_default();
+            let is_withheld = state.is_draining || now < state.rest_until;
+            // Some sends still wait for a connection when another answer arrives.
             let outcome = match is_withheld && random.gen() {
                 true => SendOutcome::NotRun(NotRunReason::Withheld),
                 false => {
-                    node.hear(&plan.instance, ExchangeKind::Request, &said, now);
-                    outcome_of(&said, random)
+                    node.record_report(&plan.instance, ExchangeKind::Request, &report, now);
+                    outcome_of(&report, random)
                 }
             };
             let actions = node.dispatcher.send_ended(request, outcome, None, now);
-            node.carry_out(actions, now);
+            node.apply_actions(actions, now);
         }
         60..=69 => {
             let key = OrderKey {
@@ -206,7 +211,7 @@
                 work: number,
             };
             let table = &node.dispatcher.instances;
-            // A refusal is an answer too.
+            // A rejection is also a valid result.
             let _ = node.batcher.submit(key, work(number, 2), table, now);
             node.start_calls(now);
         }
@@ -214,9 +219,9 @@
             let call = node
                 .calls
                 .swap_remove(random.gen_range(0..node.calls.len()));
-            let said = said(random);
-            node.hear(&call.instance, ExchangeKind::Batch, &said, now);
-            let outcome = match said.rest {
+            let report = random_report(random);
+            node.record_report(&call.instance, ExchangeKind::Batch, &report, now);
+            let outcome = match report.rest {
                 Some(_) => CallOutcome::NotRun,
                 None if random.gen_range(0..8) == 0 => CallOutcome::Withheld,
                 None => CallOutcome::Answered(
@@ -232,7 +237,7 @@
             node.start_calls(now);
         }
         82..=87 => {
-            let listed = list(starts, random);
+            let listed = stale_list(starts, random);
             node.dispatcher.take_listing(&list_of(&listed), now);
         }
         88..=89 => {
@@ -244,12 +249,12 @@
             let table = &node.dispatcher.instances;
             node.batcher.take_over(&shard, table, now);
         }
-        92 => node.stands_still_until = now + random.gen_range(100..3_000),
+        92 => node.paused_until = now + random.gen_range(100..3_000),
         _ => {}
     }
 }
 
-fn play(seed: u64) {
+fn simulate(seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut nodes: Vec<Node> = (0..NODES).map(|_| Node::new()).collect();
     let mut starts = BTreeMap::new();
@@ -257,18 +262,18 @@
     for number in 0..STEPS as u64 {
         now += random.gen_range(0..STEP_MS);
         step(&mut nodes, &mut starts, number, now, &mut random);
-        for node in nodes.iter_mut().filter(|one| one.stands_still_until <= now) {
+        for node in nodes.iter_mut().filter(|node| node.paused_until <= now) {
             node.tick(now);
         }
     }
 }
 
 #[test]
-fn nothing_goes_to_who_rests_or_leaves_by_its_own_word() {
+fn resting_and_draining_back_ends_get_no_requests() {
     let seeds = std::env::var("SEEDS")
         .ok()
         .and_then(|text| text.parse().ok());
-    for seed in 0..seeds.unwrap_or(FEW_SEEDS) {
-        play(seed);
+    for seed in 0..seeds.unwrap_or(DEFAULT_SEEDS) {
+        simulate(seed);
     }
 }
--- a/crates/serving/tests/rests.rs
+++ b/crates/serving/tests/rests.rs
@@ -1,5 +1,5 @@
-//! Engines and makers that ask for rest, or say in answers that they leave: what they get, what
-//! takes it back, and what becomes of requests for which all rest.
+//! Tests of back ends that request a rest (back-off) or announce that they are draining: exclusion
+//! from sends, return after the rest, and waiting or rejected requests.
 
 mod common;
 
@@ -33,7 +33,7 @@
     }
 }
 
-const LEAVING: SelfReport = SelfReport {
+const DRAINING: SelfReport = SelfReport {
     load: None,
     rest: None,
     has_unreadable_rest: false,
@@ -46,15 +46,15 @@
     unknown: Vec::new(),
 };
 
-fn hear(table: &InstanceTable, ids: &[&str], said: &SelfReport, now: u64) {
+fn report(table: &InstanceTable, ids: &[&str], advertised: &SelfReport, now: u64) {
     for id in ids {
         table
             .notices()
-            .record_report(id, ExchangeKind::Request, said, now);
+            .record_report(id, ExchangeKind::Request, advertised, now);
     }
 }
 
-/// The back end to which the request goes; none where it does not go.
+/// Back end that the request is sent to; none if it is not sent.
 fn sent_to(actions: &[Action]) -> Option<String> {
     actions.iter().find_map(|action| match action {
         Action::Send { plan, .. } => Some(plan.instance.clone()),
@@ -69,7 +69,7 @@
     })
 }
 
-/// A dispatcher whose first request leaves no budget for another send.
+/// A dispatcher without a retry budget.
 fn without_retries() -> Dispatcher {
     let limits = RetryLimits {
         ratio: 0.0,
@@ -84,37 +84,37 @@
 }
 
 #[test]
-fn a_resting_engine_gets_nothing_until_its_rest_is_over() {
+fn a_resting_engine_gets_no_requests_until_its_rest_ends() {
     let mut dispatcher = dispatcher();
-    hear(&dispatcher.instances, &["g1"], &rest(3_000), 0);
-    let mut came_back = false;
+    report(&dispatcher.instances, &["g1"], &rest(3_000), 0);
+    let mut returned = false;
     for number in 0..20 {
         let actions = dispatcher.arrive(number, call_of("r", "/gate/x"), 400 * number);
         let to = sent_to(&actions).expect("sent");
-        came_back |= to == "g1";
+        returned |= to == "g1";
         assert!(to == "g2" || 400 * number >= 3_000, "at {}", 400 * number);
     }
-    assert!(came_back);
+    assert!(returned);
 }
 
 #[rstest]
-#[case::of_another_node(|_: &mut Vec<ListedInstance>| {})]
-#[case::that_lacked_it_before(|listed: &mut Vec<ListedInstance>| listed.retain(|one| one.id != "g1"))]
-fn no_list_takes_back_what_an_engine_said(#[case] change: fn(&mut Vec<ListedInstance>)) {
-    for said in [rest(5_000), LEAVING] {
+#[case::unchanged_list(|_: &mut Vec<ListedInstance>| {})]
+#[case::entry_missing_temporarily(|listed: &mut Vec<ListedInstance>| listed.retain(|entry| entry.id != "g1"))]
+fn a_list_update_does_not_clear_advertised_state(#[case] change: fn(&mut Vec<ListedInstance>)) {
+    for advertised in [rest(5_000), DRAINING] {
         let mut dispatcher = dispatcher();
-        hear(&dispatcher.instances, &["g1"], &said, 0);
+        report(&dispatcher.instances, &["g1"], &advertised, 0);
         let mut listed = instances();
         change(&mut listed);
         dispatcher.take_listing(&list_of(&listed), 100);
         dispatcher.take_listing(&list_of(&instances()), 1_100);
         let actions = dispatcher.arrive(1, call_of("r", "/gate/x"), 1_200);
-        assert_eq!(sent_to(&actions).as_deref(), Some("g2"), "{said:?}");
+        assert_eq!(sent_to(&actions).as_deref(), Some("g2"), "{advertised:?}");
     }
 }
 
 #[test]
-fn an_engine_at_whose_address_another_answered_stays_gone_although_lists_name_it() {
+fn an_engine_whose_address_belongs_to_another_stays_excluded_while_listed_there() {
     let mut dispatcher = dispatcher();
     dispatcher.instances.misplaced("g1", 0);
     let mut listed = instances();
@@ -122,7 +122,7 @@
     dispatcher.take_listing(&list_of(&listed), 1_000);
     let actions = dispatcher.arrive(1, call_of("r", "/gate/x"), 1_100);
     assert_eq!(sent_to(&actions).as_deref(), Some("g2"));
-    // At another address it is another matter.
+    // A changed address makes it usable again.
     listed[3].address = "elsewhere:80".into();
     dispatcher.take_listing(&list_of(&listed), 2_000);
     let actions = dispatcher.arrive(2, call_of("r", "/gate/x"), 2_100);
@@ -130,9 +130,9 @@
 }
 
 #[test]
-fn a_later_start_of_an_engine_is_bound_by_nothing_that_the_former_said() {
+fn a_restarted_engine_does_not_inherit_advertised_state() {
     let mut dispatcher = dispatcher();
-    hear(&dispatcher.instances, &["g1"], &LEAVING, 0);
+    report(&dispatcher.instances, &["g1"], &DRAINING, 0);
     let mut listed = instances();
     listed[3].id = "g1#2".into();
     dispatcher.take_listing(&list_of(&listed), 1_000);
@@ -141,47 +141,50 @@
 }
 
 #[test]
-fn an_engine_that_said_it_leaves_is_no_last_resort() {
+fn a_draining_engine_is_not_a_last_resort() {
     let mut dispatcher = dispatcher();
     dispatcher.instances.failed("g1", 0, "test");
     dispatcher.instances.failed("g2", 0, "test");
-    hear(&dispatcher.instances, &["g1"], &LEAVING, 0);
+    report(&dispatcher.instances, &["g1"], &DRAINING, 0);
     let actions = dispatcher.arrive(1, call_of("r", "/gate/x"), 10);
     assert_eq!(sent_to(&actions).as_deref(), Some("g2"));
-    hear(&dispatcher.instances, &["g2"], &LEAVING, 20);
+    report(&dispatcher.instances, &["g2"], &DRAINING, 20);
     let refused = refusal(&dispatcher.arrive(2, call_of("r", "/gate/x"), 30));
-    assert_eq!(refused.map(|one| one.code), Some(ResultCode::NoBackend));
+    assert_eq!(
+        refused.map(|refusal| refusal.code),
+        Some(ResultCode::NoBackend)
+    );
 }
 
 #[test]
-fn an_engine_that_rests_is_no_last_resort_where_the_others_failed() {
+fn a_resting_engine_is_not_a_last_resort_when_the_others_failed() {
     let mut dispatcher = dispatcher();
     dispatcher.instances.failed("g1", 0, "test");
     dispatcher.instances.failed("g2", 0, "test");
-    hear(&dispatcher.instances, &["g1"], &rest(3_000), 0);
+    report(&dispatcher.instances, &["g1"], &rest(3_000), 0);
     let actions = dispatcher.arrive(1, call_of("r", "/gate/x"), 10);
     assert_eq!(sent_to(&actions).as_deref(), Some("g2"));
 }
 
-/// It was chosen before it said so, and nothing left for it.
+/// The engine advertised its rest between the choice and the send, so nothing was sent.
 #[test]
-fn a_send_that_is_withheld_costs_no_retry_and_no_send() {
+fn a_withheld_send_does_not_consume_the_retry_budget() {
     let mut dispatcher = without_retries();
     let first = sent_to(&dispatcher.arrive(1, call_of("r", "/gate/x"), 0)).expect("sent");
-    hear(&dispatcher.instances, &[&first], &rest(3_000), 5);
+    report(&dispatcher.instances, &[&first], &rest(3_000), 5);
     let second = sent_to(&dispatcher.send_ended(1, WITHHELD, None, 5)).expect("sent anew");
     assert_ne!(second, first);
-    // What an engine turned away did reach it, and is paid for.
+    // A send that the engine rejected does count.
     let refused = refusal(&dispatcher.send_ended(1, FULL, None, 10));
-    let code = refused.map(|one| one.code);
+    let code = refused.map(|refusal| refusal.code);
     assert_eq!(code, Some(ResultCode::RetryBudgetSpent));
 }
 
 #[test]
-fn where_all_rest_beyond_the_deadline_a_request_is_refused_at_once_with_the_time() {
+fn a_request_is_rejected_at_once_with_a_retry_delay_if_all_rest_beyond_its_deadline() {
     let mut dispatcher = dispatcher();
-    hear(&dispatcher.instances, &["g1"], &rest(9_000), 0);
-    hear(&dispatcher.instances, &["g2"], &rest(7_000), 0);
+    report(&dispatcher.instances, &["g1"], &rest(9_000), 0);
+    report(&dispatcher.instances, &["g2"], &rest(7_000), 0);
     let refused = refusal(&dispatcher.arrive(1, call_of("r", "/gate/x"), 1_000)).expect("refused");
     assert_eq!(refused.code, ResultCode::BackendsResting);
     assert_eq!(refused.retry_after_ms, Some(6_000));
@@ -189,19 +192,19 @@
 }
 
 #[test]
-fn of_a_rest_without_end_no_return_is_told() {
+fn an_unbounded_rest_gives_no_retry_delay() {
     let mut dispatcher = dispatcher();
-    hear(&dispatcher.instances, &["g1", "g2"], &rest(u64::MAX), 0);
+    report(&dispatcher.instances, &["g1", "g2"], &rest(u64::MAX), 0);
     let refused = refusal(&dispatcher.arrive(1, call_of("r", "/gate/x"), 10)).expect("refused");
     assert_eq!(refused.code, ResultCode::BackendsResting);
     assert_eq!(refused.retry_after_ms, None);
 }
 
-/// Its phases would be made for nothing.
+/// The results of its phases would be unused.
 #[test]
-fn a_request_with_phases_is_refused_before_them_where_all_engines_rest_too_long() {
+fn a_request_is_rejected_before_its_phases_if_all_engines_rest_too_long() {
     let mut dispatcher = dispatcher();
-    hear(&dispatcher.instances, &["e1", "e2", "e3"], &rest(60_000), 0);
+    report(&dispatcher.instances, &["e1", "e2", "e3"], &rest(60_000), 0);
     let mut staged = call_of("r", "/staged/x");
     staged.pieces = vec![1, 1, 1];
     let actions = dispatcher.arrive(1, staged, 10);
@@ -212,10 +215,10 @@
 }
 
 #[test]
-fn a_request_waits_for_an_engine_that_is_back_in_time() {
+fn a_request_waits_for_an_engine_whose_rest_ends_in_time() {
     let mut dispatcher = dispatcher();
-    hear(&dispatcher.instances, &["g1"], &rest(2_000), 0);
-    hear(&dispatcher.instances, &["g2"], &rest(1_000), 0);
+    report(&dispatcher.instances, &["g1"], &rest(2_000), 0);
+    report(&dispatcher.instances, &["g2"], &rest(1_000), 0);
     assert!(dispatcher
         .arrive(1, call_of("r", "/gate/x"), 100)
         .is_empty());
@@ -227,9 +230,9 @@
 }
 
 #[test]
-fn a_waiting_request_goes_elsewhere_as_soon_as_another_engine_is_there() {
+fn a_waiting_request_is_sent_to_a_newly_listed_engine() {
     let mut dispatcher = dispatcher();
-    hear(&dispatcher.instances, &["g1", "g2"], &rest(2_000), 0);
+    report(&dispatcher.instances, &["g1", "g2"], &rest(2_000), 0);
     assert!(dispatcher
         .arrive(1, call_of("r", "/gate/x"), 100)
         .is_empty());
@@ -240,32 +243,32 @@
     assert_eq!(sent_to(&actions).as_deref(), Some("g3"));
 }
 
-/// If it is turned away the others were spared; else they follow its answer.
+/// The first request serves as a probe; the others are sent once it is answered.
 #[test]
-fn after_a_rest_one_request_goes_first() {
+fn after_a_rest_a_single_request_probes_each_engine() {
     let mut dispatcher = dispatcher();
-    hear(&dispatcher.instances, &["g1", "g2"], &rest(1_000), 0);
+    report(&dispatcher.instances, &["g1", "g2"], &rest(1_000), 0);
     for number in 1..=4 {
         let actions = dispatcher.arrive(number, call_of("r", "/gate/x"), 100);
         assert!(actions.is_empty());
     }
     let first = dispatcher.send_waiting(1_000);
-    let sends = |actions: &[Action]| {
+    let send_count = |actions: &[Action]| {
         let is_send = |action: &&Action| matches!(action, Action::Send { .. });
         actions.iter().filter(is_send).count()
     };
-    assert_eq!(sends(&first), 2, "one to each engine");
-    assert_eq!(sends(&dispatcher.send_waiting(1_050)), 0);
-    // One engine answers and says nothing of rest, the other asks for more.
-    hear(
+    assert_eq!(send_count(&first), 2, "one to each engine");
+    assert_eq!(send_count(&dispatcher.send_waiting(1_050)), 0);
+    // One engine answers without a rest, the other requests another rest.
+    report(
         &dispatcher.instances,
         &["g1"],
         &SelfReport::default(),
         1_060,
     );
-    hear(&dispatcher.instances, &["g2"], &rest(1_000), 1_060);
+    report(&dispatcher.instances, &["g2"], &rest(1_000), 1_060);
     let later = dispatcher.send_waiting(1_075);
-    assert_eq!(sends(&later), 2);
+    assert_eq!(send_count(&later), 2);
     assert!(later.iter().all(|action| match action {
         Action::Send { plan, .. } => plan.instance == "g1",
         _ => true,
@@ -273,9 +276,9 @@
 }
 
 #[test]
-fn an_engine_whose_first_request_gives_no_sign_gets_another_in_time() {
+fn an_engine_that_does_not_answer_its_probe_gets_another_request_after_a_delay() {
     let mut dispatcher = dispatcher();
-    hear(&dispatcher.instances, &["g1", "g2"], &rest(500), 0);
+    report(&dispatcher.instances, &["g1", "g2"], &rest(500), 0);
     for number in 1..=3 {
         dispatcher.arrive(number, call_of("r", "/gate/x"), 100);
     }
@@ -284,9 +287,9 @@
     assert!(sent_to(&dispatcher.send_waiting(1_500)).is_some());
 }
 
-/// All were told alike: those that came back together would overload it again.
+/// A simultaneous return of all nodes would overload the engine again.
 #[test]
-fn nodes_come_back_spread_over_a_share_of_the_rest() {
+fn the_return_of_nodes_is_spread_over_a_fraction_of_the_rest() {
     let returns_at = |node: &str| {
         let mut table = InstanceTable::new(DecisionLog::off());
         table.set_senders(node, vec![node.to_owned()]);
@@ -295,7 +298,7 @@
             spread: 0.4,
         });
         table.replace(&instances());
-        hear(&table, &["g1"], &rest(1_000), 0);
+        report(&table, &["g1"], &rest(1_000), 0);
         let engine = table.get("g1").expect("listed");
         (0..3_000).find(|now| engine.is_usable(*now))
     };
@@ -310,21 +313,21 @@
     );
 }
 
-/// Whoever has no other choice does not wait for the sake of the spread.
+/// A node without an alternative skips its spread delay.
 #[test]
-fn a_node_without_another_engine_comes_back_at_the_end_of_the_rest() {
+fn a_node_without_another_engine_returns_at_the_end_of_the_rest() {
     let mut dispatcher = dispatcher();
-    hear(&dispatcher.instances, &["g1"], &rest(1_000), 0);
+    report(&dispatcher.instances, &["g1"], &rest(1_000), 0);
     dispatcher.instances.failed("g2", 900, "test");
     let actions = dispatcher.arrive(1, call_of("r", "/gate/x"), 1_000);
     assert_eq!(sent_to(&actions).as_deref(), Some("g1"));
 }
 
-/// Two back ends run four requests each at once: no more than eight wait for them.
+/// Two engines with four slots each admit eight waiting requests.
 #[test]
-fn no_more_requests_wait_than_the_engines_run_at_once() {
+fn the_number_of_waiting_requests_is_limited_to_the_slots() {
     let mut dispatcher = dispatcher();
-    hear(&dispatcher.instances, &["g1", "g2"], &rest(1_000), 0);
+    report(&dispatcher.instances, &["g1", "g2"], &rest(1_000), 0);
     for number in 1..=8 {
         let actions = dispatcher.arrive(number, call_of("r", "/gate/x"), 10);
         assert!(actions.is_empty(), "{number}");
@@ -335,16 +338,16 @@
 }
 
 #[test]
-fn a_caller_that_leaves_while_it_waits_is_forgotten() {
+fn a_waiting_request_whose_caller_disconnects_is_not_sent() {
     let mut dispatcher = dispatcher();
-    hear(&dispatcher.instances, &["g1", "g2"], &rest(1_000), 0);
+    report(&dispatcher.instances, &["g1", "g2"], &rest(1_000), 0);
     dispatcher.arrive(1, call_of("r", "/gate/x"), 10);
     dispatcher.caller_gone(1, 20);
     assert!(dispatcher.send_waiting(1_000).is_empty());
 }
 
 #[test]
-fn a_whole_answer_of_a_plain_request_is_a_sign_of_a_sound_back_end() {
+fn a_complete_answer_resets_the_failure_backoff() {
     let mut dispatcher = dispatcher();
     for id in ["g1", "g2"] {
         for _ in 0..3 {
@@ -355,16 +358,19 @@
     dispatcher.send_ended(1, WHOLE, None, 5_010);
     dispatcher.instances.failed(&first, 5_020, "test");
     let engine = dispatcher.instances.get(&first).expect("listed");
-    assert!(engine.is_usable(5_520), "as after a first failure");
+    assert!(
+        engine.is_usable(5_520),
+        "the backoff is that of a first failure"
+    );
 }
 
-/// "Not run" must be true: the first send may have run.
+/// "Not run" would be wrong, as the first send may have run.
 #[test]
-fn a_request_that_may_have_run_is_not_refused_as_if_it_had_not() {
+fn a_request_that_may_have_run_is_not_reported_as_not_run() {
     let mut dispatcher = dispatcher();
     let first = sent_to(&dispatcher.arrive(1, call_of("r", "/lookup/x"), 0)).expect("sent");
     let other = if first == "g1" { "g2" } else { "g1" };
-    hear(&dispatcher.instances, &[other], &rest(1_000), 5);
+    report(&dispatcher.instances, &[other], &rest(1_000), 5);
     let broken = SendOutcome::Unknown(UnknownReason::Broken);
     let refused = refusal(&dispatcher.send_ended(1, broken, None, 10)).expect("given up");
     assert_eq!(refused.code, ResultCode::BackendFailed);
@@ -372,7 +378,7 @@
 }
 
 #[test]
-fn nor_is_one_that_was_turned_away_after_a_send_that_may_have_run() {
+fn a_request_rejected_after_a_send_that_may_have_run_is_not_reported_as_not_run() {
     let mut dispatcher = dispatcher();
     dispatcher.arrive(1, call_of("r", "/lookup/x"), 0);
     let broken = SendOutcome::Unknown(UnknownReason::Broken);
@@ -381,12 +387,11 @@
     assert_eq!(refused.code.http_status(), 502);
 }
 
-/// What is told at the head counts for others while the answer goes on.
 #[test]
-fn what_a_head_said_counts_while_its_answer_goes_on() {
+fn state_in_the_head_of_an_answer_applies_while_its_body_is_streamed() {
     let mut dispatcher = dispatcher();
     let first = sent_to(&dispatcher.arrive(1, call("r"), 0)).expect("sent");
-    hear(&dispatcher.instances, &[&first], &LEAVING, 50);
+    report(&dispatcher.instances, &[&first], &DRAINING, 50);
     dispatcher.head_received(1, None, 50);
     for number in 2..10 {
         let to = sent_to(&dispatcher.arrive(number, call("r"), 60));
@@ -395,20 +400,20 @@
     assert!(dispatcher.send_ended(1, WHOLE, None, 4_000).is_empty());
 }
 
-mod makers {
+mod batch_back_ends {
     use super::*;
     use common::batches::{batcher, key, table, whole, work};
     use common::made;
     use silversail_serving::batcher::CallOutcome;
 
     #[test]
-    fn a_resting_maker_gets_no_call_and_is_no_capacity() {
+    fn a_resting_back_end_gets_no_calls_and_does_not_count_as_capacity() {
         let (table, mut batcher) = (table(&[("s1", "a"), ("s2", "a")]), batcher());
         batcher
             .submit(key(1), work(1, 8), &table, 0)
             .expect("taken");
         let before = batcher.waits(&whole(), &table, 0);
-        hear(&table, &["s1"], &rest(2_000), 0);
+        report(&table, &["s1"], &rest(2_000), 0);
         let after = batcher.waits(&whole(), &table, 0);
         assert!(after.queue_ms > before.queue_ms, "{after:?}");
         let calls = batcher.next_calls(&table, 0);
@@ -417,13 +422,13 @@
     }
 
     #[test]
-    fn where_all_makers_rest_waits_tell_it_and_orders_too_late_are_refused_at_once() {
+    fn if_all_back_ends_rest_wait_estimates_include_it_and_late_orders_are_rejected() {
         let (table, mut batcher) = (table(&[("s1", "a"), ("s2", "a")]), batcher());
         batcher
             .submit(key(1), work(1, 1), &table, 0)
             .expect("taken");
-        hear(&table, &["s1"], &rest(3_000), 0);
-        hear(&table, &["s2"], &rest(2_000), 0);
+        report(&table, &["s1"], &rest(3_000), 0);
+        report(&table, &["s2"], &rest(2_000), 0);
         assert!(batcher.next_calls(&table, 0).is_empty());
         let waits = batcher.waits(&whole(), &table, 0);
         assert!(waits.backlog_ms[1] >= 2_000, "{waits:?}");
@@ -432,15 +437,15 @@
         short.remaining_ms = 1_500;
         let refused = batcher.submit(key(2), short, &table, 10);
         assert_eq!(refused, Err(PieceFailure::Overloaded));
-        // A longer rest makes the order that waits too late.
-        hear(&table, &["s1", "s2"], &rest(9_000), 100);
+        // A longer rest makes the waiting order too late.
+        report(&table, &["s1", "s2"], &rest(9_000), 100);
         let ended = batcher.end_late_by_rests(&table, 110);
         assert_eq!(ended.len(), 1);
         assert_eq!(ended[0].result, Err(PieceFailure::Overloaded));
     }
 
     #[test]
-    fn a_call_that_was_withheld_costs_its_pieces_no_call_and_its_maker_no_trust() {
+    fn a_withheld_call_counts_neither_as_an_attempt_nor_as_a_failure() {
         let (table, mut batcher) = (table(&[("s1", "a"), ("s2", "a")]), batcher());
         batcher
             .submit(key(1), work(1, 2), &table, 0)
@@ -453,17 +458,18 @@
         }
         let call = batcher.next_calls(&table, 60).remove(0);
         let ended = batcher.call_ended(call.call, made(&call), 300);
-        let handles: Option<Vec<ResultHandle>> = ended.into_iter().find_map(|one| one.result.ok());
-        assert_eq!(handles.map(|one| one.len()), Some(2));
+        let handles: Option<Vec<ResultHandle>> =
+            ended.into_iter().find_map(|order| order.result.ok());
+        assert_eq!(handles.map(|handles| handles.len()), Some(2));
     }
 
     #[test]
-    fn a_maker_that_said_it_leaves_staffs_no_shard() {
+    fn a_draining_back_end_does_not_serve_its_shard() {
         let (table, mut batcher) = (table(&[("s1", "a")]), batcher());
         batcher
             .submit(key(1), work(1, 1), &table, 0)
             .expect("taken");
-        hear(&table, &["s1"], &LEAVING, 0);
+        report(&table, &["s1"], &DRAINING, 0);
         let ended = batcher.end_unstaffed(&table);
         assert_eq!(ended.len(), 1);
         assert_eq!(ended[0].result, Err(PieceFailure::NoBackend));
@@ -471,7 +477,7 @@
 }
 
 #[test]
-fn engines_are_chosen_as_before_where_nothing_is_said() {
+fn engine_choice_is_unchanged_without_advertised_state() {
     let mut dispatcher = dispatcher_with(Policy::default());
     assert!(sent_to(&dispatcher.arrive(1, call("r"), 0)).is_some());
 }
--- a/crates/serving/tests/rollouts.rs
+++ b/crates/serving/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! Requests while a service's traffic moves from one version to another.
+//! Tests of version choice and evidence during rollouts.
 
 mod common;
 
@@ -23,7 +23,7 @@
 const FAILED: SendOutcome = SendOutcome::Failed { status: 500 };
 const BROKEN: SendOutcome = SendOutcome::Unknown(UnknownReason::Broken);
 
-/// Load of an engine that has nothing to do.
+/// Load report of an idle engine.
 const IDLE: ReportedLoad = ReportedLoad {
     running: 0,
     waiting: 0,
@@ -31,8 +31,8 @@
     pace: Pace::NORMAL,
 };
 
-/// A dispatcher with three engines of `v1` and two of `v2`, and gates alike, that may send to
-/// candidates.
+/// A dispatcher that may send to candidates, with services `pool` and `gate` in versions `v1` and
+/// `v2`.
 fn dispatcher_of_two_versions() -> Dispatcher {
     let mut dispatcher = dispatcher();
     dispatcher.instances.replace(&[
@@ -49,8 +49,8 @@
     dispatcher
 }
 
-/// A dispatcher whose rollout of `service` has this directive.
-fn obeying(service: &str, directive: Directive) -> Dispatcher {
+/// A dispatcher with a rollout of `service` under the given directive.
+fn with_rollout(service: &str, directive: Directive) -> Dispatcher {
     let mut dispatcher = dispatcher_of_two_versions();
     dispatcher.take_rollouts(&[in_progress(service, directive)]);
     dispatcher
@@ -75,8 +75,8 @@
     refusal.unwrap_or_else(|| panic!("a refusal in {actions:?}"))
 }
 
-/// Versions that so many requests for `path` were sent to, each answered at once by `outcome`
-/// until it ends.
+/// Versions that `requests` for `path` are sent to, including retries; each send ends at once with
+/// `outcome`.
 fn versions_sent(
     dispatcher: &mut Dispatcher,
     path: &str,
@@ -97,19 +97,19 @@
 }
 
 fn count(versions: &[String], version: &str) -> usize {
-    versions.iter().filter(|one| *one == version).count()
+    versions.iter().filter(|sent| *sent == version).count()
 }
 
 fn evidence_of(dispatcher: &Dispatcher) -> Evidence {
     let table = &dispatcher.instances;
-    let told = dispatcher
+    let evidence = dispatcher
         .rollouts
         .evidence(|service| table.in_flight_at_baseline(service));
-    assert_eq!(told.len(), 1);
-    told[0].clone()
+    assert_eq!(evidence.len(), 1);
+    evidence[0].clone()
 }
 
-/// Answers by route, baseline and candidate.
+/// Counted answers of a route: baseline and candidate.
 fn answers(dispatcher: &Dispatcher, route: &str) -> (Answers, Answers) {
     let evidence = evidence_of(dispatcher);
     let RouteEvidence {
@@ -119,15 +119,15 @@
     (baseline, candidate)
 }
 
-/// Without the bound two of five engines would get two fifths. What is sent again counts too.
+/// Retries count towards the share.
 #[rstest]
 #[case::answers_good(|_: &SendPlan| GOOD)]
 #[case::candidate_fails(|plan: &SendPlan| if plan.version == "v2" { FAILED } else { GOOD })]
 #[case::baseline_fails(|plan: &SendPlan| if plan.version == "v1" { BROKEN } else { GOOD })]
-fn a_candidate_gets_its_share_of_all_sends_and_no_more(
+fn a_candidate_gets_at_most_its_share_of_all_sends(
     #[case] outcome: impl Fn(&SendPlan) -> SendOutcome,
 ) {
-    let mut dispatcher = obeying("gate", directive(1, 100, &[]));
+    let mut dispatcher = with_rollout("gate", directive(1, 100, &[]));
     let versions = versions_sent(&mut dispatcher, "/lookup/x", 0..2_000, outcome);
     let to_candidate = count(&versions, "v2");
     let share = versions.len() as f64 * 0.1;
@@ -145,21 +145,21 @@
 }
 
 #[test]
-fn many_processes_together_keep_the_share_from_their_first_request_on() {
+fn many_processes_together_keep_the_share_from_the_first_request() {
     let mut to_candidate = 0;
     for node in 0..300 {
-        let mut dispatcher = obeying("gate", directive(1, 50, &[]));
+        let mut dispatcher = with_rollout("gate", directive(1, 50, &[]));
         let requests = node * 4..node * 4 + 4;
         let versions = versions_sent(&mut dispatcher, "/lookup/x", requests, |_| GOOD);
         to_candidate += count(&versions, "v2");
     }
-    // 60 of 1,200 are expected; half of the square root of 300 is 9.
+    // The expected number is 60 of 1,200.
     assert!((35..=85).contains(&to_candidate), "{to_candidate}");
 }
 
 #[test]
-fn without_a_permit_nothing_goes_to_a_candidate() {
-    let mut dispatcher = obeying("gate", directive(1, 1_000, &["lookup"]));
+fn without_permission_a_candidate_gets_no_requests() {
+    let mut dispatcher = with_rollout("gate", directive(1, 1_000, &["lookup"]));
     dispatcher.rollouts.set_permitted(false);
     let versions = versions_sent(&mut dispatcher, "/lookup/x", 0..50, |_| GOOD);
     assert_eq!(count(&versions, "v2"), 0);
@@ -169,20 +169,20 @@
 }
 
 #[test]
-fn only_the_routes_that_moved_go_to_the_candidate() {
-    let mut dispatcher = obeying("gate", directive(3, 0, &["lookup"]));
+fn only_moved_routes_go_to_the_candidate() {
+    let mut dispatcher = with_rollout("gate", directive(3, 0, &["lookup"]));
     let moved = versions_sent(&mut dispatcher, "/lookup/x", 0..20, |_| GOOD);
     let others = versions_sent(&mut dispatcher, "/gate/x", 20..40, |_| GOOD);
     assert_eq!((count(&moved, "v2"), count(&others, "v2")), (20, 0));
     assert_eq!(evidence_of(&dispatcher).step, 3);
 }
 
-/// Also where all others failed or were tried: no last resort, no send again.
+/// Neither as a last resort nor for a retry.
 #[rstest]
 #[case::rolled_back(rolled_back(), "v1")]
 #[case::completed(completed(&["v1"]), "v2")]
-fn a_retired_version_gets_nothing(#[case] end: RolloutState, #[case] serving: &str) {
-    let mut dispatcher = obeying("gate", directive(1, 500, &[]));
+fn a_retired_version_gets_no_requests(#[case] end: RolloutState, #[case] serving: &str) {
+    let mut dispatcher = with_rollout("gate", directive(1, 500, &[]));
     dispatcher.take_rollouts(&[rollout(1, "gate", "v2", end)]);
     let outcomes = [GOOD, FULL, UNREACHABLE, BROKEN];
     for (round, outcome) in (0..).zip(outcomes) {
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn with_retired_back_ends_only_a_request_is_refused_at_once() {
+fn a_request_is_rejected_at_once_if_all_back_ends_are_retired() {
     let mut dispatcher = dispatcher_of_two_versions();
     dispatcher.take_rollouts(&[rollout(1, "gate", "v2", rolled_back())]);
     dispatcher
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_retired_version_is_a_candidate_again_once_it_is_ordered() {
+fn a_new_rollout_makes_a_retired_version_a_candidate_again() {
     let mut dispatcher = dispatcher_of_two_versions();
     dispatcher.take_rollouts(&[rollout(1, "gate", "v2", rolled_back())]);
     let again = RolloutState::InProgress(directive(1, 0, &["lookup"]));
@@ -214,9 +214,9 @@
     assert_eq!(count(&versions, "v2"), 10);
 }
 
-/// Its back ends are still leaving while the next version comes.
+/// Its back ends may still be draining when the next rollout starts.
 #[test]
-fn what_one_rollout_retired_stays_so_under_the_next() {
+fn a_retired_version_stays_retired_during_the_next_rollout() {
     let mut dispatcher = dispatcher_of_two_versions();
     dispatcher.take_rollouts(&[rollout(1, "gate", "v2", rolled_back())]);
     let next = RolloutState::InProgress(directive(1, 0, &[]));
@@ -225,9 +225,9 @@
     assert_eq!(count(&versions, "v1"), 40);
 }
 
-/// A list that comes after the order names back ends that this node did not know.
+/// The list arrives after the rollout order.
 #[test]
-fn back_ends_that_appear_have_the_part_of_their_version() {
+fn newly_listed_back_ends_have_the_role_of_their_version() {
     let mut dispatcher = dispatcher();
     dispatcher.take_rollouts(&[
         in_progress("gate", directive(1, 0, &[])),
@@ -250,22 +250,22 @@
 #[case::broken(BROKEN)]
 #[case::full(FULL)]
 #[case::unreachable(UNREACHABLE)]
-fn after_a_candidate_failed_a_request_goes_to_the_baseline(#[case] outcome: SendOutcome) {
-    let mut dispatcher = obeying("pool", directive(1, 0, &["deep"]));
+fn a_request_is_retried_at_the_baseline_after_a_candidate_failed(#[case] outcome: SendOutcome) {
+    let mut dispatcher = with_rollout("pool", directive(1, 0, &["deep"]));
     let first = sent(&dispatcher.arrive(1, call_of("r", "/chat/deep/x"), 0)).clone();
     assert_eq!(first.version, "v2");
     let again = dispatcher.send_ended(1, outcome, None, 5);
-    // `e5` is a candidate that was not tried.
+    // The untried candidate `e5` is not used.
     let next = send_of(&again).map(|plan| plan.version.as_str());
     assert_eq!(next, Some("v1"));
 }
 
-/// A moved route's requests wait for no candidate: none is there yet, or all are passed over.
+/// Requests of a moved route do not wait for a candidate.
 #[rstest]
 #[case::none_listed(false)]
 #[case::all_failed(true)]
-fn where_no_candidate_can_be_used_the_baseline_serves_and_counts(#[case] are_listed: bool) {
-    let mut dispatcher = obeying("gate", directive(1, 0, &["lookup"]));
+fn without_a_usable_candidate_the_baseline_serves_and_is_counted(#[case] are_listed: bool) {
+    let mut dispatcher = with_rollout("gate", directive(1, 0, &["lookup"]));
     if are_listed {
         dispatcher.instances.failed("g3", 0, "test");
     } else {
@@ -279,8 +279,8 @@
 }
 
 #[test]
-fn a_cold_candidate_gets_what_it_bears_and_the_baseline_the_rest() {
-    let mut dispatcher = obeying("gate", directive(1, 0, &["lookup"]));
+fn a_cold_candidate_gets_requests_up_to_its_limit_and_the_baseline_the_rest() {
+    let mut dispatcher = with_rollout("gate", directive(1, 0, &["lookup"]));
     let spec = ColdSpec {
         requests_per_second: 10.0,
     };
@@ -300,24 +300,24 @@
     assert_eq!(versions.len(), 100);
 }
 
-/// The old back ends may have been stopped, as the rollout completed on the other side of a cut.
+/// The rollout may have completed on the other side of a partition.
 #[test]
-fn a_node_without_a_permit_uses_the_candidate_where_no_baseline_is_listed() {
-    let mut dispatcher = obeying("gate", directive(1, 0, &[]));
+fn a_node_without_permission_uses_the_candidate_if_no_baseline_is_listed() {
+    let mut dispatcher = with_rollout("gate", directive(1, 0, &[]));
     let mut listed = ["g1", "g2"].map(|id| of_version(id, "gate", "v1")).to_vec();
-    listed.iter_mut().for_each(|one| one.draining = true);
+    listed.iter_mut().for_each(|listed| listed.draining = true);
     listed.push(of_version("g3", "gate", "v2"));
     dispatcher.instances.replace(&listed);
     let refusal = refused(&dispatcher.arrive(1, call_of("r1", "/gate/x"), 0));
-    assert_eq!(refusal.code, ResultCode::NoBackend, "with a permit");
+    assert_eq!(refusal.code, ResultCode::NoBackend, "with permission");
     dispatcher.rollouts.set_permitted(false);
     let plan = sent(&dispatcher.arrive(2, call_of("r2", "/gate/x"), 0)).clone();
     assert_eq!(plan.version, "v2");
 }
 
 #[test]
-fn a_node_without_a_permit_goes_on_with_the_candidate_where_the_baseline_is_not_reached() {
-    let mut dispatcher = obeying("pool", directive(1, 0, &[]));
+fn a_node_without_permission_uses_the_candidate_if_the_baseline_is_unreachable() {
+    let mut dispatcher = with_rollout("pool", directive(1, 0, &[]));
     dispatcher.rollouts.set_permitted(false);
     let mut actions = dispatcher.arrive(1, call("r"), 0);
     let mut versions = Vec::new();
@@ -333,7 +333,7 @@
     assert_eq!(versions, ["v1", "v1", "v2"]);
 }
 
-/// Load and crashes say nothing of a version.
+/// Overload and unreachable back ends are no evidence on a version.
 #[rstest]
 #[case::good(GOOD, 1, 0)]
 #[case::refused_by_the_application(SendOutcome::Delivered { status: 404, is_whole: true }, 1, 0)]
@@ -346,13 +346,13 @@
 #[case::full(FULL, 0, 0)]
 #[case::refused(SendOutcome::NotRun(NotRunReason::Refused), 0, 0)]
 #[case::unreachable(UNREACHABLE, 0, 0)]
-fn an_answer_counts_by_what_it_came_to(
+fn an_answer_is_counted_by_its_outcome(
     #[case] outcome: SendOutcome,
     #[case] good: u64,
     #[case] bad: u64,
 ) {
     for (moved, is_candidate) in [(&["gate"][..], true), (&[][..], false)] {
-        let mut dispatcher = obeying("gate", directive(1, 0, moved));
+        let mut dispatcher = with_rollout("gate", directive(1, 0, moved));
         sent(&dispatcher.arrive(1, call_of("r", "/gate/x"), 100));
         dispatcher.send_ended(1, outcome, None, 130);
         let (baseline, candidate) = answers(&dispatcher, "gate");
@@ -363,8 +363,8 @@
 }
 
 #[test]
-fn times_are_told_from_the_send_to_the_first_part_and_to_the_end() {
-    let mut dispatcher = obeying("pool", directive(1, 0, &["chat"]));
+fn latencies_are_measured_from_the_send_to_the_first_part_and_to_the_end() {
+    let mut dispatcher = with_rollout("pool", directive(1, 0, &["chat"]));
     sent(&dispatcher.arrive(1, call("r"), 1_000));
     dispatcher.head_received(1, None, 1_100);
     dispatcher.send_ended(1, GOOD, None, 2_600);
@@ -380,8 +380,8 @@
 }
 
 #[test]
-fn an_answer_counts_for_the_rollout_of_its_send_only() {
-    let mut dispatcher = obeying("gate", directive(1, 0, &["gate"]));
+fn an_answer_counts_only_for_the_rollout_of_its_send() {
+    let mut dispatcher = with_rollout("gate", directive(1, 0, &["gate"]));
     sent(&dispatcher.arrive(1, call_of("r", "/gate/x"), 0));
     let next = RolloutState::InProgress(directive(1, 0, &[]));
     dispatcher.take_rollouts(&[rollout(2, "gate", "v2", next)]);
@@ -390,10 +390,9 @@
     assert_eq!((evidence.rollout, evidence.candidate_ended()), (2, 0));
 }
 
-/// They may have been sent before this node knew of the rollout: the old back ends stop at its
-/// end.
+/// Includes requests that were sent before the rollout was known.
 #[test]
-fn all_that_runs_at_the_baseline_is_under_way_there() {
+fn all_requests_at_the_baseline_count_as_in_flight() {
     let mut dispatcher = dispatcher_of_two_versions();
     dispatcher.instances.replace(&[
         of_version("g1", "gate", "v1"),
@@ -409,8 +408,8 @@
 }
 
 #[test]
-fn prompts_that_share_their_beginning_keep_one_engine_of_the_version() {
-    let mut dispatcher = obeying("pool", directive(1, 0, &["chat"]));
+fn prompts_with_a_shared_prefix_stay_at_one_engine_of_the_version() {
+    let mut dispatcher = with_rollout("pool", directive(1, 0, &["chat"]));
     let part = |id| PrefixPart { id, tokens: 100 };
     for session in 0..20 {
         let mut engines = BTreeSet::new();
@@ -427,9 +426,9 @@
     }
 }
 
-/// The order may be on its way while back ends of its version start.
+/// Back ends of a new version may be listed before the rollout order arrives.
 #[test]
-fn a_version_beside_others_that_no_order_names_is_held_back_a_while() {
+fn a_new_version_without_a_rollout_order_is_temporarily_held_back() {
     let mut dispatcher = dispatcher();
     let both = [
         of_version("g1", "gate", "v1"),
@@ -453,7 +452,7 @@
 }
 
 #[test]
-fn a_new_version_is_used_at_once_where_no_other_can_be_and_when_it_is_ordered() {
+fn a_new_version_is_used_at_once_if_it_is_the_only_one_or_has_a_rollout_order() {
     let both = [
         of_version("g1", "gate", "v1"),
         of_version("g3", "gate", "v2"),
@@ -474,9 +473,9 @@
     assert_eq!(plan.version, "v2");
 }
 
-/// A process that has just started can't tell which version is new.
+/// A process that has just started cannot tell which version is new.
 #[test]
-fn versions_of_the_first_list_are_all_used() {
+fn all_versions_of_the_first_list_are_used() {
     let mut dispatcher = dispatcher_of_two_versions();
     let listed = [
         of_version("g1", "gate", "v1"),
--- a/crates/serving/tests/routes.rs
+++ b/crates/serving/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, and whose it is.
+//! Tests of routes, traffic weights and API keys.
 
 mod common;
 
@@ -14,7 +14,7 @@
 #[case("a.example", "/chat/deep/x", Ok("deep"))]
 #[case("a.example", "/chatter", Err(RouteError::NoRoute))]
 #[case("b.example", "/chat/x", Err(RouteError::NoRoute))]
-fn the_longest_prefix_of_the_host_decides(
+fn the_longest_matching_path_prefix_of_the_host_applies(
     #[case] host: &str,
     #[case] path: &str,
     #[case] expected: Result<&str, RouteError>,
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn weights_split_requests_and_a_request_goes_the_same_way_everywhere() {
+fn weights_split_requests_the_same_way_on_every_node() {
     let mut traffic = traffic();
     traffic.routes[0].targets = vec![
         RouteTarget {
@@ -43,19 +43,22 @@
             weight: 10,
         },
     ];
-    let (one, other) = (RouteTable::new(&traffic), RouteTable::new(&traffic));
+    let (first_table, second_table) = (RouteTable::new(&traffic), RouteTable::new(&traffic));
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for number in 0..2_000 {
         let request = call(&format!("r{number}"));
-        let service = one.route(&request).expect("a route").service;
-        assert_eq!(other.route(&request).expect("a route").service, service);
+        let service = first_table.route(&request).expect("a route").service;
+        assert_eq!(
+            second_table.route(&request).expect("a route").service,
+            service
+        );
         *counts.entry(service).or_default() += 1;
     }
     assert!((100..300).contains(&counts["gate"]), "{counts:?}");
 }
 
 #[test]
-fn a_key_names_its_tenant_whose_rank_goes_before_the_routes() {
+fn a_key_identifies_its_tenant_whose_priority_overrides_that_of_the_route() {
     let mut traffic = traffic();
     traffic.tenants = vec![TenantKeys {
         tenant: "t1".into(),
@@ -72,7 +75,7 @@
     let routed = table.route(&request).expect("a route");
     assert_eq!(routed.tenant.as_deref(), Some("t1"));
     assert_eq!(routed.priority, 0);
-    // A later version without the key takes it away.
+    // A later configuration without the key revokes it.
     traffic.tenants[0].key_hashes.clear();
     let later = RouteTable::new(&traffic);
     assert_eq!(later.route(&request).err(), Some(RouteError::UnknownKey));
--- a/crates/serving/tests/selection.rs
+++ b/crates/serving/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Which back end gets a request.
+//! Tests of back-end selection.
 
 mod common;
 
@@ -39,15 +39,15 @@
 }
 
 #[test]
-fn requests_of_one_session_go_to_one_engine_from_every_node() {
-    let (one, other) = (table(), table());
+fn requests_of_a_session_go_to_the_same_engine_from_every_node() {
+    let (first_table, second_table) = (table(), table());
     let mut chosen = BTreeSet::new();
     for session in 0..40 {
         let first = affinity_key(&[part(1), part(session), part(1_000)]);
         let second = affinity_key(&[part(1), part(session), part(2_000)]);
         assert_eq!(first, second);
-        let engine = select(&one, &request(first), 0).expect("an engine");
-        let same = select(&other, &request(second), 0).expect("an engine");
+        let engine = select(&first_table, &request(first), 0).expect("an engine");
+        let same = select(&second_table, &request(second), 0).expect("an engine");
         assert_eq!(engine.listed.id, same.listed.id);
         chosen.insert(engine.listed.id.clone());
     }
@@ -55,10 +55,10 @@
 }
 
 #[test]
-fn a_busy_engine_loses_its_sessions_until_it_is_free_again() {
+fn a_busy_engine_loses_its_sessions_until_its_load_report_expires() {
     let mut table = table();
     let key = affinity_key(&[part(1), part(5)]);
-    let favourite = select(&table, &request(key), 0)
+    let preferred = select(&table, &request(key), 0)
         .expect("one")
         .listed
         .id
@@ -69,20 +69,20 @@
         slots: 64,
         pace: Pace::NORMAL,
     };
-    table.reported(&favourite, busy, 100);
+    table.reported(&preferred, busy, 100);
     assert_ne!(
         select(&table, &request(key), 200).expect("one").listed.id,
-        favourite
+        preferred
     );
-    // An old report counts no more.
+    // The report has expired.
     assert_eq!(
         select(&table, &request(key), 9_000).expect("one").listed.id,
-        favourite
+        preferred
     );
 }
 
 #[test]
-fn failures_are_passed_over_longer_and_longer_but_not_when_all_fail() {
+fn failed_back_ends_are_excluded_with_growing_backoff_unless_all_fail() {
     let mut table = table();
     for id in ["e1", "e2"] {
         table.failed(id, 0, "test");
@@ -94,13 +94,17 @@
     table.failed("e3", 1, "test");
     assert!(select(&table, &request(None), 2).is_some());
     table.failed("e1", 600, "test");
-    assert!(table.get("e1").is_some_and(|one| one.is_suspect(1_500)));
+    assert!(table
+        .get("e1")
+        .is_some_and(|instance| instance.is_suspect(1_500)));
     table.answered("e1");
-    assert!(table.get("e1").is_some_and(|one| !one.is_suspect(1_500)));
+    assert!(table
+        .get("e1")
+        .is_some_and(|instance| !instance.is_suspect(1_500)));
 }
 
 #[test]
-fn a_new_start_at_an_old_address_is_another_back_end() {
+fn a_restart_at_the_same_address_is_a_new_back_end() {
     let mut table = table();
     table.sent("e1", 10, 0);
     let mut listed = instances();
@@ -109,13 +113,13 @@
     assert!(table.replace(&listed));
     assert!(table.get("e1").is_none());
     assert_eq!(table.at_address("e1:80").map(|one| one.in_flight), Some(0));
-    // What ends at the former one changes nothing.
+    // The end of a request to the former process changes nothing.
     table.ended("e1", 10);
 }
 
-/// Also as a last resort, and for requests that share a prompt with what ran there.
+/// Neither prefix affinity nor the last resort selects a back end of an evacuated zone.
 #[test]
-fn a_back_end_of_an_evacuated_zone_gets_nothing() {
+fn a_back_end_of_an_evacuated_zone_gets_no_requests() {
     let mut table = table();
     table.set_evacuated(["b".to_owned()].into(), 0);
     for session in 0..20 {
@@ -132,9 +136,9 @@
     assert!(select(&table, &request(None), 0).is_none());
 }
 
-/// A list that comes during the evacuation names new back ends there.
+/// A list that arrives during the evacuation adds a back end in the zone.
 #[test]
-fn a_new_back_end_of_an_evacuated_zone_gets_nothing() {
+fn a_new_back_end_of_an_evacuated_zone_gets_no_requests() {
     let mut table = table();
     table.set_evacuated(["b".to_owned()].into(), 0);
     let mut listed = instances();
@@ -145,9 +149,9 @@
     assert!(table.get("e4").expect("listed").takes_work());
 }
 
-/// A pace changes many times a second: an old one says nothing.
+/// A reported pace is valid only for a short time.
 #[test]
-fn a_back_end_that_is_slow_just_now_gets_no_plain_request_while_others_are_not() {
+fn a_back_end_with_a_current_slow_pace_gets_no_requests_while_others_are_faster() {
     let mut table = table();
     let slow = ReportedLoad {
         running: 0,
