--- a/crates/daemon/src/gateway/limits.rs
+++ b/crates/daemon/src/gateway/limits.rs
@@ -20,7 +20,7 @@
             }
             // Who asked has another view; it asks again.
             LimitMessage::Request(_) => {}
-            LimitMessage::Grant(grant) => self.apply_grant(&from, &grant, now),
+            LimitMessage::Grant(grant) => self.take_grant(&from, &grant, now),
             LimitMessage::Announced(announced) => {
                 let notices = &self.setup.notices;
                 notices.apply_announcement(from.as_str(), &announced);
@@ -92,7 +92,7 @@
             let issued = &self.setup.metrics.permits_issued;
             issued.inc_by(u64::from(grant.count));
             if to == self.node {
-                self.apply_grant(&to, &grant, now);
+                self.take_grant(&to, &grant, now);
             } else {
                 self.send_limits(&to, LimitMessage::Grant(grant));
             }
@@ -100,7 +100,7 @@
     }
 
     /// Requests that waited for permits go, or are refused where they would get none in time.
-    fn apply_grant(&mut self, from: &NodeName, grant: &PermitGrant, now: Millis) {
+    fn take_grant(&mut self, from: &NodeName, grant: &PermitGrant, now: Millis) {
         self.setup.notices.apply_grant(from.as_str(), grant, now);
         let sent = self.dispatcher.send_waiting(now);
         self.carry_out(sent, now);
--- a/crates/serving/examples/told_pace.rs
+++ b/crates/serving/examples/told_pace.rs
@@ -45,7 +45,7 @@
 
 /// What a node last heard of a back end.
 #[derive(Clone, Copy)]
-struct LimitUpdate {
+struct BackEndState {
     at: f64,
     running: usize,
     pace: f64,
@@ -54,7 +54,7 @@
 fn play(deployment: &Deployment, heeds: Heeds, seed: u64) -> (f64, f64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut back_ends = vec![BackEnd::default(); deployment.back_ends];
-    let nothing = LimitUpdate {
+    let nothing = BackEndState {
         at: f64::NEG_INFINITY,
         running: 0,
         pace: 1.0,
@@ -76,7 +76,7 @@
             if *at > now {
                 return true;
             }
-            heard[*node][*back_end] = LimitUpdate {
+            heard[*node][*back_end] = BackEndState {
                 at: now,
                 running: back_ends[*back_end].ends.len(),
                 pace: back_ends[*back_end].pace,
