--- a/crates/serving/examples/back_end_count.rs
+++ b/crates/serving/examples/back_end_count.rs
@@ -1,4 +1,4 @@
-//! What a change of the list and a choice cost by the number of back ends, on one whole core.
+//! Measures the cost of a list update and of a selection on one core, by number of back ends.
 //!
 //! `cargo run --release -p silversail-serving --example back_end_count`
 
@@ -15,12 +15,12 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Numbers of back ends, each of one service.
+/// Numbers of back ends to measure, all of one service.
 const COUNTS: [usize; 4] = [126, 1_250, 10_000, 20_000];
-/// Zones that they lie in.
+/// Zones of the back ends.
 const ZONES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
-/// Times that a step is repeated for its mean.
-const REPEATS: u32 = 200;
+/// Number of repetitions of which the mean is taken.
+const REPETITIONS: u32 = 200;
 
 fn entry(number: usize) -> ListedInstance {
     let name = format!("i-{:08x}-{number}", number * 7_919);
@@ -51,7 +51,7 @@
     }
 }
 
-/// Private memory of this process, in kilobytes.
+/// Anonymous resident memory of this process, in kilobytes.
 fn private_kilobytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("RssAnon"));
@@ -60,11 +60,11 @@
 }
 
 fn microseconds(mut step: impl FnMut()) -> f64 {
-    let began = Instant::now();
-    for _ in 0..REPEATS {
+    let started_at = Instant::now();
+    for _ in 0..REPETITIONS {
         step();
     }
-    began.elapsed().as_secs_f64() * 1e6 / f64::from(REPEATS)
+    started_at.elapsed().as_secs_f64() * 1e6 / f64::from(REPETITIONS)
 }
 
 fn measure(count: usize) {
@@ -85,20 +85,20 @@
     let difference = updates.since(Some(version(1))).expect("a change");
 
     let before = private_kilobytes();
-    let held = whole.applied_to(None).expect("it is whole");
+    let current = whole.applied_to(None).expect("it is whole");
     let mut table = InstanceTable::new(DecisionLog::off());
-    table.follow(&held.entries);
+    table.follow(&current.entries);
     let memory = private_kilobytes().saturating_sub(before);
 
     let applied = microseconds(|| {
-        difference.applied_to(Some(&held)).expect("it fits");
+        difference.applied_to(Some(&current)).expect("it fits");
     });
-    let changed = difference.applied_to(Some(&held)).expect("it fits");
-    let taken_in = microseconds(|| {
+    let changed = difference.applied_to(Some(&current)).expect("it fits");
+    let table_update = microseconds(|| {
         table.follow(&changed.entries);
-        table.follow(&held.entries);
+        table.follow(&current.entries);
     }) / 2.0;
-    let choice = |affinity| {
+    let selection = |affinity| {
         let request = SelectionRequest {
             versions: VersionChoice::Any,
             service: "pool",
@@ -117,10 +117,10 @@
         })
     };
     println!(
-        "| {count} | {} | {applied:.1} | {taken_in:.1} | {:.1} | {:.1} | {:.1} |",
+        "| {count} | {} | {applied:.1} | {table_update:.1} | {:.1} | {:.1} | {:.1} |",
         whole.size(),
-        choice(Some(77)),
-        choice(None),
+        selection(Some(77)),
+        selection(None),
         memory as f64 / 1e3
     );
 }
--- a/crates/serving/examples/batch_cost.rs
+++ b/crates/serving/examples/batch_cost.rs
@@ -1,6 +1,6 @@
-//! What a message costs the node that batches a service, with 1, 100 and 1,000 orders
-//! waiting: taking an order, telling waits and looking for calls. Then what an order costs from
-//! its coming to its end where makers are idle, with 18 and 192 of them in the owner's zone.
+//! Measures the cost per message of the node that batches a service, with 1, 100 and 1,000 waiting
+//! orders: accepting an order, estimating waits and scheduling calls. Then measures the total cost of
+//! an order with idle back ends, with 18, 192 and 384 of them in the owner's zone.
 //!
 //! ```text
 //! cargo run --release -p silversail-serving --example batch_cost
@@ -18,7 +18,7 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-const MAKERS: usize = 18;
+const BACK_ENDS: usize = 18;
 const MESSAGES: u64 = 2_000;
 
 fn key(work: u64) -> OrderKey {
@@ -49,7 +49,7 @@
     }
 }
 
-fn maker(number: usize) -> ListedInstance {
+fn back_end(number: usize) -> ListedInstance {
     ListedInstance {
         id: format!("maker-{number}"),
         name: format!("maker-{number}"),
@@ -76,12 +76,12 @@
     };
     for waiting in [1, 100, 1_000] {
         let mut table = InstanceTable::new(DecisionLog::off());
-        let listed = (0..MAKERS).map(maker);
+        let listed = (0..BACK_ENDS).map(back_end);
         table.replace(&listed.collect::<Vec<_>>());
         let mut batcher = Batcher::new(Policy::default(), DecisionLog::off());
         batcher.set_specs([("service".to_owned(), spec.clone())].into());
-        // All makers are at work, and so many orders wait.
-        for work in 0..(MAKERS as u64 * 5 + waiting) {
+        // All back ends are busy, and `waiting` orders are queued.
+        for work in 0..(BACK_ENDS as u64 * 5 + waiting) {
             batcher
                 .submit(key(work), order(work), &table, 0)
                 .expect("taken");
@@ -95,7 +95,7 @@
         for work in 0..waiting {
             batcher.announce(key(1 << 40 | work), announced.clone(), 0);
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         for message in 0..MESSAGES {
             let work = 1 << 30 | message;
             batcher.waits(&Shard::whole("service"), &table, 1);
@@ -105,28 +105,28 @@
             batcher.next_calls(&table, 1);
             batcher.cancel(&key(work));
         }
-        let micros = began.elapsed().as_micros() as f64 / MESSAGES as f64;
+        let micros = started_at.elapsed().as_micros() as f64 / MESSAGES as f64;
         println!("{waiting:>5} orders waiting: {micros:8.1} us a message");
     }
     for in_zone in [18, 192, 384] {
-        with_idle_makers(in_zone, &spec);
+        measure_idle_back_ends(in_zone, &spec);
     }
 }
 
-/// Orders of one zone's shard of a service with six zones, as many a second as makers end calls.
-fn with_idle_makers(in_zone: usize, spec: &BatchSpec) {
+/// Measures orders for the shard of one zone of six, at the rate at which its back ends finish calls.
+fn measure_idle_back_ends(in_zone: usize, spec: &BatchSpec) {
     let mut table = InstanceTable::new(DecisionLog::off());
     let listed = (0..6 * in_zone).map(|number| ListedInstance {
         zone: format!("zone-{}", number % 6),
-        ..maker(number)
+        ..back_end(number)
     });
     table.replace(&listed.collect::<Vec<_>>());
     let mut batcher = Batcher::new(Policy::default(), DecisionLog::off());
     batcher.set_specs([("service".to_owned(), spec.clone())].into());
     let shard = Shard::in_zone("service", "zone-0");
-    let under_way = in_zone / 4;
+    let in_progress = in_zone / 4;
     let mut calls = VecDeque::new();
-    let began = Instant::now();
+    let started_at = Instant::now();
     for message in 0..MESSAGES {
         let work = PhaseWork {
             shard: shard.clone(),
@@ -137,7 +137,7 @@
             .expect("taken");
         batcher.waits(&shard, &table, message);
         calls.extend(batcher.next_calls(&table, message));
-        while calls.len() > under_way {
+        while calls.len() > in_progress {
             let Some(call) = calls.pop_front() else {
                 break;
             };
@@ -148,7 +148,7 @@
                 batcher.release(&finished.result.unwrap_or_default());
             }
             batcher.next_calls(&table, message);
-            // Told waits, freed results, inputs read.
+            // Stands for wait updates, freed results and read inputs.
             for _ in 0..3 {
                 batcher.next_calls(&table, message);
             }
@@ -156,6 +156,6 @@
         let released = batcher.take_releases();
         batcher.freed(&released);
     }
-    let micros = began.elapsed().as_micros() as f64 / MESSAGES as f64;
+    let micros = started_at.elapsed().as_micros() as f64 / MESSAGES as f64;
     println!("{in_zone:>5} makers in the zone: {micros:8.1} us an order");
 }
--- a/crates/serving/examples/told_pace.rs
+++ b/crates/serving/examples/told_pace.rs
@@ -1,30 +1,30 @@
-//! Whether it pays to heed how long back ends say that work takes there now, as other work on
-//! their machines changes that many times a second. A model: plain requests of many nodes to a few
-//! back ends, each of which draws a new pace each tenth of a second; a node knows the pace of a
-//! back end from its last answer there, or asks two of them before it sends.
+//! Simulates whether reported processing times (paces) improve the choice of back ends, when other
+//! load on their machines changes the pace many times a second. Many nodes send requests without
+//! affinity to a few back ends, each of which draws a new pace every 100 ms. A node knows the pace of
+//! a back end from its last answer, or queries two back ends before it sends.
 //!
 //! `cargo run --release -p silversail-serving --example told_pace`
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Time for which a back end keeps a pace, in milliseconds.
-const PACE_FOR_MS: u64 = 100;
-/// Paces that are drawn, as shares of the usual time.
+/// Interval between changes of a back end's pace, in milliseconds.
+const PACE_INTERVAL_MS: u64 = 100;
+/// Possible paces, as multiples of the normal processing time.
 const PACES: [f64; 4] = [0.6, 1.0, 1.6, 2.5];
 const SLOTS: usize = 6;
-const PLAYED_MS: u64 = 120_000;
+const SIMULATED_MS: u64 = 120_000;
 const SEEDS: u64 = 20;
 
-/// What a node heeds.
+/// Information by which a node chooses a back end.
 #[derive(Clone, Copy, PartialEq)]
-enum Heeds {
-    /// The load only.
+enum Information {
+    /// The load alone.
     Load,
-    /// The pace too, where it was told so many milliseconds ago at most.
-    PaceTold { within_ms: u64 },
-    /// The pace of two back ends that it asks first, which takes two milliseconds.
-    PaceAsked,
+    /// The load and the pace, if the pace was reported at most `within_ms` milliseconds ago.
+    ReportedPace { within_ms: u64 },
+    /// The pace of two back ends, which are queried first; this takes two milliseconds.
+    QueriedPace,
 }
 
 struct Deployment {
@@ -38,12 +38,12 @@
 
 #[derive(Clone, Default)]
 struct BackEnd {
-    /// When each request under way ends, in milliseconds.
+    /// End of each request in progress, in milliseconds.
     ends: Vec<f64>,
     pace: f64,
 }
 
-/// What a node last heard of a back end.
+/// Last state of a back end that a node has received.
 #[derive(Clone, Copy)]
 struct BackEndState {
     at: f64,
@@ -51,20 +51,20 @@
     pace: f64,
 }
 
-fn play(deployment: &Deployment, heeds: Heeds, seed: u64) -> (f64, f64) {
+fn simulate(deployment: &Deployment, information: Information, seed: u64) -> (f64, f64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut back_ends = vec![BackEnd::default(); deployment.back_ends];
-    let nothing = BackEndState {
+    let unknown = BackEndState {
         at: f64::NEG_INFINITY,
         running: 0,
         pace: 1.0,
     };
-    let mut heard = vec![vec![nothing; deployment.back_ends]; deployment.nodes];
+    let mut known_states = vec![vec![unknown; deployment.back_ends]; deployment.nodes];
     let mut answers: Vec<(f64, usize, usize)> = Vec::new();
     let (mut count, mut in_time, mut total) = (0.0, 0.0, 0.0);
-    for now in 0..PLAYED_MS {
+    for now in 0..SIMULATED_MS {
         let now = now as f64;
-        if (now as u64).is_multiple_of(PACE_FOR_MS) {
+        if (now as u64).is_multiple_of(PACE_INTERVAL_MS) {
             for back_end in &mut back_ends {
                 back_end.pace = PACES[random.gen_range(0..PACES.len())];
             }
@@ -76,7 +76,7 @@
             if *at > now {
                 return true;
             }
-            heard[*node][*back_end] = BackEndState {
+            known_states[*node][*back_end] = BackEndState {
                 at: now,
                 running: back_ends[*back_end].ends.len(),
                 pace: back_ends[*back_end].pace,
@@ -88,31 +88,30 @@
         }
         let node = random.gen_range(0..deployment.nodes);
         let cost = |back_end: usize| {
-            let one = heard[node][back_end];
-            let load = match now - one.at < 4_000.0 {
-                true => one.running as f64 / SLOTS as f64,
+            let known = known_states[node][back_end];
+            let load = match now - known.at < 4_000.0 {
+                true => known.running as f64 / SLOTS as f64,
                 false => 0.0,
             };
-            let is_told =
-                matches!(heeds, Heeds::PaceTold { within_ms } if now - one.at <= within_ms as f64);
-            load + if is_told { one.pace - 1.0 } else { 0.0 }
+            let is_current = matches!(information, Information::ReportedPace { within_ms } if now - known.at <= within_ms as f64);
+            load + if is_current { known.pace - 1.0 } else { 0.0 }
         };
-        let lots: Vec<f64> = back_ends.iter().map(|_| random.gen()).collect();
+        let tie_breakers: Vec<f64> = back_ends.iter().map(|_| random.gen()).collect();
         let mut order: Vec<usize> = (0..deployment.back_ends).collect();
         order.sort_by(|left, right| {
             let by_cost = cost(*left).total_cmp(&cost(*right));
-            by_cost.then(lots[*left].total_cmp(&lots[*right]))
+            by_cost.then(tie_breakers[*left].total_cmp(&tie_breakers[*right]))
         });
-        let (chosen, sent_at) = match heeds {
-            Heeds::PaceAsked => {
-                let asked = &order[..2.min(order.len())];
-                let quickest = asked
+        let (chosen, sent_at) = match information {
+            Information::QueriedPace => {
+                let queried = &order[..2.min(order.len())];
+                let quickest = queried
                     .iter()
                     .copied()
                     .min_by(|left, right| back_ends[*left].pace.total_cmp(&back_ends[*right].pace));
                 (quickest.unwrap_or_default(), now + 2.0)
             }
-            Heeds::Load | Heeds::PaceTold { .. } => (order[0], now),
+            Information::Load | Information::ReportedPace { .. } => (order[0], now),
         };
         let back_end = &mut back_ends[chosen];
         let mut ends = back_end.ends.clone();
@@ -158,27 +157,36 @@
             objective_ms: 120.0,
         },
     ];
-    let ways = [
-        ("load only", Heeds::Load),
-        ("pace told 100 ms ago", Heeds::PaceTold { within_ms: 100 }),
-        ("pace told 300 ms ago", Heeds::PaceTold { within_ms: 300 }),
-        ("pace told 4 s ago", Heeds::PaceTold { within_ms: 4_000 }),
-        ("two asked", Heeds::PaceAsked),
+    let variants = [
+        ("load only", Information::Load),
+        (
+            "pace told 100 ms ago",
+            Information::ReportedPace { within_ms: 100 },
+        ),
+        (
+            "pace told 300 ms ago",
+            Information::ReportedPace { within_ms: 300 },
+        ),
+        (
+            "pace told 4 s ago",
+            Information::ReportedPace { within_ms: 4_000 },
+        ),
+        ("two asked", Information::QueriedPace),
     ];
     println!("| deployment | heeds | mean ms | in twice the usual time |");
     println!("| --- | --- | --- | --- |");
     for deployment in &deployments {
-        for (name, heeds) in ways {
-            let plays: Vec<(f64, f64)> = (0..SEEDS)
-                .map(|seed| play(deployment, heeds, seed))
+        for (name, information) in variants {
+            let runs: Vec<(f64, f64)> = (0..SEEDS)
+                .map(|seed| simulate(deployment, information, seed))
                 .collect();
             let mean =
-                |of: fn(&(f64, f64)) -> f64| plays.iter().map(of).sum::<f64>() / plays.len() as f64;
+                |of: fn(&(f64, f64)) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
             println!(
                 "| {} | {name} | {:.1} | {:.4} |",
                 deployment.name,
-                mean(|play| play.0),
-                mean(|play| play.1)
+                mean(|run| run.0),
+                mean(|run| run.1)
             );
         }
     }
