--- a/crates/daemon/src/gateway/limits.rs
+++ b/crates/daemon/src/gateway/limits.rs
@@ -14,7 +14,7 @@
         let now = self.now(cx);
         match message {
             LimitMessage::Request(request) if self.issues_for(&request.backend) => {
-                let grants = self.permit_issuer.request(&from, &request, now);
+                let grants = self.permit_issuer.handle_request(&from, &request, now);
                 self.send_grants(grants, now);
                 self.announce_limits();
             }
@@ -23,7 +23,7 @@
             LimitMessage::Grant(grant) => self.take_grant(&from, &grant, now),
             LimitMessage::Announced(announced) => {
                 let notices = &self.setup.notices;
-                notices.take_announcement(from.as_str(), &announced);
+                notices.apply_announcement(from.as_str(), &announced);
             }
             // For this node's relay.
             LimitMessage::Announce(_) => {}
@@ -57,7 +57,7 @@
                 continue;
             };
             if issuer == self.node {
-                let grants = self.permit_issuer.request(&issuer, &request, now);
+                let grants = self.permit_issuer.handle_request(&issuer, &request, now);
                 self.send_grants(grants, now);
                 self.announce_limits();
             } else {
@@ -101,7 +101,7 @@
 
     /// Requests that waited for permits go, or are refused where they would get none in time.
     fn take_grant(&mut self, from: &NodeName, grant: &PermitGrant, now: Millis) {
-        self.setup.notices.take_grant(from.as_str(), grant, now);
+        self.setup.notices.apply_grant(from.as_str(), grant, now);
         let sent = self.dispatcher.send_waiting(now);
         self.carry_out(sent, now);
         let refused = self.dispatcher.refuse_without_permit(&grant.backend, now);
--- a/crates/serving/src/batcher.rs
+++ b/crates/serving/src/batcher.rs
@@ -13,11 +13,11 @@
 mod schedule;
 mod versions;
 
-use crate::crashes::{BreakOff, BrokenSend};
+use crate::crashes::{ConnectionLoss, InterruptedSend};
 use crate::instances::{InstanceId, InstanceTable};
 use crate::policy::Policy;
 use crate::ports::PieceResults;
-use crate::rollouts::{CountedSend, RolloutBook};
+use crate::rollouts::{CountedSend, RolloutTracker};
 use crate::Millis;
 pub use announced::AnnouncedOrder;
 use announced::AnnouncedOrders;
@@ -118,7 +118,7 @@
     announced: AnnouncedOrders,
     call_averages: BTreeMap<Shard, CallAverages>,
     /// Rollouts of the batched services.
-    pub rollouts: RolloutBook,
+    pub rollouts: RolloutTracker,
     policy: Policy,
     topology: Arc<Topology>,
     next_housekeeping_at: Millis,
@@ -138,7 +138,7 @@
             result_memory: ResultMemory::default(),
             announced: AnnouncedOrders::default(),
             call_averages: BTreeMap::new(),
-            rollouts: RolloutBook::default(),
+            rollouts: RolloutTracker::default(),
             policy,
             topology: Arc::default(),
             next_housekeeping_at: 0,
@@ -363,18 +363,18 @@
     }
 
     /// Describes a call in flight whose connection was lost; none if the call is unknown.
-    pub fn break_off(&self, call: CallId) -> Option<BreakOff> {
+    pub fn break_off(&self, call: CallId) -> Option<ConnectionLoss> {
         let state = self.calls.get(&call)?;
         let members: BTreeSet<&OrderKey> = state.members.iter().map(|(key, _)| key).collect();
         let orders = members.into_iter().filter_map(|key| self.orders.get(key));
         let sends = orders.filter_map(|order| {
             let piece = order.work.pieces.first()?;
-            Some(BrokenSend {
+            Some(InterruptedSend {
                 request: piece.request.clone(),
                 fingerprint: order.work.fingerprint,
             })
         });
-        Some(BreakOff {
+        Some(ConnectionLoss {
             instance: state.instance.clone(),
             service: state.shard.service.clone(),
             address: state.address.clone(),
--- a/crates/serving/src/batcher/versions.rs
+++ b/crates/serving/src/batcher/versions.rs
@@ -4,7 +4,7 @@
 use super::backend_health::EndedCall;
 use super::{Batcher, CallOutcome};
 use crate::instances::{Instance, InstanceTable};
-use crate::rollouts::{CountedAnswer, CountedSend, RolloutBook, VersionChoice, VersionRole};
+use crate::rollouts::{CountedAnswer, CountedSend, RolloutTracker, VersionChoice, VersionRole};
 use crate::Millis;
 use silversail_model::topology::RegionFilter;
 use silversail_model::traffic::BatchSpec;
@@ -133,7 +133,7 @@
         table: &InstanceTable,
     ) -> Option<CountedSend> {
         let role = table.get(backend).map(Instance::role).unwrap_or_default();
-        self.rollouts.sent(&shard.service, BATCH_ROUTE, role)
+        self.rollouts.record_send(&shard.service, BATCH_ROUTE, role)
     }
 
     /// Number of calls in flight at a service's baseline, and of its results that are neither
@@ -151,7 +151,7 @@
     }
 }
 
-impl RolloutBook {
+impl RolloutTracker {
     /// Counts the outcome of a call for the rollout. As calls differ in size, durations are
     /// scaled to a call that takes `usual_ms` by the configured cost model.
     pub(super) fn count_call_end(
@@ -175,6 +175,6 @@
                 }
             }
         };
-        self.answered(call.service, BATCH_ROUTE, counted, answer);
+        self.record_answer(call.service, BATCH_ROUTE, counted, answer);
     }
 }
--- a/crates/serving/src/crashes.rs
+++ b/crates/serving/src/crashes.rs
@@ -1,170 +1,169 @@
-//! Crashes of back ends, as this node sees them.
+//! Detection of back-end crashes by this node.
 //!
-//! A connection that breaks off says little: the back end may have crashed, the link or this one
-//! answer may have failed. So the back end is asked for another connection at once. One whose
-//! machine refuses it has ended; one that accepts it lives; one that says nothing may be behind a
-//! cut or without power, and is no crash of a process. Only what broke off at a back end that
-//! ended counts as evidence against the requests which ran there.
+//! A lost connection alone does not prove a crash: the link or a single answer may have failed.
+//! Therefore each loss triggers a probe, a new connection to the back end. A refused probe means
+//! that the process has ended, an accepted one that it is alive. An unanswered probe may be due to
+//! a partition or power loss and does not count as a crash. Only losses at a crashed process are
+//! evidence against the requests that it was running.
 
 use crate::instances::InstanceId;
 use crate::Millis;
 use silversail_model::RequestFingerprint;
 use std::collections::BTreeMap;
 
-/// For how long after the first connection broke off others belong to the same crash, in
-/// milliseconds: most connections to an engine that ends break together, and a silent one shows
-/// its end after 1,500 ms at the latest.
-const SAME_CRASH_WITHIN: Millis = 2_000;
+/// Time after the first loss in which further losses belong to the same crash, in milliseconds:
+/// an idle connection shows the end of its peer after up to 1,500 ms.
+const SAME_CRASH_WINDOW: Millis = 2_000;
 
-/// A request whose connection to a back end broke off.
+/// A request that was interrupted by the loss of its connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BrokenSend {
-    /// The caller's identifier.
+pub struct InterruptedSend {
+    /// Identifier that the caller gave the request.
     pub request: String,
-    /// What it is.
+    /// Fingerprint by which repetitions of the request are recognized.
     pub fingerprint: RequestFingerprint,
 }
 
-/// Where requests broke off.
+/// The loss of a connection to a back end, with the affected requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BreakOff {
-    /// The back end.
+pub struct ConnectionLoss {
+    /// Identifier of the back end.
     pub instance: InstanceId,
-    /// Its service.
+    /// Service of the back end.
     pub service: String,
-    /// Its address.
+    /// Network address of the back end.
     pub address: String,
-    /// The requests; several for a batch call.
-    pub sends: Vec<BrokenSend>,
+    /// Interrupted requests; several for a batch call.
+    pub sends: Vec<InterruptedSend>,
 }
 
-/// What came of the attempt to connect to a back end anew.
+/// Result of a probe, the attempt to open a new connection to a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProbeAnswer {
-    /// Its machine refused: nothing listens there any more.
+pub enum ProbeResult {
+    /// The connection was refused: no process listens on the address.
     Refused,
-    /// It was accepted.
+    /// The connection was accepted.
     Accepted,
-    /// Nothing came within the time.
+    /// The probe timed out.
     Silent,
 }
 
-impl ProbeAnswer {
-    /// What it says of the connections that broke off, for logs and metrics.
+impl ProbeResult {
+    /// Cause of the connection losses that the result implies, as a label for logs and metrics.
     pub fn cause(self) -> &'static str {
         match self {
-            ProbeAnswer::Refused => "crash",
-            ProbeAnswer::Accepted => "connection",
-            ProbeAnswer::Silent => "unknown",
+            ProbeResult::Refused => "crash",
+            ProbeResult::Accepted => "connection",
+            ProbeResult::Silent => "unknown",
         }
     }
 }
 
-/// A back end to which a connection is to be tried.
+/// A back end that must be probed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Probe {
-    /// The back end.
+    /// Identifier of the back end.
     pub instance: InstanceId,
-    /// Its address.
+    /// Network address of the back end.
     pub address: String,
 }
 
-/// Connections of a back end that broke off, and why.
+/// Connection losses of a back end with the result of its probe.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnosis {
-    /// The back end.
+    /// Identifier of the back end.
     pub instance: InstanceId,
-    /// Its service.
+    /// Service of the back end.
     pub service: String,
-    /// When the first of them broke off.
-    pub broke_at: Millis,
-    /// What the attempt to connect came to.
-    pub answer: ProbeAnswer,
-    /// The requests.
-    pub sends: Vec<BrokenSend>,
+    /// Time of the first loss, in milliseconds of the local clock.
+    pub lost_at: Millis,
+    /// Result of the probe.
+    pub answer: ProbeResult,
+    /// Interrupted requests.
+    pub sends: Vec<InterruptedSend>,
 }
 
-/// What comes of a connection that broke off.
+/// Next action after a connection loss.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BreakOffStep {
-    /// Try to connect, and tell the answer.
+pub enum ConnectionLossAction {
+    /// Probe the back end and report the result.
     Probe(Probe),
-    /// A probe is under way.
+    /// Wait for the probe in progress.
     Wait,
-    /// It is known already.
+    /// Use the result of an earlier probe.
     Known(Diagnosis),
 }
 
-struct Watched {
+struct PendingDiagnosis {
     service: String,
-    broke_at: Millis,
-    /// None while the probe is under way.
-    answer: Option<ProbeAnswer>,
-    sends: Vec<BrokenSend>,
+    lost_at: Millis,
+    /// None while the probe is in progress.
+    answer: Option<ProbeResult>,
+    sends: Vec<InterruptedSend>,
 }
 
-/// Connections that broke off lately, by back end.
+/// Correlates recent connection losses by back end and decides which were crashes.
 #[derive(Default)]
-pub struct CrashWatch {
-    watched: BTreeMap<InstanceId, Watched>,
+pub struct CrashDetector {
+    by_instance: BTreeMap<InstanceId, PendingDiagnosis>,
 }
 
-impl CrashWatch {
-    /// Requests broke off at a back end.
-    pub fn broke_off(&mut self, broken: BreakOff, now: Millis) -> BreakOffStep {
-        self.watched
-            .retain(|_, one| now.saturating_sub(one.broke_at) < SAME_CRASH_WITHIN);
-        let BreakOff {
+impl CrashDetector {
+    /// Records a connection loss at `now` and returns the next action.
+    pub fn connection_lost(&mut self, loss: ConnectionLoss, now: Millis) -> ConnectionLossAction {
+        self.by_instance
+            .retain(|_, diagnosis| now.saturating_sub(diagnosis.lost_at) < SAME_CRASH_WINDOW);
+        let ConnectionLoss {
             instance,
             service,
             address,
             sends,
-        } = broken;
-        let Some(watched) = self.watched.get_mut(&instance) else {
-            let watched = Watched {
+        } = loss;
+        let Some(diagnosis) = self.by_instance.get_mut(&instance) else {
+            let diagnosis = PendingDiagnosis {
                 service,
-                broke_at: now,
+                lost_at: now,
                 answer: None,
                 sends,
             };
-            self.watched.insert(instance.clone(), watched);
-            return BreakOffStep::Probe(Probe { instance, address });
+            self.by_instance.insert(instance.clone(), diagnosis);
+            return ConnectionLossAction::Probe(Probe { instance, address });
         };
-        match watched.answer {
+        match diagnosis.answer {
             None => {
-                watched.sends.extend(sends);
-                BreakOffStep::Wait
+                diagnosis.sends.extend(sends);
+                ConnectionLossAction::Wait
             }
-            // A back end that lives may have crashed since.
-            Some(ProbeAnswer::Accepted | ProbeAnswer::Silent) => {
-                watched.broke_at = now;
-                watched.answer = None;
-                watched.sends = sends;
-                BreakOffStep::Probe(Probe { instance, address })
+            // A back end that was alive may have crashed since.
+            Some(ProbeResult::Accepted | ProbeResult::Silent) => {
+                diagnosis.lost_at = now;
+                diagnosis.answer = None;
+                diagnosis.sends = sends;
+                ConnectionLossAction::Probe(Probe { instance, address })
             }
-            Some(answer) => BreakOffStep::Known(Diagnosis {
+            Some(answer) => ConnectionLossAction::Known(Diagnosis {
                 instance,
                 service,
-                broke_at: watched.broke_at,
+                lost_at: diagnosis.lost_at,
                 answer,
                 sends,
             }),
         }
     }
 
-    /// A probe was answered.
-    pub fn probed(&mut self, instance: &str, answer: ProbeAnswer) -> Option<Diagnosis> {
-        let watched = self.watched.get_mut(instance)?;
-        if watched.answer.is_some() {
+    /// Records a probe result. None if no probe of the back end is in progress.
+    pub fn probe_finished(&mut self, instance: &str, answer: ProbeResult) -> Option<Diagnosis> {
+        let diagnosis = self.by_instance.get_mut(instance)?;
+        if diagnosis.answer.is_some() {
             return None;
         }
-        watched.answer = Some(answer);
+        diagnosis.answer = Some(answer);
         Some(Diagnosis {
             instance: instance.to_owned(),
-            service: watched.service.clone(),
-            broke_at: watched.broke_at,
+            service: diagnosis.service.clone(),
+            lost_at: diagnosis.lost_at,
             answer,
-            sends: std::mem::take(&mut watched.sends),
+            sends: std::mem::take(&mut diagnosis.sends),
         })
     }
 }
--- a/crates/serving/src/dispatcher.rs
+++ b/crates/serving/src/dispatcher.rs
@@ -18,14 +18,14 @@
 use crate::instances::InstanceTable;
 use crate::notices::BackendNotices;
 use crate::policy::Policy;
-use crate::popularity::SeenPrompts;
+use crate::popularity::PromptPopularity;
 use crate::ports::{CallAttributes, ReportedLoad};
 use crate::quarantine::RequestQuarantine;
 use crate::retry_budget::{RetryBudget, RetryLimits};
-use crate::rollouts::RolloutBook;
-use crate::routes::{RouteError, RouteTable, Routed};
+use crate::rollouts::RolloutTracker;
+use crate::routes::{ResolvedRoute, RouteError, RouteTable};
 use crate::selection::select;
-use crate::waits::WaitBook;
+use crate::waits::ShardWaitTable;
 use crate::Millis;
 pub use action::{Action, NotRunReason, Refusal, SendOutcome, SendPlan, UnknownReason};
 use admission::Admission;
@@ -55,7 +55,7 @@
     /// The back ends that requests are sent to.
     pub instances: InstanceTable,
     /// Rollouts of the services that take requests.
-    pub rollouts: RolloutBook,
+    pub rollouts: RolloutTracker,
     /// Requests that are rejected because they crash back ends.
     pub quarantine: RequestQuarantine,
     budget: RetryBudget,
@@ -63,7 +63,7 @@
     requests: BTreeMap<RequestNumber, ActiveRequest>,
     works: BTreeMap<WorkId, (RequestNumber, usize)>,
     admission: Admission,
-    seen_prompts: SeenPrompts,
+    seen_prompts: PromptPopularity,
     policy: Policy,
     next_work: WorkId,
     log: DecisionLog,
@@ -84,7 +84,7 @@
         Self {
             routes: None,
             instances,
-            rollouts: RolloutBook::default(),
+            rollouts: RolloutTracker::default(),
             quarantine: RequestQuarantine::default(),
             budget: RetryBudget::new(limits),
             nodes: 1,
@@ -92,7 +92,7 @@
             works: BTreeMap::new(),
             admission: Admission::new(topology.clone(), policy),
             topology,
-            seen_prompts: SeenPrompts::default(),
+            seen_prompts: PromptPopularity::default(),
             policy,
             next_work: first_work,
             log,
@@ -124,7 +124,7 @@
 
     /// Applies the latest rollout of each service.
     pub fn apply_rollouts<'a>(&mut self, rollouts: impl IntoIterator<Item = &'a Rollout>) {
-        self.rollouts.take(rollouts);
+        self.rollouts.update(rollouts);
         let roles = self.rollouts.roles().clone();
         self.instances.set_version_roles(roles);
     }
@@ -132,12 +132,12 @@
     /// Records wait estimates of shards of batched services.
     pub fn set_waits(&mut self, waits: impl IntoIterator<Item = ShardWaitEstimates>, now: Millis) {
         for estimate in waits {
-            self.admission.waits.take(estimate, now);
+            self.admission.waits.update(estimate, now);
         }
     }
 
     /// Current wait estimates of the shards.
-    pub fn waits(&self) -> &WaitBook {
+    pub fn waits(&self) -> &ShardWaitTable {
         &self.admission.waits
     }
 
@@ -213,7 +213,7 @@
         let wait = call
             .deadline_ms
             .map_or(timeout, |deadline| deadline.min(timeout));
-        self.budget.request(&routed.service, now);
+        self.budget.record_first_attempt(&routed.service, now);
         let mut request = ActiveRequest::new(call, routed, self.policy, since, since + wait);
         self.log.record(Event::Admitted {
             request: request.call.id.clone(),
@@ -226,7 +226,7 @@
         });
         if request.routed.route.has_prefix {
             let speed = self.policy.prefill_tokens_per_ms;
-            request.shared_prompt = self.seen_prompts.note(&request.call.prefix, speed, now);
+            request.shared_prompt = self.seen_prompts.record(&request.call.prefix, speed, now);
         }
         let is_quarantined = self.quarantine.refuses(&request.fingerprint);
         let lacks_allowed_backends = self.lacks_allowed_backends(&request);
@@ -279,7 +279,7 @@
         self.routes.as_ref().map_or(0, RouteTable::version)
     }
 
-    fn routed(&self, call: &CallAttributes) -> Result<Routed, ResultCode> {
+    fn routed(&self, call: &CallAttributes) -> Result<ResolvedRoute, ResultCode> {
         let Some(routes) = &self.routes else {
             return Err(ResultCode::NoTrafficConfiguration);
         };
--- a/crates/serving/src/dispatcher/action.rs
+++ b/crates/serving/src/dispatcher/action.rs
@@ -2,7 +2,7 @@
 
 use super::RequestNumber;
 use crate::batcher::AnnouncedOrder;
-use crate::crashes::BreakOff;
+use crate::crashes::ConnectionLoss;
 use crate::ports::SendAttributes;
 use crate::Millis;
 use silversail_model::topology::RegionFilter;
@@ -85,7 +85,7 @@
     /// Find out whether a back end crashed when it lost the request's connection.
     Diagnose {
         /// The lost connection.
-        broken: BreakOff,
+        broken: ConnectionLoss,
     },
     /// Free results that are no longer needed.
     Release {
--- a/crates/serving/src/dispatcher/outcomes.rs
+++ b/crates/serving/src/dispatcher/outcomes.rs
@@ -220,7 +220,10 @@
     /// Takes a retry from the budget; returns a code if it is exhausted.
     pub(super) fn take_retry(&mut self, number: RequestNumber, now: Millis) -> Option<ResultCode> {
         let request = self.requests.get(&number)?;
-        if !self.budget.take(&request.routed.service, self.nodes, now) {
+        if !self
+            .budget
+            .try_take_retry(&request.routed.service, self.nodes, now)
+        {
             return Some(ResultCode::RetryBudgetSpent);
         }
         None
--- a/crates/serving/src/dispatcher/request.rs
+++ b/crates/serving/src/dispatcher/request.rs
@@ -3,13 +3,13 @@
 use super::phases::PhaseSet;
 use super::Action;
 use crate::batcher::AnnouncedOrder;
-use crate::crashes::{BreakOff, BrokenSend};
+use crate::crashes::{ConnectionLoss, InterruptedSend};
 use crate::instances::{Instance, InstanceId, InstanceTable};
 use crate::policy::Policy;
 use crate::ports::{CallAttributes, SendAttributes};
-use crate::regions::{InputsAt, SharedPrompt};
+use crate::regions::{SharedPrefixCost, ZoneInputs};
 use crate::rollouts::{CountedSend, VersionChoice};
-use crate::routes::{RouteTable, Routed};
+use crate::routes::{ResolvedRoute, RouteTable};
 use crate::selection::{affinity_key, SelectionRequest};
 use crate::Millis;
 use silversail_model::{Outcome, RequestFingerprint, ResultCode, Shard, Topology};
@@ -49,7 +49,7 @@
     pub(super) call: CallAttributes,
     /// Identifies the content, independently of the request's identifier.
     pub(super) fingerprint: RequestFingerprint,
-    pub(super) routed: Routed,
+    pub(super) routed: ResolvedRoute,
     policy: Policy,
     pub(super) arrived_at: Millis,
     /// Deadline: the caller's or the route's timeout.
@@ -71,13 +71,13 @@
     /// Code of an earlier send that may have run.
     pub(super) failed_with: Option<ResultCode>,
     /// Cost of the prompt prefix that it shares with other requests.
-    pub(super) shared_prompt: SharedPrompt,
+    pub(super) shared_prompt: SharedPrefixCost,
 }
 
 impl ActiveRequest {
     pub(super) fn new(
         call: CallAttributes,
-        routed: Routed,
+        routed: ResolvedRoute,
         policy: Policy,
         now: Millis,
         end: Millis,
@@ -101,7 +101,7 @@
             waits_until: None,
             waits_for: None,
             failed_with: None,
-            shared_prompt: SharedPrompt::default(),
+            shared_prompt: SharedPrefixCost::default(),
         }
     }
 
@@ -111,12 +111,12 @@
     }
 
     /// Describes a lost connection of this request.
-    pub(super) fn break_off(&self, active_send: &ActiveSend) -> BreakOff {
-        BreakOff {
+    pub(super) fn break_off(&self, active_send: &ActiveSend) -> ConnectionLoss {
+        ConnectionLoss {
             instance: active_send.instance.clone(),
             service: active_send.service.clone(),
             address: active_send.address.clone(),
-            sends: vec![BrokenSend {
+            sends: vec![InterruptedSend {
                 request: self.call.id.clone(),
                 fingerprint: self.fingerprint,
             }],
@@ -309,12 +309,12 @@
     }
 
     /// Zones and sizes of the engine's inputs that exist so far.
-    pub(super) fn inputs_of_engine(&self, instances: &InstanceTable) -> Vec<InputsAt> {
+    pub(super) fn inputs_of_engine(&self, instances: &InstanceTable) -> Vec<ZoneInputs> {
         let last = self.phases.last_results_by_phase();
         let of_phase = |(phase, handles): (usize, &Vec<ResultHandle>)| {
             let holder = handles.iter().find_map(|handle| instances.holder(handle))?;
             let bytes = self.routed.route.phases[phase].result_bytes * handles.len() as u64;
-            Some(InputsAt {
+            Some(ZoneInputs {
                 zone: holder.listed.zone.clone(),
                 bytes,
             })
@@ -326,7 +326,7 @@
     pub(super) fn selection<'a>(
         &'a self,
         topology: &'a Topology,
-        inputs: &'a [InputsAt],
+        inputs: &'a [ZoneInputs],
     ) -> SelectionRequest<'a> {
         let affinity = match self.routed.route.has_prefix && self.policy.prefix_affinity {
             true => affinity_key(&self.call.prefix),
--- a/crates/serving/src/instances/instance.rs
+++ b/crates/serving/src/instances/instance.rs
@@ -129,7 +129,7 @@
 
     /// Reserves a permit for a request that will be sent there.
     pub(crate) fn choose_permit(&self, now: Millis) {
-        self.notice.choose_permit(now);
+        self.notice.reserve_permit(now);
     }
 
     /// Whether a permit of this node is all that is missing to send a request there.
@@ -232,7 +232,7 @@
     /// without a recent report.
     pub fn slowness(&self, now: Millis) -> f64 {
         let recent = self.report(now).filter(|(_, age)| *age <= PACE_LIFETIME);
-        recent.map_or(0.0, |(load, _)| load.pace.beyond_usual())
+        recent.map_or(0.0, |(load, _)| load.pace.excess_over_normal())
     }
 
     /// Estimated number of requests running and waiting there: the reported number plus requests
--- a/crates/serving/tests/request_regions.rs
+++ b/crates/serving/tests/request_regions.rs
@@ -77,7 +77,7 @@
         running,
         waiting: 0,
         slots: 64,
-        pace: Pace::USUAL,
+        pace: Pace::NORMAL,
     };
     dispatcher.instances.record_load("e1", load, 0);
     let (_, phase) = start_request(&mut dispatcher);
