--- a/crates/daemon/src/requests/finish.rs
+++ b/crates/daemon/src/requests/finish.rs
@@ -8,7 +8,7 @@
 use crate::requests::own::ledger_reply;
 use serde_json::Value;
 use silversail_http::ResponseHead;
-use silversail_ledger::{Finish, KeptOutcome, LedgerCommand, LedgerReply};
+use silversail_ledger::{Finish, LedgerCommand, LedgerReply, RecordedOutcome};
 use silversail_model::{Outcome, ResultCode};
 use stakker::{ret_some_to, CX};
 
@@ -20,7 +20,7 @@
         };
         request.phase = Phase::Finishing;
         let body = completed_body(request);
-        let kept = KeptOutcome {
+        let kept = RecordedOutcome {
             code: ResultCode::Completed,
             body,
         };
@@ -67,7 +67,7 @@
             Some(None) => self.fence(cx, number, body, code),
             Some(Some(_)) => {
                 request.phase = Phase::Finishing;
-                let kept = KeptOutcome {
+                let kept = RecordedOutcome {
                     code,
                     body: body.encode(),
                 };
@@ -77,7 +77,7 @@
     }
 
     /// Commits the outcome of a completed request.
-    fn keep(&mut self, cx: CX![], number: RequestNumber, kept: KeptOutcome) {
+    fn keep(&mut self, cx: CX![], number: RequestNumber, kept: RecordedOutcome) {
         let body = kept.body.clone();
         let ret = ret_some_to!([cx], kept_completed(number, body) as (ProposalOutcome));
         self.propose_finish(number, kept, ret);
@@ -87,7 +87,7 @@
         &mut self,
         cx: CX![],
         number: RequestNumber,
-        kept: KeptOutcome,
+        kept: RecordedOutcome,
         body: RefusalBody,
     ) {
         let code = kept.code;
@@ -98,7 +98,7 @@
     fn propose_finish(
         &mut self,
         number: RequestNumber,
-        outcome: KeptOutcome,
+        outcome: RecordedOutcome,
         ret: stakker::Ret<ProposalOutcome>,
     ) {
         let ownership = self.requests.get(&number).and_then(|one| one.key.as_ref());
@@ -142,7 +142,7 @@
                 }
                 self.answer_refusal(cx, number, code, body);
             }
-            Some(LedgerReply::Kept { outcome, epoch }) => {
+            Some(LedgerReply::AlreadyFinished { outcome, epoch }) => {
                 self.answer_kept(cx, number, outcome, epoch)
             }
             // Taken over by another copy, which may run, or not known.
--- a/crates/daemon/src/requests/own.rs
+++ b/crates/daemon/src/requests/own.rs
@@ -7,7 +7,7 @@
 use crate::requests::actor::RequestActor;
 use crate::requests::answer::RefusalBody;
 use sha2::{Digest, Sha256};
-use silversail_ledger::{Begin, KeptOutcome, LedgerCommand, LedgerReply, Owner, RequestKey};
+use silversail_ledger::{Begin, LedgerCommand, LedgerReply, Owner, RecordedOutcome, RequestKey};
 use silversail_model::ResultCode;
 use stakker::{after, call, ret_some_to, Actor, Ret, CX};
 use std::time::Duration;
@@ -119,7 +119,7 @@
                 self.set_epoch(number, epoch);
                 self.start_stage(cx, number);
             }
-            Some(LedgerReply::Kept { outcome, epoch }) => {
+            Some(LedgerReply::AlreadyFinished { outcome, epoch }) => {
                 self.answer_kept(cx, number, outcome, epoch)
             }
             Some(LedgerReply::InProgress {
@@ -203,7 +203,7 @@
         &mut self,
         cx: CX![],
         number: RequestNumber,
-        outcome: KeptOutcome,
+        outcome: RecordedOutcome,
         epoch: u64,
     ) {
         let Some(mut request) = self.take_request(cx, number) else {
@@ -251,7 +251,7 @@
         let key = begin.key.clone();
         let command = LedgerCommand::Fence {
             begin,
-            outcome: KeptOutcome {
+            outcome: RecordedOutcome {
                 code,
                 body: body.encode(),
             },
@@ -274,7 +274,7 @@
                 body.retry_token = Some(epoch.to_string());
                 self.answer_refusal(cx, number, code, body);
             }
-            Some(LedgerReply::Kept { outcome, epoch }) => {
+            Some(LedgerReply::AlreadyFinished { outcome, epoch }) => {
                 self.answer_kept(cx, number, outcome, epoch)
             }
             Some(LedgerReply::Conflict) => {
--- a/crates/ledger/src/command.rs
+++ b/crates/ledger/src/command.rs
@@ -25,7 +25,7 @@
 
 /// How a request ended; what a repeat of its key gets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptOutcome {
+pub struct RecordedOutcome {
     /// The numbered result.
     pub code: ResultCode,
     /// The answer's body as the first caller got it.
@@ -71,7 +71,7 @@
     /// The owner's epoch.
     pub epoch: u64,
     /// How it ended.
-    pub outcome: KeptOutcome,
+    pub outcome: RecordedOutcome,
 }
 
 /// A command of the ledger.
@@ -88,7 +88,7 @@
         /// The key, as `Begin` has it.
         begin: Begin,
         /// The refusal.
-        outcome: KeptOutcome,
+        outcome: RecordedOutcome,
     },
 }
 
@@ -101,9 +101,9 @@
         epoch: u64,
     },
     /// The key has ended.
-    Kept {
+    AlreadyFinished {
         /// How.
-        outcome: KeptOutcome,
+        outcome: RecordedOutcome,
         /// Token that lets a caller who saw a refusal try the key again.
         epoch: u64,
     },
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -8,6 +8,6 @@
 pub mod state;
 
 pub use command::{
-    Begin, Claim, Finish, KeptOutcome, LedgerCommand, LedgerReply, Owner, RequestKey,
+    Begin, Claim, Finish, LedgerCommand, LedgerReply, Owner, RecordedOutcome, RequestKey,
 };
 pub use state::LedgerState;
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -1,7 +1,7 @@
 //! The replicated state of the ledger.
 
 use crate::command::{
-    Begin, Claim, Finish, KeptOutcome, LedgerCommand, LedgerReply, Owner, RequestKey,
+    Begin, Claim, Finish, LedgerCommand, LedgerReply, Owner, RecordedOutcome, RequestKey,
 };
 use serde::{Deserialize, Serialize};
 use silversail_consensus::{Index, StateMachine};
@@ -23,7 +23,7 @@
     owner: Owner,
     epoch: u64,
     claims: Vec<ClaimedCall>,
-    outcome: Option<KeptOutcome>,
+    outcome: Option<RecordedOutcome>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -162,7 +162,7 @@
         }
     }
 
-    fn fence(&mut self, begin: Begin, outcome: KeptOutcome) -> LedgerReply {
+    fn fence(&mut self, begin: Begin, outcome: RecordedOutcome) -> LedgerReply {
         let key = begin.key.clone();
         match self.begin(begin) {
             LedgerReply::Granted { epoch } => self.finish(Finish {
@@ -209,7 +209,7 @@
 
 fn record_status(record: &Record) -> LedgerReply {
     match &record.outcome {
-        Some(outcome) => LedgerReply::Kept {
+        Some(outcome) => LedgerReply::AlreadyFinished {
             outcome: outcome.clone(),
             epoch: record.epoch,
         },
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/ledger/tests/ledger.rs
@@ -2,7 +2,8 @@
 
 use silversail_consensus::StateMachine;
 use silversail_ledger::{
-    Begin, Claim, Finish, KeptOutcome, LedgerCommand, LedgerReply, LedgerState, Owner, RequestKey,
+    Begin, Claim, Finish, LedgerCommand, LedgerReply, LedgerState, Owner, RecordedOutcome,
+    RequestKey,
 };
 use silversail_model::ResultCode;
 
@@ -30,8 +31,8 @@
     }
 }
 
-fn kept(code: ResultCode) -> KeptOutcome {
-    KeptOutcome {
+fn kept(code: ResultCode) -> RecordedOutcome {
+    RecordedOutcome {
         code,
         body: vec![7],
     }
@@ -115,7 +116,7 @@
     let older = ledger.apply_command(LedgerCommand::Begin(begin(2)));
     assert_eq!(
         older,
-        LedgerReply::Kept {
+        LedgerReply::AlreadyFinished {
             outcome: refusal,
             epoch
         }
@@ -138,7 +139,7 @@
         ..begin(2)
     };
     let reply = ledger.apply_command(LedgerCommand::Begin(retry));
-    assert!(matches!(reply, LedgerReply::Kept { .. }));
+    assert!(matches!(reply, LedgerReply::AlreadyFinished { .. }));
 }
 
 #[test]
@@ -156,7 +157,7 @@
     let other = finish(&mut ledger, epoch, ResultCode::AnswerLost);
     assert_eq!(
         other,
-        LedgerReply::Kept {
+        LedgerReply::AlreadyFinished {
             outcome: kept(ResultCode::Completed),
             epoch
         }
@@ -186,7 +187,7 @@
     assert!(restored.restore(&ledger.snapshot()));
     assert!(matches!(
         restored.apply_command(LedgerCommand::Begin(begin(2))),
-        LedgerReply::Kept { .. }
+        LedgerReply::AlreadyFinished { .. }
     ));
     let later = Begin {
         key: RequestKey {
