--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -73,7 +73,7 @@
 
     /// `node` has the replica `present`, which holds nothing yet: former replicas of that
     /// node went with its disk, and none of them can lead or hear a leader.
-    pub fn note_emptied(&mut self, node: &str, present: ReplicaId) {
+    pub fn record_empty_storage(&mut self, node: &str, present: ReplicaId) {
         let voters = self.membership.voters.iter();
         let former = voters.filter(|(id, of)| of.as_str() == node && **id != present);
         let former: Vec<ReplicaId> = former.map(|(id, _)| *id).collect();
@@ -229,7 +229,7 @@
     /// Begins to hand leadership over: takes no more proposals and asks a follower that holds
     /// the whole log to take over, as soon as one does. Entries under way would else leave
     /// nobody to ask. False where this replica does not lead or no other one votes.
-    pub fn hand_over(&mut self) -> bool {
+    pub fn transfer_leadership(&mut self) -> bool {
         let is_other_voter = |id: &ReplicaId| *id != self.id && self.membership.is_voter(*id);
         if self.role != Role::Leader || !self.progress.keys().any(is_other_voter) {
             return false;
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -23,7 +23,9 @@
 pub use config::ConsensusConfig;
 pub use freshness::Freshness;
 pub use log::{Entry, HardState, Index, Payload, ReplicatedLog, Snapshot, SnapshotMeta, Term};
-pub use membership::{next_membership, without_silent, JoinRequest, Membership, ReplicaId};
+pub use membership::{
+    next_membership, without_unreachable_voter, JoinRequest, Membership, ReplicaId,
+};
 pub use message::{Message, MessageBody, Stamp};
 pub use output::{Output, ProposeError, Role, StoredState, WriteBatch};
 pub use replica::Replica;
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -115,7 +115,7 @@
 /// group bear more: an even number of voters bears no more losses than the odd
 /// one below it, so a silent voter of an even group only costs. A group of three
 /// or fewer is never made smaller, as a lost disk on top would end it.
-pub fn without_silent(
+pub fn without_unreachable_voter(
     current: &Membership,
     own: ReplicaId,
     is_silent: impl Fn(&str) -> bool,
--- a/crates/consensus/src/output.rs
+++ b/crates/consensus/src/output.rs
@@ -68,7 +68,7 @@
     /// This replica does not lead.
     NotLeader,
     /// This replica hands leadership over: another one leads in a moment.
-    HandingOver,
+    LeadershipTransferInProgress,
     /// A membership change is under way.
     MembershipPending,
 }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -285,7 +285,7 @@
     fn may_propose(&self) -> Result<(), ProposeError> {
         match (self.role, &self.hand_over) {
             (Role::Leader, None) => Ok(()),
-            (Role::Leader, Some(_)) => Err(ProposeError::HandingOver),
+            (Role::Leader, Some(_)) => Err(ProposeError::LeadershipTransferInProgress),
             _ => Err(ProposeError::NotLeader),
         }
     }
--- a/crates/consensus/tests/hand_over.rs
+++ b/crates/consensus/tests/hand_over.rs
@@ -32,7 +32,7 @@
         step_with_entry(&mut group);
     }
     let replica = group.replicas.get_mut(&leader).expect("it is there");
-    replica.hand_over();
+    replica.transfer_leadership();
     let handed_over_at = group.now;
     // The process exits a little later; what it sent until then arrives.
     for _ in 0..30 + steps_after_exit {
--- a/crates/consensus/tests/replica.rs
+++ b/crates/consensus/tests/replica.rs
@@ -2,9 +2,9 @@
 //! faults are simulated in `silversail-simulation`.
 
 use silversail_consensus::{
-    next_membership, without_silent, ConsensusConfig, Entry, HardState, JoinRequest, Membership,
-    Message, MessageBody, Payload, ProposeError, Replica, ReplicaId, Role, Snapshot, SnapshotMeta,
-    StoredState,
+    next_membership, without_unreachable_voter, ConsensusConfig, Entry, HardState, JoinRequest,
+    Membership, Message, MessageBody, Payload, ProposeError, Replica, ReplicaId, Role, Snapshot,
+    SnapshotMeta, StoredState,
 };
 
 const CLUSTER: u64 = 9;
@@ -338,17 +338,26 @@
 fn a_silent_voter_of_an_even_group_goes_and_of_an_odd_or_small_one_stays() {
     let is_silent = |node: &str| node == "b";
     let four = members(&[(1, "a"), (2, "b"), (3, "c"), (4, "d")]);
-    let three = without_silent(&four, ReplicaId(1), is_silent).expect("smaller");
+    let three = without_unreachable_voter(&four, ReplicaId(1), is_silent).expect("smaller");
     assert_eq!(three, members(&[(1, "a"), (3, "c"), (4, "d")]));
-    assert_eq!(without_silent(&four, ReplicaId(1), |_| false), None);
+    assert_eq!(
+        without_unreachable_voter(&four, ReplicaId(1), |_| false),
+        None
+    );
     // A leader never takes itself out.
-    assert_eq!(without_silent(&four, ReplicaId(2), is_silent), None);
+    assert_eq!(
+        without_unreachable_voter(&four, ReplicaId(2), is_silent),
+        None
+    );
     for group in [
         members(&[(1, "a"), (2, "b")]),
         members(&[(1, "a"), (2, "b"), (3, "c")]),
         members(&[(1, "a"), (2, "b"), (3, "c"), (4, "d"), (5, "e")]),
     ] {
-        assert_eq!(without_silent(&group, ReplicaId(1), is_silent), None);
+        assert_eq!(
+            without_unreachable_voter(&group, ReplicaId(1), is_silent),
+            None
+        );
     }
 }
 
@@ -386,10 +395,10 @@
 #[test]
 fn a_leader_with_entries_under_way_hands_over_once_a_follower_holds_them() {
     let mut one = leader_with_entry_under_way();
-    assert!(one.hand_over());
+    assert!(one.transfer_leadership());
     assert_eq!(asked_to_take_over(&mut one), [0; 0]);
     let refused = one.propose(b"later".to_vec(), 2_001);
-    assert_eq!(refused, Err(ProposeError::HandingOver));
+    assert_eq!(refused, Err(ProposeError::LeadershipTransferInProgress));
     one.step(message(3, 1, 2, accepted(one.last_index())), 2_002);
     assert_eq!(asked_to_take_over(&mut one), [3]);
     one.step(message(2, 1, 2, accepted(one.last_index())), 2_003);
@@ -399,7 +408,7 @@
 #[test]
 fn a_request_to_take_over_that_was_lost_is_sent_again_to_the_same_voter() {
     let mut one = leader_with_entry_under_way();
-    one.hand_over();
+    one.transfer_leadership();
     one.step(message(3, 1, 2, accepted(one.last_index())), 2_002);
     one.step(message(2, 1, 2, accepted(one.last_index())), 2_003);
     one.take_output();
@@ -410,7 +419,7 @@
 #[test]
 fn a_leader_from_which_nobody_takes_over_steps_down_and_answers_no_reads_until_then() {
     let mut one = leader_with_entry_under_way();
-    one.hand_over();
+    one.transfer_leadership();
     let timeout = ConsensusConfig::default().election_timeout;
     for now in [2_001, 2_200, 2_000 + timeout - 1] {
         one.step(message(3, 1, 2, accepted(1)), now);
@@ -429,6 +438,6 @@
     one.take_output();
     one.on_synced(5_000);
     assert_eq!(one.role(), Role::Leader);
-    assert!(!one.hand_over());
+    assert!(!one.transfer_leadership());
     assert!(one.propose(b"entry".to_vec(), 5_001).is_ok());
 }
--- a/crates/consensus/tests/starts.rs
+++ b/crates/consensus/tests/starts.rs
@@ -53,7 +53,7 @@
     let mut group = Group::start(&[(1, 0), (2, 0), (3, 0)]);
     group.replicas.remove(&3);
     for replica in group.replicas.values_mut() {
-        replica.note_emptied("n3", ReplicaId(77));
+        replica.record_empty_storage("n3", ReplicaId(77));
     }
     let (leader, at) = group.wait_for_leader(200).expect("a leader");
     assert_eq!((leader, at <= 100), (2, true), "after {at} ms");
@@ -67,7 +67,7 @@
     }
     for node in ["n2", "n3"] {
         let replica = group.replicas.get_mut(&1).expect("the replica");
-        replica.note_emptied(node, ReplicaId(77));
+        replica.record_empty_storage(node, ReplicaId(77));
     }
     assert_eq!(group.wait_for_leader(3_000), None);
 }
--- a/crates/daemon/src/replica/actor.rs
+++ b/crates/daemon/src/replica/actor.rs
@@ -190,7 +190,7 @@
         let now = self.now(cx);
         if let State::Member(replica) = &mut self.state {
             replica.tick(now);
-            replica.hand_over();
+            replica.transfer_leadership();
         }
         self.carry_out();
     }
--- a/crates/daemon/src/replica/joining.rs
+++ b/crates/daemon/src/replica/joining.rs
@@ -25,7 +25,7 @@
             FormationMessage::Probe { replica } => self.answer_probe(from, replica),
             FormationMessage::Emptied { replica } => {
                 if let State::Member(own) = &mut self.state {
-                    own.note_emptied(from.as_str(), replica);
+                    own.record_empty_storage(from.as_str(), replica);
                 }
             }
             FormationMessage::ProbeReply { replica, formed } => {
--- a/crates/daemon/src/replica/membership_changes.rs
+++ b/crates/daemon/src/replica/membership_changes.rs
@@ -2,7 +2,7 @@
 
 use crate::replica::actor::{ReplicaActor, State};
 use silversail_consensus::{
-    next_membership, without_silent, Membership, Millis, ReplicaId, Role, StateMachine,
+    next_membership, without_unreachable_voter, Membership, Millis, ReplicaId, Role, StateMachine,
 };
 
 /// A join request that is not repeated is forgotten after this time, in
@@ -52,7 +52,7 @@
                 is_silent,
             )
         });
-        let step = step.or_else(|| without_silent(&membership, replica.id(), is_silent));
+        let step = step.or_else(|| without_unreachable_voter(&membership, replica.id(), is_silent));
         drop(directory);
         // A learner that asks no more is a former identity, whose request came
         // late: it would stay for ever.
--- a/crates/daemon/src/replica/proposals.rs
+++ b/crates/daemon/src/replica/proposals.rs
@@ -17,7 +17,7 @@
             State::Member(replica) => match replica.propose(command, now) {
                 Ok(position) => Ok(position),
                 // Its successor is not known yet: whoever proposes asks again soon.
-                Err(ProposeError::HandingOver) => Err(None),
+                Err(ProposeError::LeadershipTransferInProgress) => Err(None),
                 Err(_) => Err(replica.leader()),
             },
         };
