--- a/crates/control/src/batch_owners.rs
+++ b/crates/control/src/batch_owners.rs
@@ -13,7 +13,7 @@
 pub type BatchOwners = BTreeMap<Shard, NodeName>;
 
 /// Back ends of one service, counted by zone.
-pub type MakersByZone = BTreeMap<String, usize>;
+pub type BackendsByZone = BTreeMap<String, usize>;
 
 /// More back ends than this are dealt to an owner a zone: all pieces pass their owner's link
 /// and processor.
@@ -32,7 +32,7 @@
 
 /// How the back ends of a service are dealt to owners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Dealing {
+pub enum ShardingMode {
     /// All to one.
     Whole,
     /// Those of each zone to one.
@@ -41,7 +41,7 @@
     ByRegion,
 }
 
-impl Dealing {
+impl ShardingMode {
     /// How the shards of a service are dealt now.
     fn of<'a>(shards: impl Iterator<Item = &'a Shard>) -> Self {
         let dealings = shards.map(|shard| match shard.place {
@@ -55,7 +55,7 @@
     }
 
     /// How a service with `makers` that is dealt as `present` is to be dealt.
-    fn next(present: Self, makers: &MakersByZone, topology: &Topology) -> Self {
+    fn next(present: Self, makers: &BackendsByZone, topology: &Topology) -> Self {
         let count: usize = makers.values().sum();
         let most_of_owner = match present {
             Self::Whole => MOST_MAKERS_OF_OWNER,
@@ -79,7 +79,7 @@
 
 /// A node that may own shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Candidate<'a> {
+pub struct OwnerCandidate<'a> {
     /// The node.
     pub node: &'a NodeName,
     /// Its zone.
@@ -97,7 +97,7 @@
 
 /// The node of `nodes` that comes first for `shard` by rendezvous hash: every node
 /// that asks about the same nodes names the same, and the shards are spread.
-pub fn first_for_shard<'a>(
+pub fn rendezvous_owner<'a>(
     nodes: impl Iterator<Item = &'a NodeName>,
     shard: &Shard,
 ) -> Option<&'a NodeName> {
@@ -112,7 +112,7 @@
 /// The shards of a service with `makers`, where it has those of `owners` now.
 fn shards_of(
     service: &str,
-    makers: Option<&MakersByZone>,
+    makers: Option<&BackendsByZone>,
     owners: &BatchOwners,
     topology: &Topology,
 ) -> BTreeSet<Shard> {
@@ -125,18 +125,18 @@
             false => kept,
         };
     };
-    let dealing = Dealing::next(Dealing::of(present), makers, topology);
+    let dealing = ShardingMode::next(ShardingMode::of(present), makers, topology);
     let shard_of = |zone: &String| match dealing {
-        Dealing::Whole => Shard::whole(service),
-        Dealing::ByRegion => Shard::in_region_of(service, zone, topology),
-        Dealing::ByZone => Shard::in_zone(service, zone),
+        ShardingMode::Whole => Shard::whole(service),
+        ShardingMode::ByRegion => Shard::in_region_of(service, zone, topology),
+        ShardingMode::ByZone => Shard::in_zone(service, zone),
     };
     makers.keys().map(shard_of).collect()
 }
 
 /// Which nodes may get a part of a service that has no owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum OwnerPlacement {
     /// Those in it that own no other shard, as long as there are nodes in it at all, which may
     /// not be usable yet. After a restart of all nodes the first view names one or two, which
     /// would keep all shards of all services else.
@@ -151,25 +151,25 @@
 /// nor owns another shard, where there is one.
 fn new_owner<'a>(
     shard: &Shard,
-    candidates: &[Candidate<'a>],
+    candidates: &[OwnerCandidate<'a>],
     taken: &BTreeSet<NodeName>,
-    reach: Reach,
+    reach: OwnerPlacement,
 ) -> Option<&'a NodeName> {
-    let first = |is_fit: &dyn Fn(&Candidate) -> bool| {
+    let first = |is_fit: &dyn Fn(&OwnerCandidate) -> bool| {
         let fit = candidates.iter().filter(|one| one.usable && is_fit(one));
-        first_for_shard(fit.map(|one| one.node), shard)
+        rendezvous_owner(fit.map(|one| one.node), shard)
     };
     if shard.is_whole() {
-        let is_free = |one: &Candidate| one.usable && !one.leads && !taken.contains(one.node);
+        let is_free = |one: &OwnerCandidate| one.usable && !one.leads && !taken.contains(one.node);
         let free = candidates.iter().filter(|one| is_free(one));
         let largest = free.map(|one| one.processor_percent).max();
-        let is_largest = |one: &Candidate| Some(one.processor_percent) == largest;
+        let is_largest = |one: &OwnerCandidate| Some(one.processor_percent) == largest;
         return first(&|one| is_free(one) && is_largest(one)).or_else(|| first(&|_| true));
     }
-    let is_near = |one: &Candidate| shard.holds(one.zone);
-    let is_free = |one: &Candidate| !one.replicates && !taken.contains(one.node);
+    let is_near = |one: &OwnerCandidate| shard.holds(one.zone);
+    let is_free = |one: &OwnerCandidate| !one.replicates && !taken.contains(one.node);
     let nearest = first(&|one| is_near(one) && is_free(one));
-    if reach == Reach::Near && candidates.iter().any(is_near) {
+    if reach == OwnerPlacement::Near && candidates.iter().any(is_near) {
         return nearest;
     }
     nearest
@@ -188,22 +188,22 @@
 pub fn assign(
     owners: &mut BatchOwners,
     services: &[String],
-    makers: &BTreeMap<String, MakersByZone>,
-    candidates: &[Candidate],
+    makers: &BTreeMap<String, BackendsByZone>,
+    candidates: &[OwnerCandidate],
     topology: &Topology,
 ) -> bool {
-    let reach = Reach::Anywhere;
-    assign_within(owners, services, makers, candidates, topology, reach)
+    let reach = OwnerPlacement::Anywhere;
+    assign_with_placement(owners, services, makers, candidates, topology, reach)
 }
 
 /// The same, where parts of services may have to wait for a node within `reach`.
-pub fn assign_within(
+pub fn assign_with_placement(
     owners: &mut BatchOwners,
     services: &[String],
-    makers: &BTreeMap<String, MakersByZone>,
-    candidates: &[Candidate],
+    makers: &BTreeMap<String, BackendsByZone>,
+    candidates: &[OwnerCandidate],
     topology: &Topology,
-    reach: Reach,
+    reach: OwnerPlacement,
 ) -> bool {
     let shards = services
         .iter()
--- a/crates/control/src/compression.rs
+++ b/crates/control/src/compression.rs
@@ -13,29 +13,29 @@
 ///
 /// # Errors
 /// What the library tells.
-pub fn pack(plain: &[u8]) -> io::Result<Vec<u8>> {
+pub fn compress(plain: &[u8]) -> io::Result<Vec<u8>> {
     zstd::bulk::compress(plain, LEVEL)
 }
 
-/// Unpacks what [`pack`] gave.
+/// Unpacks what [`compress`] gave.
 ///
 /// # Errors
 /// Where `packed` is damaged, or would take more than 64 MiB.
-pub fn unpack(packed: &[u8]) -> io::Result<Vec<u8>> {
+pub fn decompress(packed: &[u8]) -> io::Result<Vec<u8>> {
     zstd::bulk::decompress(packed, unpacked_size(packed)?)
 }
 
 /// Packs `plain` for a receiver that holds `base`: what both have in common takes next
 /// to nothing.
-pub fn pack_against(base: &[u8], plain: &[u8]) -> io::Result<Vec<u8>> {
+pub fn compress_against(base: &[u8], plain: &[u8]) -> io::Result<Vec<u8>> {
     let mut compressor = zstd::bulk::Compressor::with_dictionary(LEVEL, base)?;
     // Against another base the result would be another document, not an error.
     compressor.include_checksum(true)?;
     compressor.compress(plain)
 }
 
-/// Unpacks what [`pack_against`] gave for the same `base`.
-pub fn unpack_against(base: &[u8], packed: &[u8]) -> io::Result<Vec<u8>> {
+/// Unpacks what [`compress_against`] gave for the same `base`.
+pub fn decompress_against(base: &[u8], packed: &[u8]) -> io::Result<Vec<u8>> {
     let mut decompressor = zstd::bulk::Decompressor::with_dictionary(base)?;
     decompressor.decompress(packed, unpacked_size(packed)?)
 }
--- a/crates/control/src/control_state.rs
+++ b/crates/control/src/control_state.rs
@@ -4,7 +4,7 @@
 use crate::change::ChangeRequest;
 use crate::configuration_state::ConfigurationState;
 use crate::evacuation::{EvacuationOrder, SharedEvacuations};
-use crate::orders::{OrderBook, OrderCommand};
+use crate::orders::{OrderCommand, OrderTable};
 use crate::published::{publish, PublishReply, PublishedTraffic, SharedTraffic};
 use crate::rollouts::{RolloutCommand, SharedRollouts};
 use serde::{Deserialize, Serialize};
@@ -46,7 +46,7 @@
     /// The configuration.
     pub configuration: ConfigurationState,
     /// The orders.
-    pub orders: OrderBook,
+    pub orders: OrderTable,
     /// The traffic configuration in force, once there is one.
     pub published: Option<SharedTraffic>,
     /// The zones that get no new work.
@@ -108,7 +108,7 @@
     fn restore(&mut self, snapshot: &[u8]) -> bool {
         type Stored = (
             Vec<u8>,
-            OrderBook,
+            OrderTable,
             Option<PublishedTraffic>,
             SharedEvacuations,
             SharedRollouts,
--- a/crates/control/src/crash_table.rs
+++ b/crates/control/src/crash_table.rs
@@ -17,7 +17,7 @@
 
 /// A crash that nodes told of.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ToldCrash {
+pub struct ReportedCrash {
     /// The back end that ended.
     pub backend: String,
     /// When, by the leader's monotonic clock.
@@ -27,12 +27,12 @@
     /// The requests that broke off there.
     pub fingerprints: BTreeSet<RequestFingerprint>,
     /// The nodes that told of it.
-    pub told_by: BTreeSet<NodeName>,
+    pub reported_by: BTreeSet<NodeName>,
     /// Those of the requests that are committed.
     committed: BTreeSet<RequestFingerprint>,
 }
 
-impl ToldCrash {
+impl ReportedCrash {
     fn is_due(&self, now: Millis) -> bool {
         let has_settled = now.saturating_sub(self.told_at) >= SETTLES_AFTER;
         has_settled && self.fingerprints != self.committed
@@ -42,37 +42,37 @@
 /// Crashes that nodes told of lately. Held by the leader; a new leader has it within a heartbeat
 /// of all nodes, as these tell each crash for seconds.
 #[derive(Debug, Default)]
-pub struct SightingTable {
-    crashes: Vec<ToldCrash>,
-    ended_well: BTreeSet<RequestFingerprint>,
+pub struct CrashTable {
+    crashes: Vec<ReportedCrash>,
+    completed_requests: BTreeSet<RequestFingerprint>,
 }
 
-impl SightingTable {
+impl CrashTable {
     /// Takes in a heartbeat.
-    pub fn report(&mut self, report: &NodeReport, now: Millis) {
-        self.ended_well.extend(&report.ended_well);
+    pub fn record_report(&mut self, report: &NodeReport, now: Millis) {
+        self.completed_requests.extend(&report.completed_requests);
         for sighting in &report.crashes {
             let at = now.saturating_sub(sighting.age_ms);
             let crash = self.crash_of(&sighting.backend, at, now);
             crash.fingerprints.extend(&sighting.fingerprints);
-            crash.told_by.insert(report.node.clone());
+            crash.reported_by.insert(report.node.clone());
         }
     }
 
-    fn crash_of(&mut self, backend: &str, at: Millis, now: Millis) -> &mut ToldCrash {
+    fn crash_of(&mut self, backend: &str, at: Millis, now: Millis) -> &mut ReportedCrash {
         let is_same =
-            |one: &ToldCrash| one.backend == backend && one.at.abs_diff(at) < SAME_CRASH_WITHIN;
+            |one: &ReportedCrash| one.backend == backend && one.at.abs_diff(at) < SAME_CRASH_WITHIN;
         let position = self.crashes.iter().position(is_same);
         let position = position.unwrap_or_else(|| {
             if self.crashes.len() == MOST_HELD {
                 self.crashes.remove(0);
             }
-            self.crashes.push(ToldCrash {
+            self.crashes.push(ReportedCrash {
                 backend: backend.to_owned(),
                 at,
                 told_at: now,
                 fingerprints: BTreeSet::new(),
-                told_by: BTreeSet::new(),
+                reported_by: BTreeSet::new(),
                 committed: BTreeSet::new(),
             });
             self.crashes.len() - 1
@@ -81,7 +81,7 @@
     }
 
     /// Crashes of which something is to be committed.
-    pub fn due(&mut self, now: Millis) -> Vec<ToldCrash> {
+    pub fn uncommitted(&mut self, now: Millis) -> Vec<ReportedCrash> {
         self.crashes
             .retain(|one| now.saturating_sub(one.told_at) < HELD_FOR);
         let due = self.crashes.iter().filter(|one| one.is_due(now));
@@ -89,15 +89,15 @@
     }
 
     /// A crash is committed with the requests that were known of it.
-    pub fn committed(&mut self, crash: &ToldCrash) {
-        let is_same = |one: &&mut ToldCrash| one.backend == crash.backend && one.at == crash.at;
+    pub fn mark_committed(&mut self, crash: &ReportedCrash) {
+        let is_same = |one: &&mut ReportedCrash| one.backend == crash.backend && one.at == crash.at;
         if let Some(known) = self.crashes.iter_mut().find(is_same) {
             known.committed.extend(&crash.fingerprints);
         }
     }
 
     /// Takes the requests that got whole answers.
-    pub fn take_ended_well(&mut self) -> BTreeSet<RequestFingerprint> {
-        std::mem::take(&mut self.ended_well)
+    pub fn take_completed_requests(&mut self) -> BTreeSet<RequestFingerprint> {
+        std::mem::take(&mut self.completed_requests)
     }
 }
--- a/crates/control/src/evacuation.rs
+++ b/crates/control/src/evacuation.rs
@@ -28,7 +28,7 @@
     /// The revision that was known where the operator's call arrived. A copy of an order
     /// that was resent or delayed on its way must not undo an order acknowledged since:
     /// where the zones have changed after this revision, the order changes nothing.
-    pub seen: EvacuationRevision,
+    pub known_revision: EvacuationRevision,
 }
 
 /// What became of an order.
@@ -39,7 +39,7 @@
         /// The revision that says so.
         revision: EvacuationRevision,
     },
-    /// The zones changed since the order's `seen`: nothing was done. An operator who still
+    /// The zones changed since the order's `known_revision`: nothing was done. An operator who still
     /// waits gets the order proposed again on this revision.
     Outdated {
         /// The present revision.
@@ -70,7 +70,7 @@
         if self.contains(&order.zone) == order.evacuated {
             return EvacuationReply::InForce { revision };
         }
-        if order.seen != revision {
+        if order.known_revision != revision {
             return EvacuationReply::Outdated { revision };
         }
         match order.evacuated {
--- a/crates/control/src/evidence_table.rs
+++ b/crates/control/src/evidence_table.rs
@@ -61,11 +61,11 @@
 
 impl EvidenceTable {
     /// Takes in a heartbeat.
-    pub fn report(&mut self, report: &NodeReport, rollouts: &Rollouts) {
+    pub fn record_report(&mut self, report: &NodeReport, rollouts: &Rollouts) {
         for evidence in &report.evidence {
             let number = evidence.rollout;
             let is_in_progress = rollouts
-                .numbered(number)
+                .by_number(number)
                 .is_some_and(|rollout| rollout.is_in_progress());
             if is_in_progress {
                 let told = self.rollouts.entry(number).or_default();
@@ -75,7 +75,7 @@
     }
 
     /// Takes the live processes, and drops what was told of rollouts that have ended.
-    pub fn follow<'a>(
+    pub fn update_live_processes<'a>(
         &mut self,
         live: impl Iterator<Item = (&'a NodeName, u64)>,
         rollouts: &Rollouts,
@@ -88,7 +88,7 @@
             .map(|(node, incarnation)| (node.clone(), incarnation))
             .collect();
         self.rollouts.retain(|number, _| {
-            let rollout = rollouts.numbered(*number);
+            let rollout = rollouts.by_number(*number);
             rollout.is_some_and(|rollout| rollout.is_in_progress())
         });
     }
--- a/crates/control/src/membership_table.rs
+++ b/crates/control/src/membership_table.rs
@@ -1,6 +1,6 @@
 //! The leader's table of nodes, each with a lease renewed by its heartbeats.
 
-use crate::batch_owners::{self, BatchOwners, Candidate, MakersByZone, Reach};
+use crate::batch_owners::{self, BackendsByZone, BatchOwners, OwnerCandidate, OwnerPlacement};
 use crate::view::{merge_machine, ClusterView, MachineState, NodeReport, NodeStatus, ViewVersion};
 use silversail_consensus::Millis;
 use silversail_model::topology::Topology;
@@ -70,7 +70,7 @@
     /// Takes in a heartbeat. A report of a former process of the same node,
     /// held back on its way, does not displace the current one's lease: see
     /// [`NodeReport::incarnation`], which grows with each start.
-    pub fn report(&mut self, report: &NodeReport, now: Millis) {
+    pub fn record_report(&mut self, report: &NodeReport, now: Millis) {
         for machine in &report.machines {
             if merge_machine(&mut self.machines, machine) {
                 self.version.sequence += 1;
@@ -122,7 +122,7 @@
     pub fn assign_services(
         &mut self,
         services: &[String],
-        makers: &BTreeMap<String, MakersByZone>,
+        makers: &BTreeMap<String, BackendsByZone>,
         replicating: &[NodeName],
         leader: &NodeName,
         topology: &Topology,
@@ -132,13 +132,13 @@
             return;
         }
         let reach = match now < self.assigns_from + NEAR_ONLY_FOR {
-            true => Reach::Near,
-            false => Reach::Anywhere,
+            true => OwnerPlacement::Near,
+            false => OwnerPlacement::Anywhere,
         };
         let leases = self.leases.values();
         let staying = leases.filter(|lease| !lease.stopping);
-        let candidates: Vec<Candidate> = staying
-            .map(|lease| Candidate {
+        let candidates: Vec<OwnerCandidate> = staying
+            .map(|lease| OwnerCandidate {
                 node: &lease.status.node,
                 zone: &lease.status.zone,
                 replicates: replicating.contains(&lease.status.node),
@@ -147,7 +147,7 @@
                 usable: lease.status.usable,
             })
             .collect();
-        if batch_owners::assign_within(
+        if batch_owners::assign_with_placement(
             &mut self.batch_owners,
             services,
             makers,
--- a/crates/control/src/order_plan.rs
+++ b/crates/control/src/order_plan.rs
@@ -1,6 +1,6 @@
 //! Which orders bring the engines from what they hold to what is declared.
 
-use crate::orders::{OrderAction, OrderBook};
+use crate::orders::{OrderAction, OrderTable};
 use silversail_model::{Backend, BackendKind, BackendName, Configuration, Model};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,7 +8,7 @@
 
 /// Models that each engine said it holds; engines that said nothing lately are
 /// absent, and get no orders.
-pub type Holdings = BTreeMap<BackendName, BTreeSet<String>>;
+pub type LoadedModels = BTreeMap<BackendName, BTreeSet<String>>;
 
 /// An order to be issued.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -26,9 +26,9 @@
 /// by a hash that every node computes alike.
 pub fn target(
     configuration: &Configuration,
-    holdings: &Holdings,
+    holdings: &LoadedModels,
     is_leaving: impl Fn(&Backend) -> bool,
-) -> Holdings {
+) -> LoadedModels {
     let engines: Vec<&Backend> = configuration
         .backends
         .values()
@@ -36,7 +36,7 @@
         .filter(|backend| !backend.drain && !is_leaving(backend))
         .filter(|backend| holdings.contains_key(&backend.name))
         .collect();
-    let mut target: Holdings = engines
+    let mut target: LoadedModels = engines
         .iter()
         .map(|engine| (engine.name.clone(), BTreeSet::new()))
         .collect();
@@ -53,8 +53,8 @@
 fn choose(
     model: &Model,
     engines: &[&Backend],
-    holdings: &Holdings,
-    target: &Holdings,
+    holdings: &LoadedModels,
+    target: &LoadedModels,
 ) -> Vec<BackendName> {
     let room = |engine: &Backend| {
         let taken = target.get(&engine.name).map_or(0, BTreeSet::len);
@@ -92,8 +92,8 @@
 /// only to make room, or when enough other engines hold it.
 pub fn plan_orders(
     configuration: &Configuration,
-    holdings: &Holdings,
-    book: &OrderBook,
+    holdings: &LoadedModels,
+    book: &OrderTable,
     is_leaving: impl Fn(&Backend) -> bool,
 ) -> Vec<PlannedOrder> {
     let target = target(configuration, holdings, is_leaving);
@@ -102,7 +102,7 @@
         let Some(held) = holdings.get(backend) else {
             continue;
         };
-        if book.order_of(backend).is_some() {
+        if book.order_for(backend).is_some() {
             continue;
         }
         let slots = configuration
@@ -131,7 +131,12 @@
 }
 
 /// Whether all engines that shall hold `model` do, `except` one aside.
-fn is_covered(model: &str, except: &BackendName, target: &Holdings, holdings: &Holdings) -> bool {
+fn is_covered(
+    model: &str,
+    except: &BackendName,
+    target: &LoadedModels,
+    holdings: &LoadedModels,
+) -> bool {
     target
         .iter()
         .filter(|(backend, wanted)| *backend != except && wanted.contains(model))
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -62,12 +62,12 @@
 
 /// The outstanding orders, at most one for each engine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct OrderBook {
+pub struct OrderTable {
     outstanding: BTreeMap<BackendName, Order>,
     newest: OrderId,
 }
 
-impl OrderBook {
+impl OrderTable {
     /// Applies a command. Resends give the same answer.
     pub fn apply(&mut self, command: OrderCommand) -> OrderReply {
         match command {
@@ -99,7 +99,7 @@
     }
 
     /// The order outstanding at an engine.
-    pub fn order_of(&self, backend: &BackendName) -> Option<&Order> {
+    pub fn order_for(&self, backend: &BackendName) -> Option<&Order> {
         self.outstanding.get(backend)
     }
 }
--- a/crates/control/src/published.rs
+++ b/crates/control/src/published.rs
@@ -1,7 +1,7 @@
 //! The traffic configuration in the operator's version order: the highest
 //! version prevails, whatever order versions arrive in.
 
-use crate::packing;
+use crate::compression;
 use serde::{de, ser, Deserialize, Deserializer, Serialize, Serializer};
 use silversail_model::{TrafficConfiguration, TrafficVersion};
 use std::sync::Arc;
@@ -61,7 +61,7 @@
 
 impl Serialize for PublishedTraffic {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let packed = packing::pack(&self.encode()).map_err(ser::Error::custom)?;
+        let packed = compression::compress(&self.encode()).map_err(ser::Error::custom)?;
         packed.serialize(serializer)
     }
 }
@@ -69,7 +69,7 @@
 impl<'de> Deserialize<'de> for PublishedTraffic {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let packed = Vec::<u8>::deserialize(deserializer)?;
-        let plain = packing::unpack(&packed).map_err(de::Error::custom)?;
+        let plain = compression::decompress(&packed).map_err(de::Error::custom)?;
         Self::decode(&plain).ok_or_else(|| de::Error::custom("not a traffic configuration"))
     }
 }
--- a/crates/control/src/rollouts.rs
+++ b/crates/control/src/rollouts.rs
@@ -15,7 +15,7 @@
 /// How long after its end a rollout still answers a repeat of its order, in milliseconds, where
 /// it was rolled back: operators whose answer was lost repeat an order for some seconds. From
 /// then on the same order begins a new rollout.
-pub const REPEATED_WITHIN_MS: u64 = 10_000;
+pub const REPEATED_ORDER_WINDOW_MS: u64 = 10_000;
 
 /// Ended rollouts that are kept of services which the configuration does not name any more, so
 /// that a service which is left out for a while finds its version again.
@@ -42,7 +42,7 @@
         /// Number of the service's latest rollout that was known where the operator's call
         /// arrived; 0 for none. A copy of an order that comes late must not begin a second
         /// rollout.
-        seen: RolloutNumber,
+        known_number: RolloutNumber,
     },
     /// Nodes are to obey another directive.
     Advance {
@@ -81,7 +81,7 @@
     },
     /// The order is refused; nothing was done.
     Refused(OrderError),
-    /// The service had another rollout since the order's `seen`: nothing was done. An operator
+    /// The service had another rollout since the order's `known_number`: nothing was done. An operator
     /// who still waits gets the order proposed again on this number.
     Outdated {
         /// Number of the service's latest rollout.
@@ -100,7 +100,7 @@
     }
 
     /// The latest rollout of a service.
-    pub fn of_service(&self, service: &str) -> Option<&Rollout> {
+    pub fn latest_of_service(&self, service: &str) -> Option<&Rollout> {
         self.by_service.get(service)
     }
 
@@ -110,14 +110,17 @@
     }
 
     /// The rollout of this number, where it is the latest of its service.
-    pub fn numbered(&self, number: RolloutNumber) -> Option<&Rollout> {
+    pub fn by_number(&self, number: RolloutNumber) -> Option<&Rollout> {
         self.all().find(|rollout| rollout.number == number)
     }
 
     /// Applies a command. Commands may come twice and late.
     pub fn apply(&mut self, command: RolloutCommand) -> RolloutReply {
         match command {
-            RolloutCommand::Begin { order, seen } => self.begin(order, seen),
+            RolloutCommand::Begin {
+                order,
+                known_number,
+            } => self.begin(order, known_number),
             RolloutCommand::Advance {
                 number,
                 directive,
@@ -132,7 +135,7 @@
         }
     }
 
-    fn begin(&mut self, order: RolloutOrder, seen: RolloutNumber) -> RolloutReply {
+    fn begin(&mut self, order: RolloutOrder, known_number: RolloutNumber) -> RolloutReply {
         if let Some(latest) = self.by_service.get(&order.service) {
             let number = latest.number;
             let is_same_target = latest.order.target_version == order.target_version;
@@ -145,7 +148,7 @@
                     target_version: latest.order.target_version.clone(),
                 });
             }
-            if number > seen {
+            if number > known_number {
                 return RolloutReply::Outdated { number };
             }
         }
@@ -261,12 +264,12 @@
 }
 
 fn is_repeated(rollout: &Rollout, ended_at_ms: u64) -> bool {
-    rollout.elapsed_ms.saturating_sub(ended_at_ms) < REPEATED_WITHIN_MS
+    rollout.elapsed_ms.saturating_sub(ended_at_ms) < REPEATED_ORDER_WINDOW_MS
 }
 
 /// Whether the time since the order still matters: until the end, and then for as long as
 /// repeats of the order are answered.
-pub fn counts_time(rollout: &Rollout) -> bool {
+pub fn needs_elapsed_time(rollout: &Rollout) -> bool {
     match &rollout.state {
         RolloutState::InProgress(_) => true,
         RolloutState::Completed { .. } => false,
--- a/crates/control/src/traffic_update.rs
+++ b/crates/control/src/traffic_update.rs
@@ -1,6 +1,6 @@
 //! What brings a node from the traffic configuration that it holds to a newer one.
 
-use crate::packing;
+use crate::compression;
 use crate::published::{PublishedTraffic, SharedTraffic};
 use serde::{Deserialize, Serialize};
 use silversail_model::TrafficVersion;
@@ -56,7 +56,7 @@
 
 impl TrafficDifference {
     fn between(base: &PublishedTraffic, next: &PublishedTraffic) -> Option<Self> {
-        let packed = packing::pack_against(&base.encode(), &next.encode()).ok()?;
+        let packed = compression::compress_against(&base.encode(), &next.encode()).ok()?;
         Some(Self {
             base: base.version(),
             version: next.version(),
@@ -68,7 +68,7 @@
         let base = held
             .filter(|held| held.version() == self.base)
             .ok_or(UpdateError::OtherBase(self.base))?;
-        let plain = packing::unpack_against(&base.encode(), &self.packed)
+        let plain = compression::decompress_against(&base.encode(), &self.packed)
             .map_err(|_| UpdateError::Malformed)?;
         let next = PublishedTraffic::decode(&plain).ok_or(UpdateError::Malformed)?;
         match next.version() == self.version {
@@ -81,14 +81,14 @@
 /// The newest traffic configuration with what leads to it from the version before, made
 /// once for all nodes.
 #[derive(Debug, Default)]
-pub struct TrafficUpdates {
+pub struct TrafficUpdateCache {
     newest: Option<SharedTraffic>,
     difference: Option<Arc<TrafficDifference>>,
 }
 
-impl TrafficUpdates {
+impl TrafficUpdateCache {
     /// Takes what is in force now.
-    pub fn follow(&mut self, published: Option<&SharedTraffic>) {
+    pub fn set_latest(&mut self, published: Option<&SharedTraffic>) {
         let Some(next) = published else {
             return;
         };
@@ -102,7 +102,7 @@
     }
 
     /// What a node that holds `have` lacks; none when it lacks nothing.
-    pub fn since(&self, have: Option<TrafficVersion>) -> Option<TrafficUpdate> {
+    pub fn update_since(&self, have: Option<TrafficVersion>) -> Option<TrafficUpdate> {
         let newest = self.newest.as_ref()?;
         if have >= Some(newest.version()) {
             return None;
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -51,7 +51,7 @@
     /// Crashes of back ends that its process saw lately.
     pub crashes: Vec<CrashSighting>,
     /// Requests on that list that got a whole answer all the same.
-    pub ended_well: Vec<RequestFingerprint>,
+    pub completed_requests: Vec<RequestFingerprint>,
     /// Machines whose state the view lacks or has from an older list.
     pub machines: Vec<MachineState>,
 }
--- a/crates/control/src/view_update.rs
+++ b/crates/control/src/view_update.rs
@@ -38,7 +38,7 @@
 /// A difference can't be applied: the view held is not its base.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the view held, {held:?}, is not the base {base:?}")]
-pub struct ViewGap {
+pub struct ViewBaseMismatch {
     /// Version held.
     pub held: ViewVersion,
     /// Version needed.
@@ -70,13 +70,13 @@
     /// as new.
     ///
     /// # Errors
-    /// [`ViewGap`] where `held` is not the base.
-    pub fn applied_to(&self, held: &ClusterView) -> Result<Option<ClusterView>, ViewGap> {
+    /// [`ViewBaseMismatch`] where `held` is not the base.
+    pub fn apply_to(&self, held: &ClusterView) -> Result<Option<ClusterView>, ViewBaseMismatch> {
         if self.version <= held.version {
             return Ok(None);
         }
         if let Some(base) = self.base.filter(|base| *base != held.version) {
-            return Err(ViewGap {
+            return Err(ViewBaseMismatch {
                 held: held.version,
                 base,
             });
@@ -122,7 +122,7 @@
 
 impl ViewHistory {
     /// The view changed.
-    pub fn changed(&mut self, before: &ClusterView, after: &ClusterView) {
+    pub fn record_change(&mut self, before: &ClusterView, after: &ClusterView) {
         let old: BTreeMap<&NodeName, &NodeStatus> = before
             .nodes
             .iter()
@@ -148,7 +148,7 @@
 
     /// What leads from `held` to `present`, the view that the last step led to: a
     /// difference where the steps are remembered, else the whole view.
-    pub fn since(&self, held: ViewVersion, present: &ClusterView) -> ViewUpdate {
+    pub fn update_since(&self, held: ViewVersion, present: &ClusterView) -> ViewUpdate {
         let Some(first) = self.steps.iter().position(|step| step.from == held) else {
             return ViewUpdate::whole(present);
         };
--- a/crates/control/tests/evacuations.rs
+++ b/crates/control/tests/evacuations.rs
@@ -4,12 +4,17 @@
 use silversail_consensus::StateMachine;
 use silversail_control::{ControlCommand, ControlState, EvacuationOrder, EvacuationReply};
 
-fn order(state: &mut ControlState, zone: &str, evacuated: bool, seen: u64) -> EvacuationReply {
+fn order(
+    state: &mut ControlState,
+    zone: &str,
+    evacuated: bool,
+    known_revision: u64,
+) -> EvacuationReply {
     let zone = zone.to_owned();
     let order = EvacuationOrder {
         zone,
         evacuated,
-        seen,
+        known_revision,
     };
     let command = ControlCommand::Evacuate(order).encode();
     postcard::from_bytes(&state.apply(1, &command)).expect("a reply")
--- a/crates/control/tests/evidence_table.rs
+++ b/crates/control/tests/evidence_table.rs
@@ -12,7 +12,10 @@
         target_version: "v2".to_owned(),
         duration_ms: 12_000,
     };
-    rollouts.apply(RolloutCommand::Begin { order, seen: 0 });
+    rollouts.apply(RolloutCommand::Begin {
+        order,
+        known_number: 0,
+    });
     rollouts
 }
 
@@ -44,7 +47,7 @@
         evidence: vec![evidence],
         quarantine: None,
         crashes: Vec::new(),
-        ended_well: Vec::new(),
+        completed_requests: Vec::new(),
         machines: Vec::new(),
     }
 }
@@ -52,8 +55,8 @@
 /// A table in which nodes `a` and `b` are live as processes 1.
 fn table(rollouts: &Rollouts) -> EvidenceTable {
     let mut table = EvidenceTable::default();
-    table.report(&report("a", 1, evidence(1, 3, 4)), rollouts);
-    table.report(&report("b", 1, evidence(1, 5, 6)), rollouts);
+    table.record_report(&report("a", 1, evidence(1, 3, 4)), rollouts);
+    table.record_report(&report("b", 1, evidence(1, 5, 6)), rollouts);
     follow(&mut table, &[("a", 1), ("b", 1)], rollouts);
     table
 }
@@ -64,7 +67,7 @@
         .map(|(node, incarnation)| (NodeName::from(*node), *incarnation))
         .collect();
     let live = live.iter().map(|(node, incarnation)| (node, *incarnation));
-    table.follow(live, rollouts);
+    table.update_live_processes(live, rollouts);
 }
 
 fn bad(sum: &Evidence) -> u64 {
@@ -76,7 +79,7 @@
     let rollouts = rollouts();
     let mut table = table(&rollouts);
     for told in [evidence(1, 5, 6), evidence(1, 2, 9), evidence(0, 0, 0)] {
-        table.report(&report("b", 1, told), &rollouts);
+        table.record_report(&report("b", 1, told), &rollouts);
     }
     let sum = table.sum(1);
     assert_eq!((bad(&sum), sum.baseline_in_flight, sum.step), (8, 10, 1));
@@ -86,9 +89,9 @@
 fn counts_of_a_former_process_stay_and_its_work_does_not() {
     let rollouts = rollouts();
     let mut table = table(&rollouts);
-    table.report(&report("b", 2, evidence(2, 1, 0)), &rollouts);
+    table.record_report(&report("b", 2, evidence(2, 1, 0)), &rollouts);
     // Held back on its way.
-    table.report(&report("b", 1, evidence(1, 50, 6)), &rollouts);
+    table.record_report(&report("b", 1, evidence(1, 50, 6)), &rollouts);
     follow(&mut table, &[("a", 1), ("b", 2)], &rollouts);
     let sum = table.sum(1);
     assert_eq!((bad(&sum), sum.baseline_in_flight, sum.step), (9, 4, 1));
@@ -98,7 +101,7 @@
 fn counts_of_a_node_that_is_gone_stay() {
     let rollouts = rollouts();
     let mut table = table(&rollouts);
-    table.report(&report("a", 1, evidence(3, 3, 0)), &rollouts);
+    table.record_report(&report("a", 1, evidence(3, 3, 0)), &rollouts);
     follow(&mut table, &[("a", 1)], &rollouts);
     let sum = table.sum(1);
     assert_eq!((bad(&sum), sum.baseline_in_flight, sum.step), (8, 0, 3));
@@ -111,10 +114,10 @@
     let rollouts = rollouts();
     let mut table = table(&rollouts);
     assert!(table.is_in_force(1, 1));
-    table.report(&report("a", 1, evidence(2, 3, 4)), &rollouts);
+    table.record_report(&report("a", 1, evidence(2, 3, 4)), &rollouts);
     assert!(!table.is_in_force(1, 2));
     // A node that has just come and told nothing.
-    table.report(&report("b", 1, evidence(2, 5, 6)), &rollouts);
+    table.record_report(&report("b", 1, evidence(2, 5, 6)), &rollouts);
     assert!(table.is_in_force(1, 2));
     follow(&mut table, &[("a", 1), ("b", 1), ("c", 1)], &rollouts);
     assert!(!table.is_in_force(1, 2));
@@ -144,6 +147,6 @@
     });
     follow(&mut table, &[("a", 1), ("b", 1)], &rollouts);
     assert!(table.sum(1).routes.is_empty());
-    table.report(&report("a", 1, evidence(1, 9, 9)), &rollouts);
+    table.record_report(&report("a", 1, evidence(1, 9, 9)), &rollouts);
     assert!(table.sum(1).routes.is_empty());
 }
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -33,7 +33,7 @@
         evidence: Vec::new(),
         quarantine: None,
         crashes: Vec::new(),
-        ended_well: Vec::new(),
+        completed_requests: Vec::new(),
         machines: Vec::new(),
     }
 }
@@ -68,9 +68,9 @@
 #[test]
 fn a_lease_ends_without_heartbeats_and_a_former_process_does_not_renew_it() {
     let mut table = MembershipTable::new(1, &ClusterView::default(), 1_000, 0);
-    table.report(&report(2, false), 0);
+    table.record_report(&report(2, false), 0);
     assert_eq!(table.view().usable_nodes().count(), 1);
-    table.report(&report(1, false), 900);
+    table.record_report(&report(1, false), 900);
     table.expire(1_000);
     assert_eq!(table.view().nodes.len(), 0);
 }
@@ -78,9 +78,9 @@
 #[test]
 fn a_stopping_node_is_not_usable() {
     let mut table = MembershipTable::new(1, &ClusterView::default(), 1_000, 0);
-    table.report(&report(2, false), 0);
+    table.record_report(&report(2, false), 0);
     let before = table.version();
-    table.report(&report(2, true), 10);
+    table.record_report(&report(2, true), 10);
     assert_eq!(table.view().usable_nodes().count(), 0);
     assert!(table.version() > before);
 }
@@ -88,7 +88,7 @@
 #[test]
 fn a_new_leader_keeps_the_nodes_of_the_last_view_for_one_lease() {
     let mut first = MembershipTable::new(1, &ClusterView::default(), 1_000, 0);
-    first.report(&report(2, false), 0);
+    first.record_report(&report(2, false), 0);
     let mut second = MembershipTable::new(2, &first.view(), 1_000, 5_000);
     second.expire(5_500);
     assert_eq!(second.view().usable_nodes().count(), 1);
@@ -159,7 +159,7 @@
     let mut table = MembershipTable::new(1, &ClusterView::default(), 1_000, 0);
     let all = ["n1", "n2", "n3", "n4"];
     for node in all {
-        table.report(&report_of(node, false), 200);
+        table.record_report(&report_of(node, false), 200);
     }
     assign(&mut table, &services, 299);
     assert!(table.view().batch_owners.is_empty(), "it listens first");
@@ -171,14 +171,14 @@
     assert_eq!(table.version(), version);
     // One stops: only its services move, and they stay when it is back.
     let stopped = assigned[&Shard::whole("s1")].clone();
-    table.report(&report_of(stopped.as_str(), true), 1_200);
+    table.record_report(&report_of(stopped.as_str(), true), 1_200);
     assign(&mut table, &services, 1_200);
     let moved = table.view().batch_owners;
     assert!(moved.values().all(|owner| *owner != stopped));
     for (shard, owner) in &assigned {
         assert!(*owner == stopped || moved[shard] == *owner);
     }
-    table.report(&report_of(stopped.as_str(), false), 1_300);
+    table.record_report(&report_of(stopped.as_str(), false), 1_300);
     assign(&mut table, &services, 1_300);
     assert_eq!(table.view().batch_owners, moved);
     // The next leader keeps them.
@@ -197,7 +197,7 @@
     let tell = |table: &mut MembershipTable, serving: bool, stopping: &str, now| {
         for node in ["n1", "n2", "n3", "n4"] {
             let told = report_of(node, node == stopping);
-            table.report(&NodeReport { serving, ..told }, now);
+            table.record_report(&NodeReport { serving, ..told }, now);
         }
         table.assign_services(
             &services,
@@ -232,7 +232,7 @@
                 zone: node[..1].to_owned(),
                 ..report_of(node, false)
             };
-            table.report(&told, now);
+            table.record_report(&told, now);
         }
         let topology = Topology::default();
         table.assign_services(&services, &makers, &[], &"n0".into(), &topology, now);
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 use silversail_control::{
-    plan_orders, Holdings, Order, OrderAction, OrderBook, OrderCommand, OrderId, OrderReply,
+    plan_orders, LoadedModels, Order, OrderAction, OrderCommand, OrderId, OrderReply, OrderTable,
 };
 use silversail_model::{Configuration, ConfigurationDocument};
 
@@ -24,7 +24,7 @@
         .expect("it is valid")
 }
 
-fn holdings(held: &[&[&str]]) -> Holdings {
+fn holdings(held: &[&[&str]]) -> LoadedModels {
     held.iter()
         .enumerate()
         .map(|(number, models)| {
@@ -42,7 +42,7 @@
     plan_orders(
         configuration,
         &holdings(held),
-        &OrderBook::default(),
+        &OrderTable::default(),
         |backend| backend.name.as_str() == leaving,
     )
     .into_iter()
@@ -102,7 +102,7 @@
 
 #[test]
 fn one_order_at_an_engine_and_none_with_an_older_fence() {
-    let mut book = OrderBook::default();
+    let mut book = OrderTable::default();
     let mut issue = |order: &Order| book.apply(OrderCommand::Issue(order.clone()));
     let first = order(2, 1, "e0");
     assert_eq!(issue(&first), OrderReply::Issued);
--- a/crates/control/tests/quarantine.rs
+++ b/crates/control/tests/quarantine.rs
@@ -1,7 +1,7 @@
 //! Crashes as the leader puts them together and commits them.
 
 use silversail_consensus::StateMachine;
-use silversail_control::{ControlCommand, ControlState, NodeReport, SightingTable};
+use silversail_control::{ControlCommand, ControlState, CrashTable, NodeReport};
 use silversail_model::{ContentDigest, NodeName, RequestFingerprint};
 use silversail_quarantine::{CrashRecord, CrashSighting, Limits, QuarantineCommand};
 use std::collections::BTreeSet;
@@ -33,37 +33,37 @@
                 fingerprints: vec![request(name)],
             })
             .collect(),
-        ended_well: Vec::new(),
+        completed_requests: Vec::new(),
         machines: Vec::new(),
     }
 }
 
 #[test]
 fn what_several_nodes_tell_of_a_crash_is_committed_together_once_it_has_settled() {
-    let mut table = SightingTable::default();
-    table.report(&report("n1", &[("e1", 10, "a")]), 1_000);
-    table.report(&report("n2", &[("e1", 90, "b")]), 1_100);
-    assert!(table.due(1_150).is_empty());
-    let due = table.due(1_200);
+    let mut table = CrashTable::default();
+    table.record_report(&report("n1", &[("e1", 10, "a")]), 1_000);
+    table.record_report(&report("n2", &[("e1", 90, "b")]), 1_100);
+    assert!(table.uncommitted(1_150).is_empty());
+    let due = table.uncommitted(1_200);
     assert_eq!(due.len(), 1);
     let expected: BTreeSet<RequestFingerprint> = [request("a"), request("b")].into();
     assert_eq!(due[0].fingerprints, expected);
-    assert_eq!(due[0].told_by.len(), 2);
-    table.committed(&due[0]);
-    assert!(table.due(1_300).is_empty());
+    assert_eq!(due[0].reported_by.len(), 2);
+    table.mark_committed(&due[0]);
+    assert!(table.uncommitted(1_300).is_empty());
     // Told again, it is committed; with another request, that is news.
-    table.report(&report("n1", &[("e1", 400, "a")]), 1_390);
-    assert!(table.due(1_400).is_empty());
-    table.report(&report("n3", &[("e1", 400, "c")]), 1_400);
-    assert_eq!(table.due(1_400).len(), 1);
+    table.record_report(&report("n1", &[("e1", 400, "a")]), 1_390);
+    assert!(table.uncommitted(1_400).is_empty());
+    table.record_report(&report("n3", &[("e1", 400, "c")]), 1_400);
+    assert_eq!(table.uncommitted(1_400).len(), 1);
 }
 
 #[test]
 fn a_back_end_that_ends_again_is_another_crash() {
-    let mut table = SightingTable::default();
-    table.report(&report("n1", &[("e1", 0, "a")]), 10_000);
-    table.report(&report("n1", &[("e1", 0, "a")]), 13_500);
-    assert_eq!(table.due(14_000).len(), 2);
+    let mut table = CrashTable::default();
+    table.record_report(&report("n1", &[("e1", 0, "a")]), 10_000);
+    table.record_report(&report("n1", &[("e1", 0, "a")]), 13_500);
+    assert_eq!(table.uncommitted(14_000).len(), 2);
 }
 
 #[test]
--- a/crates/control/tests/rollouts.rs
+++ b/crates/control/tests/rollouts.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use silversail_consensus::StateMachine;
-use silversail_control::rollouts::REPEATED_WITHIN_MS;
+use silversail_control::rollouts::REPEATED_ORDER_WINDOW_MS;
 use silversail_control::{ControlCommand, ControlState, PublishedTraffic};
 use silversail_control::{RolloutCommand, RolloutReply};
 use silversail_model::traffic::{CallerLimits, ServiceSpec};
@@ -25,9 +25,15 @@
     }
 }
 
-fn begin(state: &mut ControlState, version: &str, seen: u64) -> RolloutReply {
+fn begin(state: &mut ControlState, version: &str, known_number: u64) -> RolloutReply {
     let order = order(SERVICE, version);
-    apply(state, RolloutCommand::Begin { order, seen })
+    apply(
+        state,
+        RolloutCommand::Begin {
+            order,
+            known_number,
+        },
+    )
 }
 
 fn directive(step: u32) -> Directive {
@@ -70,7 +76,10 @@
 }
 
 fn latest(state: &ControlState) -> &Rollout {
-    state.rollouts.of_service(SERVICE).expect("a rollout")
+    state
+        .rollouts
+        .latest_of_service(SERVICE)
+        .expect("a rollout")
 }
 
 fn in_force(number: u64) -> RolloutReply {
@@ -107,7 +116,13 @@
     let mut state = ControlState::default();
     for (position, service) in ["a", "b", "c"].into_iter().enumerate() {
         let order = order(service, "v2");
-        let reply = apply(&mut state, RolloutCommand::Begin { order, seen: 0 });
+        let reply = apply(
+            &mut state,
+            RolloutCommand::Begin {
+                order,
+                known_number: 0,
+            },
+        );
         assert_eq!(reply, in_force(position as u64 + 1));
     }
     end(&mut state, 2, rolled_back(500), 500);
@@ -118,7 +133,7 @@
 /// What ended as ordered, or a moment ago, answers the operator whose answer was lost.
 #[rstest]
 #[case::completed(completed(9_000), 3_600_000)]
-#[case::rolled_back_a_moment_ago(rolled_back(9_000), 9_000 + REPEATED_WITHIN_MS - 1)]
+#[case::rolled_back_a_moment_ago(rolled_back(9_000), 9_000 + REPEATED_ORDER_WINDOW_MS - 1)]
 fn a_repeat_after_the_end_begins_no_second_rollout(
     #[case] ended: RolloutState,
     #[case] elapsed_ms: u64,
@@ -142,7 +157,7 @@
     let mut state = ControlState::default();
     begin(&mut state, "v2", 0);
     end(&mut state, 1, rolled_back(9_000), 9_000);
-    let elapsed_ms = 9_000 + REPEATED_WITHIN_MS;
+    let elapsed_ms = 9_000 + REPEATED_ORDER_WINDOW_MS;
     let elapsed = RolloutCommand::Elapsed {
         number: 1,
         elapsed_ms,
@@ -282,7 +297,13 @@
     let names: Vec<String> = (0..300).map(|number| format!("s{number}")).collect();
     for (position, name) in names.iter().enumerate() {
         let order = order(name, "v2");
-        apply(&mut state, RolloutCommand::Begin { order, seen: 0 });
+        apply(
+            &mut state,
+            RolloutCommand::Begin {
+                order,
+                known_number: 0,
+            },
+        );
         if position != 5 {
             end(&mut state, position as u64 + 1, completed(10), 10);
         }
@@ -292,6 +313,6 @@
     publish(&mut state, 2, &names[..2]);
     assert!(state.rollouts.all().count() <= 70);
     for kept in ["s0", "s1", "s5", "s299"] {
-        assert!(state.rollouts.of_service(kept).is_some(), "{kept}");
+        assert!(state.rollouts.latest_of_service(kept).is_some(), "{kept}");
     }
 }
--- a/crates/control/tests/shards.rs
+++ b/crates/control/tests/shards.rs
@@ -1,7 +1,7 @@
 //! How a service's back ends are dealt to batching nodes.
 
 use rstest::rstest;
-use silversail_control::batch_owners::{assign, BatchOwners, Candidate, MakersByZone};
+use silversail_control::batch_owners::{assign, BackendsByZone, BatchOwners, OwnerCandidate};
 use silversail_model::topology::{RoundTrips, Topology};
 use silversail_model::{NodeName, Shard, ShardPlace};
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,8 +20,8 @@
     ZONES.into_iter().flat_map(of_zone).collect()
 }
 
-fn candidates(nodes: &[(NodeName, &'static str, bool)]) -> Vec<Candidate<'static>> {
-    let leaked = nodes.iter().map(|(node, zone, replicates)| Candidate {
+fn candidates(nodes: &[(NodeName, &'static str, bool)]) -> Vec<OwnerCandidate<'static>> {
+    let leaked = nodes.iter().map(|(node, zone, replicates)| OwnerCandidate {
         node: Box::leak(Box::new(node.clone())),
         zone,
         replicates: *replicates,
@@ -32,9 +32,9 @@
     leaked.collect()
 }
 
-fn makers(counts: [usize; 3]) -> BTreeMap<String, MakersByZone> {
+fn makers(counts: [usize; 3]) -> BTreeMap<String, BackendsByZone> {
     let zones = ZONES.into_iter().zip(counts);
-    let of_service: MakersByZone = zones
+    let of_service: BackendsByZone = zones
         .filter(|(_, count)| *count > 0)
         .map(|(zone, count)| (zone.to_owned(), count))
         .collect();
@@ -265,10 +265,10 @@
     let names: Vec<NodeName> = (0..20)
         .map(|number| NodeName(format!("n{number}")))
         .collect();
-    let candidates: Vec<Candidate> = names
+    let candidates: Vec<OwnerCandidate> = names
         .iter()
         .enumerate()
-        .map(|(number, node)| Candidate {
+        .map(|(number, node)| OwnerCandidate {
             node,
             zone: "a",
             replicates: number < 4,
--- a/crates/control/tests/traffic_updates.rs
+++ b/crates/control/tests/traffic_updates.rs
@@ -3,7 +3,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
-use silversail_control::{PublishedTraffic, TrafficUpdate, TrafficUpdates, UpdateError};
+use silversail_control::{PublishedTraffic, TrafficUpdate, TrafficUpdateCache, UpdateError};
 use silversail_model::traffic::{CallerLimits, PhaseSpec, Route, RouteKind, RouteTarget};
 use silversail_model::TrafficConfiguration;
 use std::sync::Arc;
@@ -72,14 +72,18 @@
 }
 
 /// Updates to a configuration of 2,000 routes in which one has changed.
-fn one_of_two_thousand() -> (Arc<PublishedTraffic>, Arc<PublishedTraffic>, TrafficUpdates) {
+fn one_of_two_thousand() -> (
+    Arc<PublishedTraffic>,
+    Arc<PublishedTraffic>,
+    TrafficUpdateCache,
+) {
     let before = Arc::new(published(7, routes(2_000)));
     let mut changed = routes(2_000);
     changed[999].timeout_ms = 5_000;
     let next = Arc::new(published(9, changed));
-    let mut updates = TrafficUpdates::default();
-    updates.follow(Some(&before));
-    updates.follow(Some(&next));
+    let mut updates = TrafficUpdateCache::default();
+    updates.set_latest(Some(&before));
+    updates.set_latest(Some(&next));
     (before, next, updates)
 }
 
@@ -87,7 +91,7 @@
 fn a_large_configuration_is_sent_packed() {
     let (_, next, updates) = one_of_two_thousand();
     assert!(next.document.len() > 500_000, "{}", next.document.len());
-    let whole = updates.since(None).expect("an update");
+    let whole = updates.update_since(None).expect("an update");
     assert!(size(&whole) < MOST_OF_WHOLE, "{} bytes", size(&whole));
     assert_eq!(whole.apply(None), Ok(next));
 }
@@ -95,7 +99,7 @@
 #[test]
 fn a_node_with_the_version_before_gets_what_changed() {
     let (before, next, updates) = one_of_two_thousand();
-    let update = updates.since(Some(7)).expect("an update");
+    let update = updates.update_since(Some(7)).expect("an update");
     assert!(size(&update) < MOST_OF_ONE_ROUTE, "{} bytes", size(&update));
     let bytes = postcard::to_stdvec(&update).expect("an encoding");
     let received: TrafficUpdate = postcard::from_bytes(&bytes).expect("an update");
@@ -107,7 +111,7 @@
 #[case::an_older(Some(6))]
 fn a_node_without_the_version_before_gets_the_whole(#[case] have: Option<u64>) {
     let (_, next, updates) = one_of_two_thousand();
-    let update = updates.since(have).expect("an update");
+    let update = updates.update_since(have).expect("an update");
     assert_eq!(update.apply(None), Ok(next));
 }
 
@@ -115,13 +119,13 @@
 #[case(9)]
 #[case(10)]
 fn a_node_that_is_current_gets_nothing(#[case] have: u64) {
-    assert_eq!(one_of_two_thousand().2.since(Some(have)), None);
+    assert_eq!(one_of_two_thousand().2.update_since(Some(have)), None);
 }
 
 #[test]
 fn what_changed_is_refused_on_any_other_version() {
     let (_, _, updates) = one_of_two_thousand();
-    let update = updates.since(Some(7)).expect("an update");
+    let update = updates.update_since(Some(7)).expect("an update");
     let other = Arc::new(published(8, routes(3)));
     assert_eq!(update.apply(None), Err(UpdateError::OtherBase(7)));
     assert_eq!(update.apply(Some(&other)), Err(UpdateError::OtherBase(7)));
@@ -130,7 +134,7 @@
 #[test]
 fn a_difference_on_other_content_of_the_same_version_is_refused() {
     let (_, _, updates) = one_of_two_thousand();
-    let update = updates.since(Some(7)).expect("an update");
+    let update = updates.update_since(Some(7)).expect("an update");
     let impostor = Arc::new(published(7, routes(3)));
     let applied = update.apply(Some(&impostor));
     assert_eq!(applied, Err(UpdateError::Malformed));
--- a/crates/control/tests/view_updates.rs
+++ b/crates/control/tests/view_updates.rs
@@ -3,7 +3,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use silversail_control::{
-    ClusterView, MachineState, NodeStatus, ViewGap, ViewHistory, ViewUpdate, ViewVersion,
+    ClusterView, MachineState, NodeStatus, ViewBaseMismatch, ViewHistory, ViewUpdate, ViewVersion,
 };
 use silversail_model::{NodeName, Shard};
 
@@ -33,7 +33,7 @@
 fn history(views: &[ClusterView]) -> ViewHistory {
     let mut history = ViewHistory::default();
     for pair in views.windows(2) {
-        history.changed(&pair[0], &pair[1]);
+        history.record_change(&pair[0], &pair[1]);
     }
     history
 }
@@ -45,16 +45,16 @@
         view(2, &[(1, true), (2, false), (3, true)]),
         view(3, &[(1, true), (2, false), (4, true)]),
     ];
-    let update = history(&views).since(views[0].version, &views[2]);
+    let update = history(&views).update_since(views[0].version, &views[2]);
     assert_eq!(update.nodes, [status(2, false), status(4, true)]);
     assert_eq!(update.gone, ["n003".into()]);
     assert_eq!(
         (update.machines.is_none(), update.batch_owners.is_none()),
         (true, true)
     );
-    assert_eq!(update.applied_to(&views[0]), Ok(Some(views[2].clone())));
+    assert_eq!(update.apply_to(&views[0]), Ok(Some(views[2].clone())));
     // It changes nothing where that is held.
-    assert_eq!(update.applied_to(&views[2]), Ok(None));
+    assert_eq!(update.apply_to(&views[2]), Ok(None));
 }
 
 /// A leader that is cut off goes on with its term; the next one starts from an older view.
@@ -66,13 +66,13 @@
     let cut_off = view(9, &[(1, true), (2, false)]);
     let mut next = view(2, &[(1, false), (2, true)]);
     next.version.term = 2;
-    let update = history(&[common.clone(), next.clone()]).since(common.version, &next);
-    assert_eq!(update.applied_to(&common), Ok(Some(next.clone())));
-    let gap = ViewGap {
+    let update = history(&[common.clone(), next.clone()]).update_since(common.version, &next);
+    assert_eq!(update.apply_to(&common), Ok(Some(next.clone())));
+    let gap = ViewBaseMismatch {
         held: cut_off.version,
         base: common.version,
     };
-    assert_eq!(update.applied_to(&cut_off), Err(gap));
+    assert_eq!(update.apply_to(&cut_off), Err(gap));
 }
 
 #[test]
@@ -82,21 +82,21 @@
         view(2, &[(2, true)]),
         view(3, &[(2, false)]),
     ];
-    let update = history(&views).since(views[1].version, &views[2]);
-    let gap = ViewGap {
+    let update = history(&views).update_since(views[1].version, &views[2]);
+    let gap = ViewBaseMismatch {
         held: views[0].version,
         base: views[1].version,
     };
-    assert_eq!(update.applied_to(&views[0]), Err(gap));
+    assert_eq!(update.apply_to(&views[0]), Err(gap));
 }
 
 #[test]
 fn a_node_that_holds_an_unknown_version_gets_the_whole_view() {
     let views = [view(7, &[(1, true)]), view(8, &[(2, true)])];
     let former = view(3, &[(9, true)]);
-    let update = history(&views).since(former.version, &views[1]);
+    let update = history(&views).update_since(former.version, &views[1]);
     assert_eq!(update, ViewUpdate::whole(&views[1]));
-    assert_eq!(update.applied_to(&former), Ok(Some(views[1].clone())));
+    assert_eq!(update.apply_to(&former), Ok(Some(views[1].clone())));
 }
 
 /// Relays and nodes miss some updates and get others twice or late.
@@ -139,20 +139,20 @@
                     list_version: sequence,
                 });
             }
-            history.changed(&made[made.len() - 1], &next);
+            history.record_change(&made[made.len() - 1], &next);
             made.push(next.clone());
-            late.push(history.since(held.version, &next));
+            late.push(history.update_since(held.version, &next));
             if random.gen_bool(0.5) {
                 let update = late.swap_remove(random.gen_range(0..late.len()));
-                if let Ok(Some(view)) = update.applied_to(&held) {
+                if let Ok(Some(view)) = update.apply_to(&held) {
                     held = view;
                     let as_made = made.iter().find(|one| one.version == held.version);
                     assert_eq!(as_made, Some(&held), "seed {seed}");
                 }
             }
         }
-        let update = history.since(held.version, &made[made.len() - 1]);
-        let last = update.applied_to(&held).expect("a base that is held");
+        let update = history.update_since(held.version, &made[made.len() - 1]);
+        let last = update.apply_to(&held).expect("a base that is held");
         assert_eq!(
             last.as_ref().unwrap_or(&held),
             &made[made.len() - 1],
@@ -168,6 +168,6 @@
     let mut after = all.clone();
     after[150].1 = false;
     let views = [view(1, &all), view(2, &after)];
-    let update = history(&views).since(views[0].version, &views[1]);
+    let update = history(&views).update_since(views[0].version, &views[1]);
     assert_eq!((update.nodes.len(), update.gone.len()), (1, 0));
 }
--- a/crates/daemon/src/evacuation.rs
+++ b/crates/daemon/src/evacuation.rs
@@ -98,7 +98,7 @@
         let order = EvacuationOrder {
             zone: pending.order.zone.clone(),
             evacuated: pending.order.evacuated,
-            seen,
+            known_revision: seen,
         };
         let command = ControlCommand::Evacuate(order).encode();
         let ret = ret_some_to!([cx], proposed(pending) as (ProposalOutcome));
--- a/crates/daemon/src/gateway/answers.rs
+++ b/crates/daemon/src/gateway/answers.rs
@@ -140,7 +140,7 @@
             return SurfaceReply::Unavailable(ResultCode::NotCurrent);
         }
         let rollouts = state.rollouts.as_ref();
-        match rollouts.and_then(|rollouts| rollouts.of_service(service)) {
+        match rollouts.and_then(|rollouts| rollouts.latest_of_service(service)) {
             Some(rollout) => SurfaceReply::Rollout(Box::new(rollout.clone())),
             None => SurfaceReply::Refused(ResultCode::NoRollout),
         }
--- a/crates/daemon/src/gateway/owners.rs
+++ b/crates/daemon/src/gateway/owners.rs
@@ -1,7 +1,7 @@
 //! Which node batches which shard, and which of those nodes give no sign.
 
 use silversail_consensus::Millis;
-use silversail_control::batch_owners::first_for_shard;
+use silversail_control::batch_owners::rendezvous_owner;
 use silversail_control::ClusterView;
 use silversail_model::{NodeName, Shard};
 use std::collections::BTreeMap;
@@ -46,7 +46,7 @@
     nodes.peek()?;
     let named = Some(assigned).filter(|node| view.is_usable(node) && !is_excluded(node));
     let others = nodes.filter(|node| !is_excluded(node));
-    let owner = named.or_else(|| first_for_shard(others, shard));
+    let owner = named.or_else(|| rendezvous_owner(others, shard));
     Some(owner.unwrap_or(own).clone())
 }
 
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -15,8 +15,8 @@
 use silversail_backend::{CallFailure, EngineLoad};
 use silversail_consensus::Millis;
 use silversail_control::{
-    plan_orders, ControlCommand, ControlState, Holdings, Order, OrderAction, OrderCommand, OrderId,
-    OrderReply, PlannedOrder,
+    plan_orders, ControlCommand, ControlState, LoadedModels, Order, OrderAction, OrderCommand,
+    OrderId, OrderReply, PlannedOrder,
 };
 use silversail_model::BackendName;
 use stakker::{after, call, ret_nop, ret_some_to, Actor, CX};
@@ -140,7 +140,7 @@
         status.is_leader && age.is_some_and(|age| age < self.setup.leader_lease)
     }
 
-    fn holdings(&self, now: Millis) -> Holdings {
+    fn holdings(&self, now: Millis) -> LoadedModels {
         self.reports
             .iter()
             .filter(|(_, report)| now.saturating_sub(report.at) < REPORT_VALID_FOR)
--- a/crates/daemon/src/quarantine/leader.rs
+++ b/crates/daemon/src/quarantine/leader.rs
@@ -6,7 +6,7 @@
 use crate::replica::{ProposalOutcome, ProposerActor, SharedStatus};
 use crate::session::SharedSightings;
 use silversail_consensus::Millis;
-use silversail_control::{ControlCommand, ControlState, ToldCrash};
+use silversail_control::{ControlCommand, ControlState, ReportedCrash};
 use silversail_decisions::{DecisionLog, Event as LogEvent};
 use silversail_model::RequestFingerprint;
 use silversail_quarantine::{
@@ -47,7 +47,7 @@
 
 /// What is being committed.
 pub(crate) struct Commit {
-    crashes: Vec<ToldCrash>,
+    crashes: Vec<ReportedCrash>,
 }
 
 /// Commits crashes and whole answers.
@@ -75,7 +75,7 @@
             return;
         }
         let now = self.setup.clock.millis(cx.now());
-        let ended_well = self.setup.sightings.borrow_mut().take_ended_well();
+        let ended_well = self.setup.sightings.borrow_mut().take_completed_requests();
         if !ended_well.is_empty() {
             let command = QuarantineCommand::EndedWell {
                 fingerprints: ended_well.into_iter().collect(),
@@ -84,7 +84,7 @@
             self.commit(cx, command, Vec::new());
             return;
         }
-        let due = self.setup.sightings.borrow_mut().due(now);
+        let due = self.setup.sightings.borrow_mut().uncommitted(now);
         if !due.is_empty() {
             let crashes = due.iter().map(|crash| self.record_of(crash)).collect();
             let command = QuarantineCommand::Crashed {
@@ -97,7 +97,7 @@
         self.expire_if_due(cx, now);
     }
 
-    fn record_of(&self, crash: &ToldCrash) -> CrashRecord {
+    fn record_of(&self, crash: &ReportedCrash) -> CrashRecord {
         CrashRecord {
             backend: crash.backend.clone(),
             at_ms: self.setup.clock.unix_millis(crash.at),
@@ -120,7 +120,7 @@
         }
     }
 
-    fn commit(&mut self, cx: CX![], command: QuarantineCommand, crashes: Vec<ToldCrash>) {
+    fn commit(&mut self, cx: CX![], command: QuarantineCommand, crashes: Vec<ReportedCrash>) {
         self.is_committing = true;
         let command = ControlCommand::Quarantine(command).encode();
         let commit = Commit { crashes };
@@ -140,7 +140,7 @@
             return;
         };
         for crash in &commit.crashes {
-            self.setup.sightings.borrow_mut().committed(crash);
+            self.setup.sightings.borrow_mut().mark_committed(crash);
             self.record_crash(crash);
         }
         for (fingerprint, crashes) in refused {
@@ -153,11 +153,15 @@
         }
     }
 
-    fn record_crash(&self, crash: &ToldCrash) {
+    fn record_crash(&self, crash: &ReportedCrash) {
         self.setup.log.record(LogEvent::CrashRecorded {
             backend: crash.backend.clone(),
             fingerprints: crash.fingerprints.iter().map(ToString::to_string).collect(),
-            told_by: crash.told_by.iter().map(|node| node.0.clone()).collect(),
+            told_by: crash
+                .reported_by
+                .iter()
+                .map(|node| node.0.clone())
+                .collect(),
         });
     }
 
--- a/crates/daemon/src/rollout/clocks.rs
+++ b/crates/daemon/src/rollout/clocks.rs
@@ -1,7 +1,7 @@
 //! How long ago rollouts were ordered, by this process's steady clock.
 
 use silversail_consensus::Millis;
-use silversail_control::rollouts::counts_time;
+use silversail_control::rollouts::needs_elapsed_time;
 use silversail_control::Rollouts;
 use silversail_rollout::RolloutNumber;
 use std::collections::BTreeMap;
@@ -25,10 +25,10 @@
     /// Takes in what is committed; a count that is behind it goes on from there.
     pub fn follow(&mut self, rollouts: &Rollouts, now: Millis) {
         self.readings.retain(|number, _| {
-            let rollout = rollouts.numbered(*number);
-            rollout.is_some_and(counts_time)
+            let rollout = rollouts.by_number(*number);
+            rollout.is_some_and(needs_elapsed_time)
         });
-        for rollout in rollouts.all().filter(|rollout| counts_time(rollout)) {
+        for rollout in rollouts.all().filter(|rollout| needs_elapsed_time(rollout)) {
             let committed = rollout.elapsed_ms;
             if self.elapsed(rollout.number, now) < Some(committed) {
                 let reading = Reading {
--- a/crates/daemon/src/rollout/leader.rs
+++ b/crates/daemon/src/rollout/leader.rs
@@ -9,7 +9,7 @@
 use crate::replica::{ProposalOutcome, ProposerActor, SharedStatus};
 use crate::session::{SharedEvidence, SharedNodeState};
 use silversail_consensus::Millis;
-use silversail_control::rollouts::counts_time;
+use silversail_control::rollouts::needs_elapsed_time;
 use silversail_control::{ControlCommand, ControlState, RolloutCommand, RolloutReply};
 use silversail_decisions::DecisionLog;
 use silversail_rollout::{Controller, Decision, Limits, Rollout, RolloutNumber, RolloutState};
@@ -156,7 +156,7 @@
         }
         leadership.elapsed_told_at = Some(now);
         let machine = self.setup.machine.borrow();
-        for rollout in machine.rollouts.all().filter(|one| counts_time(one)) {
+        for rollout in machine.rollouts.all().filter(|one| needs_elapsed_time(one)) {
             let number = rollout.number;
             let elapsed_ms = self.clocks.elapsed(number, now).unwrap_or_default();
             let command = RolloutCommand::Elapsed { number, elapsed_ms };
--- a/crates/daemon/src/rollout/orders.rs
+++ b/crates/daemon/src/rollout/orders.rs
@@ -155,7 +155,7 @@
     fn seen(&self, service: &str) -> RolloutNumber {
         let state = self.setup.state.borrow();
         let rollouts = state.rollouts.as_ref();
-        let latest = rollouts.and_then(|rollouts| rollouts.of_service(service));
+        let latest = rollouts.and_then(|rollouts| rollouts.latest_of_service(service));
         latest.map_or(0, |rollout| rollout.number)
     }
 
@@ -183,7 +183,7 @@
     fn propose(&mut self, cx: CX![], pending: Pending) {
         let command = RolloutCommand::Begin {
             order: pending.order.clone(),
-            seen: pending.seen,
+            known_number: pending.seen,
         };
         let command = ControlCommand::Rollout(command).encode();
         let ret = ret_some_to!([cx], proposed(pending) as (ProposalOutcome));
@@ -211,7 +211,7 @@
         let latest = {
             let state = self.setup.state.borrow();
             let rollouts = state.rollouts.as_ref();
-            rollouts.and_then(|rollouts| rollouts.of_service(&service).cloned())
+            rollouts.and_then(|rollouts| rollouts.latest_of_service(&service).cloned())
         };
         let Some(latest) = latest else {
             let problem = format!("service '{service}' never had a rollout");
--- a/crates/daemon/src/rollout/recording.rs
+++ b/crates/daemon/src/rollout/recording.rs
@@ -53,7 +53,7 @@
         elapsed: impl Fn(RolloutNumber) -> u64,
     ) {
         self.known
-            .retain(|number, _| rollouts.numbered(*number).is_some());
+            .retain(|number, _| rollouts.by_number(*number).is_some());
         for rollout in rollouts.all() {
             let former = self.known.insert(rollout.number, rollout.state.clone());
             if former.as_ref() == Some(&rollout.state) {
--- a/crates/daemon/src/session/node_state.rs
+++ b/crates/daemon/src/session/node_state.rs
@@ -137,7 +137,7 @@
 
     /// Takes in what changed of the view; true when that is news.
     pub fn update_view(&mut self, update: &ViewUpdate, now: Millis) -> bool {
-        match update.applied_to(&self.told_view) {
+        match update.apply_to(&self.told_view) {
             Ok(Some(view)) => self.take_view(view, now),
             Ok(None) => false,
             Err(gap) => {
--- a/crates/daemon/src/session/relay.rs
+++ b/crates/daemon/src/session/relay.rs
@@ -10,10 +10,10 @@
 use crate::session::relay_limits::AnnouncementBudget;
 use crate::session::relay_listing::HeldListing;
 use silversail_consensus::Millis;
-use silversail_control::batch_owners::MakersByZone;
+use silversail_control::batch_owners::BackendsByZone;
 use silversail_control::{
-    ClusterView, ControlState, EvacuationRevision, EvidenceTable, MembershipTable, NodeReport,
-    RolloutsRevision, SightingTable, TrafficUpdates, ViewHistory, ViewUpdate, ViewVersion,
+    ClusterView, ControlState, CrashTable, EvacuationRevision, EvidenceTable, MembershipTable,
+    NodeReport, RolloutsRevision, TrafficUpdateCache, ViewHistory, ViewUpdate, ViewVersion,
 };
 use silversail_model::{NodeName, Revision, Topology, TrafficVersion};
 use silversail_peer::{
@@ -36,7 +36,7 @@
 pub type SharedEvidence = Rc<RefCell<EvidenceTable>>;
 
 /// What nodes told of crashes, shared with the actor that commits it.
-pub type SharedSightings = Rc<RefCell<SightingTable>>;
+pub type SharedSightings = Rc<RefCell<CrashTable>>;
 
 /// What a relay is made of.
 pub struct RelaySetup {
@@ -86,14 +86,14 @@
     views: ViewHistory,
     pub(super) table: Option<(u64, MembershipTable)>,
     sent_version: ViewVersion,
-    traffic: TrafficUpdates,
+    traffic: TrafficUpdateCache,
     pub(super) listing: Option<HeldListing>,
     /// The listing's last changes, for nodes and relays that hold older ones.
     pub(super) listings: ListingUpdates,
     /// When relays that report another listing were last told.
     pub(super) told_listing_at: BTreeMap<NodeName, Millis>,
     /// Back ends of each service that are not leaving, by zone, as the listing tells.
-    pub(super) makers: BTreeMap<String, MakersByZone>,
+    pub(super) makers: BTreeMap<String, BackendsByZone>,
     pub(super) announcements: AnnouncementBudget,
 }
 
@@ -109,7 +109,7 @@
             views: ViewHistory::default(),
             table: None,
             sent_version: ViewVersion::default(),
-            traffic: TrafficUpdates::default(),
+            traffic: TrafficUpdateCache::default(),
             listing: None,
             listings: ListingUpdates::default(),
             told_listing_at: BTreeMap::new(),
@@ -162,12 +162,12 @@
         let mut evidence = self.setup.evidence.borrow_mut();
         let mut sightings = self.setup.sightings.borrow_mut();
         for report in reports.values() {
-            table.report(report, now);
-            evidence.report(report, &control.rollouts);
-            sightings.report(report, now);
+            table.record_report(report, now);
+            evidence.record_report(report, &control.rollouts);
+            sightings.record_report(report, now);
         }
         table.expire(now);
-        evidence.follow(table.processes(), &control.rollouts);
+        evidence.update_live_processes(table.processes(), &control.rollouts);
         let services = batched_services(&control);
         drop((control, evidence, sightings));
         let directory = self.setup.directory.borrow();
@@ -187,7 +187,7 @@
     /// Tells the relays what changed since the version `sent` before; one that missed it
     /// shows so with its next reports.
     fn send_to_relays(&mut self, sent: ViewVersion) {
-        let update = self.views.since(sent, &self.view);
+        let update = self.views.update_since(sent, &self.view);
         let mut outbox = self.setup.outbox.borrow_mut();
         let own = outbox.node().clone();
         let relays = self.setup.directory.borrow().replicating();
@@ -289,7 +289,7 @@
             Some(_) => machine.update_since(heartbeat.report.revision),
             None => None,
         };
-        let newer = age.and_then(|_| self.traffic.since(heartbeat.report.traffic));
+        let newer = age.and_then(|_| self.traffic.update_since(heartbeat.report.traffic));
         let evacuations = &control.evacuations;
         let lacks_evacuations = heartbeat.report.evacuations < Some(evacuations.revision());
         let rollouts = &control.rollouts;
@@ -310,7 +310,7 @@
             rollouts: (age.is_some() && lacks_rollouts).then(|| rollouts.clone()),
             quarantine_revision: quarantine.revision,
             quarantine: (age.is_some() && lacks_quarantine).then(|| quarantine.clone()),
-            view: wants_view.then(|| Box::new(self.views.since(heartbeat.view, &self.view))),
+            view: wants_view.then(|| Box::new(self.views.update_since(heartbeat.view, &self.view))),
             listing_age: self.listing.as_ref().map(|held| {
                 let age = now.saturating_sub(held.confirmed_at);
                 (held.listing.version, age)
@@ -332,7 +332,7 @@
         self.repair_listing(&from, listing, now);
         if self.table.is_some() && view < self.view.version {
             // The relay was away when the view changed, or the message was lost.
-            let message = SessionMessage::View(self.views.since(view, &self.view));
+            let message = SessionMessage::View(self.views.update_since(view, &self.view));
             self.setup
                 .outbox
                 .borrow_mut()
@@ -346,7 +346,7 @@
     /// The leader's view.
     pub fn view(&mut self, cx: CX![], update: ViewUpdate) {
         let now = self.now(cx);
-        match update.applied_to(&self.view) {
+        match update.apply_to(&self.view) {
             Ok(Some(view)) => self.take_view(view, now),
             Ok(None) => {}
             // The next reports tell the leader what is held here.
@@ -358,7 +358,7 @@
     /// at once, as orders wait for them.
     fn take_view(&mut self, view: ClusterView, now: Millis) {
         let has_other_owners = view.batch_owners != self.view.batch_owners;
-        self.views.changed(&self.view, &view);
+        self.views.record_change(&self.view, &view);
         self.view = view;
         if has_other_owners {
             self.push_view(now);
@@ -371,7 +371,7 @@
         let mut outbox = self.setup.outbox.borrow_mut();
         for (node, session) in &mut self.sessions {
             if now.saturating_sub(session.heard_at) <= SESSION_SILENCE {
-                let update = self.views.since(session.view, &self.view);
+                let update = self.views.update_since(session.view, &self.view);
                 let large = &mut session.large_updates;
                 if !large.may_send(UpdateKind::View, update.size(), now) {
                     continue;
@@ -394,7 +394,7 @@
 
     fn follow_traffic(&mut self) {
         let control = self.setup.machine.borrow();
-        self.traffic.follow(control.published.as_ref());
+        self.traffic.set_latest(control.published.as_ref());
     }
 
     /// The replicated configuration may have changed: nodes get it at once.
@@ -430,7 +430,7 @@
                 let message = SessionMessage::PushQuarantine(quarantine.clone());
                 outbox.send(node, PeerMessage::Session(message));
             }
-            if let Some(traffic) = self.traffic.since(session.traffic) {
+            if let Some(traffic) = self.traffic.update_since(session.traffic) {
                 session.traffic = Some(traffic.version());
                 let message = SessionMessage::PushTraffic(traffic);
                 outbox.send(node, PeerMessage::Session(message));
--- a/crates/daemon/src/session/relay_listing.rs
+++ b/crates/daemon/src/session/relay_listing.rs
@@ -5,7 +5,7 @@
 use crate::session::relay::SESSION_SILENCE;
 use crate::session::{ListingLease, RelayActor};
 use silversail_consensus::Millis;
-use silversail_control::batch_owners::MakersByZone;
+use silversail_control::batch_owners::BackendsByZone;
 use silversail_model::NodeName;
 use silversail_peer::{
     ListedInstance, ListedInstances, Listing, ListingUpdate, ListingVersion, PeerMessage,
@@ -171,8 +171,8 @@
 }
 
 /// Counts the back ends that are not leaving, by service and zone.
-fn makers_by_zone(entries: &ListedInstances) -> BTreeMap<String, MakersByZone> {
-    let mut makers: BTreeMap<String, MakersByZone> = BTreeMap::new();
+fn makers_by_zone(entries: &ListedInstances) -> BTreeMap<String, BackendsByZone> {
+    let mut makers: BTreeMap<String, BackendsByZone> = BTreeMap::new();
     for entry in entries.iter().filter(|entry| !entry.draining) {
         let of_service = makers.entry(entry.service.clone()).or_default();
         *of_service.entry(entry.zone.clone()).or_default() += 1;
--- a/crates/daemon/src/session/session_actor.rs
+++ b/crates/daemon/src/session/session_actor.rs
@@ -202,7 +202,7 @@
                     evidence: state.rollout_evidence.clone(),
                     quarantine: state.quarantine_revision(),
                     crashes: state.crash_news.sightings(now),
-                    ended_well: state.crash_news.ended_well(),
+                    completed_requests: state.crash_news.ended_well(),
                     machines: state.machines_unknown_to_view(),
                 },
                 view: state.told_view.version,
--- a/crates/daemon/tests/owners.rs
+++ b/crates/daemon/tests/owners.rs
@@ -1,7 +1,7 @@
 //! Which node batches a service, and what happens when it gives no sign.
 
 use rstest::rstest;
-use silversail_control::batch_owners::{assign, first_for_shard, Candidate};
+use silversail_control::batch_owners::{assign, rendezvous_owner, OwnerCandidate};
 use silversail_control::{ClusterView, NodeStatus, ViewVersion};
 use silversail_daemon::gateway::owners::{batch_owner, batch_owners, OwnerStep, OwnerWatch};
 use silversail_model::topology::Topology;
@@ -28,7 +28,7 @@
 /// A view in which the leader has assigned `services`.
 fn assigned(nodes: usize, services: &[String]) -> ClusterView {
     let mut view = view(nodes);
-    let candidates: Vec<Candidate> = view.nodes.iter().map(candidate).collect();
+    let candidates: Vec<OwnerCandidate> = view.nodes.iter().map(candidate).collect();
     assign(
         &mut view.batch_owners,
         services,
@@ -39,8 +39,8 @@
     view
 }
 
-fn candidate(status: &NodeStatus) -> Candidate<'_> {
-    Candidate {
+fn candidate(status: &NodeStatus) -> OwnerCandidate<'_> {
+    OwnerCandidate {
         node: &status.node,
         zone: &status.zone,
         replicates: false,
@@ -129,7 +129,7 @@
 fn the_owner_that_the_leader_named_is_taken_while_it_may_be_used() {
     let mut view = view(4);
     let names = view.nodes.iter().map(|status| &status.node);
-    let by_hash = first_for_shard(names, &Shard::whole("s"))
+    let by_hash = rendezvous_owner(names, &Shard::whole("s"))
         .expect("nodes")
         .clone();
     let named: NodeName = if by_hash == "n0".into() { "n1" } else { "n0" }.into();
--- a/crates/peer/src/listing_update.rs
+++ b/crates/peer/src/listing_update.rs
@@ -7,7 +7,7 @@
 use crate::listed_instances::ListedInstances;
 use crate::listing::{ListedInstance, Listing, ListingVersion, SharedListing};
 use serde::{Deserialize, Serialize};
-use silversail_control::packing;
+use silversail_control::compression;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -56,7 +56,7 @@
 
     fn packed(base: Option<ListingVersion>, version: ListingVersion, content: &Content) -> Self {
         let plain = postcard::to_stdvec(content).expect("encoding into memory does not fail");
-        let packed = packing::pack(&plain).expect("packing into memory does not fail");
+        let packed = compression::compress(&plain).expect("packing into memory does not fail");
         Self {
             base,
             version,
@@ -79,7 +79,8 @@
             (Some(base), Some(held)) if held.version == base => held.entries.clone(),
             (Some(base), _) => return Err(ListingUpdateError::OtherBase(base)),
         };
-        let plain = packing::unpack(&self.packed).map_err(|_| ListingUpdateError::Malformed)?;
+        let plain =
+            compression::decompress(&self.packed).map_err(|_| ListingUpdateError::Malformed)?;
         let content: Content =
             postcard::from_bytes(&plain).map_err(|_| ListingUpdateError::Malformed)?;
         for id in &content.gone {
--- a/crates/simulation/src/orders.rs
+++ b/crates/simulation/src/orders.rs
@@ -98,12 +98,12 @@
         let seen = {
             let state = node.state.borrow();
             let rollouts = state.rollouts.as_ref();
-            let latest = rollouts.and_then(|one| one.of_service(&order.service));
+            let latest = rollouts.and_then(|one| one.latest_of_service(&order.service));
             latest.map_or(0, |rollout| rollout.number)
         };
         let begin = RolloutCommand::Begin {
             order: order.clone(),
-            seen,
+            known_number: seen,
         };
         let acknowledged = self.rollouts.clone();
         propose(
@@ -133,7 +133,7 @@
         let order = EvacuationOrder {
             zone: zone.clone(),
             evacuated: true,
-            seen: seen.unwrap_or_default(),
+            known_revision: seen.unwrap_or_default(),
         };
         let acknowledged = self.zones.clone();
         propose(
@@ -186,7 +186,7 @@
             for one in self.rollouts.borrow().iter() {
                 let service = &one.order.service;
                 let rollouts = state.rollouts.as_ref();
-                let held = rollouts.and_then(|rollouts| rollouts.of_service(service));
+                let held = rollouts.and_then(|rollouts| rollouts.latest_of_service(service));
                 let is_kept = held.is_some_and(|held| {
                     let is_later = held.number > one.number;
                     is_later || (held.number == one.number && is_same(&held.order, &one.order))
@@ -232,7 +232,7 @@
     }
     let mut ended = former.all().filter(|rollout| !rollout.is_in_progress());
     let revived = ended.find(|rollout| {
-        let present = now.numbered(rollout.number);
+        let present = now.by_number(rollout.number);
         present.is_some_and(|present| present.state != rollout.state)
     })?;
     Some(format!("rollout {} goes on after its end", revived.number))
--- a/crates/simulation/tests/evacuations.rs
+++ b/crates/simulation/tests/evacuations.rs
@@ -36,7 +36,7 @@
     let order = EvacuationOrder {
         zone,
         evacuated,
-        seen,
+        known_revision: seen,
     };
     let command = ControlCommand::Evacuate(order).encode();
     let acknowledged = Rc::new(Cell::new(false));
--- a/crates/simulation/tests/rollouts/failures.rs
+++ b/crates/simulation/tests/rollouts/failures.rs
@@ -26,7 +26,7 @@
     let node = cluster.world.places[leader].node.as_ref().expect("runs");
     let machine = node.actors.control_state().expect("a voter");
     let machine = machine.borrow();
-    let rollout = machine.rollouts.of_service(SERVICE);
+    let rollout = machine.rollouts.latest_of_service(SERVICE);
     rollout.expect("a rollout").clone()
 }
 
--- a/crates/simulation/tests/rollouts/harness.rs
+++ b/crates/simulation/tests/rollouts/harness.rs
@@ -309,7 +309,7 @@
     pub fn held(&self, position: usize, service: &str) -> Option<Rollout> {
         let node = self.world.places[position].node.as_ref()?;
         let state = node.state.borrow();
-        state.rollouts.as_ref()?.of_service(service).cloned()
+        state.rollouts.as_ref()?.latest_of_service(service).cloned()
     }
 
     /// Whether a running node may send to candidates.
