--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -1,4 +1,4 @@
-//! Timing and size limits of a replica.
+//! Configuration of a replica: timing and size limits.
 
 use crate::Millis;
 
@@ -7,18 +7,17 @@
 pub struct ConsensusConfig {
     /// Interval between a leader's heartbeats, in milliseconds.
     pub heartbeat_interval: Millis,
-    /// Shortest silence after which a follower stands for election, in
-    /// milliseconds. Elections start between one and two times this.
+    /// Minimum time without leader contact before a follower starts an election, in milliseconds.
+    /// The actual timeout is random, between one and two times this value.
     pub election_timeout: Millis,
-    /// How long a quorum's acknowledgement lets a leader answer reads, in
-    /// milliseconds; shorter than `election_timeout` by the drift that clocks
-    /// may have against each other.
+    /// Time for which a quorum's acknowledgement allows a leader to answer reads, in milliseconds.
+    /// Must be shorter than `election_timeout` by the maximum clock drift between replicas.
     pub lease_duration: Millis,
-    /// Most entries in one append message.
+    /// Maximum number of entries in an append message.
     pub max_append_entries: usize,
-    /// Most bytes of commands in one append message, roughly.
+    /// Approximate maximum size of the commands in an append message, in bytes.
     pub max_append_bytes: usize,
-    /// Most append messages in flight to one follower.
+    /// Maximum number of unacknowledged append messages to a follower.
     pub max_in_flight: usize,
 }
 
@@ -36,7 +35,10 @@
 }
 
 impl ConsensusConfig {
-    /// Checks that the intervals keep the order that safety and liveness need.
+    /// Checks the relations between the values that safety and liveness require.
+    ///
+    /// # Errors
+    /// A message that names the invalid value.
     pub fn validate(&self) -> Result<(), String> {
         if self.heartbeat_interval == 0 || self.heartbeat_interval * 3 > self.election_timeout {
             return Err("election_timeout must be at least 3 heartbeat_interval".into());
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,9 +1,8 @@
 //! A replicated log as a pure state machine.
 //!
-//! A [`Replica`] is handed messages, ticks and the news of finished writes, and
-//! returns an [`Output`]: messages, writes and committed entries. It has no
-//! clock, no disk and no network of its own; time is a count of milliseconds
-//! of a local monotonic clock that the caller passes in.
+//! A [`Replica`] takes messages, clock ticks and notifications of completed writes, and returns
+//! an [`Output`] of messages, writes and committed entries. It performs no I/O and reads no
+//! clock; the caller passes in the milliseconds of a local monotonic clock.
 //!
 //! The algorithm is Raft (Ongaro and Ousterhout, 2014) with pre-votes, check
 //! quorum, leader leases, learners and one-at-a-time membership changes.
@@ -26,10 +25,10 @@
 pub use membership::{
     next_membership, without_unreachable_voter, JoinRequest, Membership, ReplicaId,
 };
-pub use message::{Message, MessageBody, Stamp};
+pub use message::{Message, MessageBody, ProcessTimestamp};
 pub use output::{Output, ProposeError, Role, StoredState, WriteBatch};
 pub use replica::Replica;
 pub use state_machine::StateMachine;
 
-/// Milliseconds of a local monotonic clock; comparable in one process only.
+/// Milliseconds of a local monotonic clock; comparable only within one process.
 pub type Millis = u64;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,21 +1,21 @@
-//! Entries, the state that must survive a restart, and the in-memory log.
+//! Log entries, persistent state and the in-memory log.
 
 use crate::membership::Membership;
 use serde::{Deserialize, Serialize};
 
-/// Position in the log; the first entry has index 1.
+/// Position of an entry in the log; the first entry has index 1.
 pub type Index = u64;
-/// Election term.
+/// Raft term; each term has at most one leader.
 pub type Term = u64;
 
-/// What an entry carries.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: a new leader's first entry.
+    /// No command: the first entry of a new leader, which commits entries of earlier terms.
     Noop,
-    /// A command of the state machine.
+    /// An encoded command for the state machine.
     Command(Vec<u8>),
-    /// A new membership, in force from the moment it is appended.
+    /// A new membership, which applies as soon as it is appended.
     Membership(Membership),
 }
 
@@ -23,37 +23,38 @@
     fn size(&self) -> usize {
         match self {
             Payload::Command(bytes) => bytes.len(),
+            // Approximate; these entries are small and rare.
             Payload::Noop | Payload::Membership(_) => 64,
         }
     }
 }
 
-/// One entry of the log.
+/// One entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Position.
+    /// Position in the log.
     pub index: Index,
     /// Term of the leader that created it.
     pub term: Term,
-    /// Content.
+    /// Command or membership change that the entry replicates.
     pub payload: Payload,
 }
 
-/// What a replica must not forget of elections.
+/// Election state that must survive a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// Highest term seen.
+    /// Highest term that the replica has seen.
     pub term: Term,
-    /// The replica voted for in that term.
+    /// The replica that got this replica's vote in that term.
     pub voted_for: Option<crate::ReplicaId>,
 }
 
-/// Where a snapshot stands.
+/// Position and membership of a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotMeta {
-    /// Cluster that the state belongs to; random, drawn when the group forms.
+    /// Cluster that the state belongs to; a random number generated when the group forms.
     pub cluster_id: u64,
-    /// Index of the last entry that it includes.
+    /// Index of the last entry that the snapshot includes.
     pub index: Index,
     /// Term of that entry.
     pub term: Term,
@@ -61,17 +62,16 @@
     pub membership: Membership,
 }
 
-/// The state machine's state at an index.
+/// The encoded state of the state machine at a log index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Where it stands.
+    /// Position and membership.
     pub meta: SnapshotMeta,
-    /// The encoded state.
+    /// State as encoded by [`crate::StateMachine::snapshot`].
     pub data: Vec<u8>,
 }
 
-/// The log in memory: entries after a base, the base being an entry that a
-/// snapshot covers.
+/// The in-memory log: the entries after a base entry, which a snapshot covers.
 #[derive(Clone, Debug)]
 pub struct ReplicatedLog {
     base_index: Index,
@@ -80,7 +80,7 @@
 }
 
 impl ReplicatedLog {
-    /// A log whose entries follow `base_index`.
+    /// Creates a log whose entries follow `base_index`.
     pub fn new(base_index: Index, base_term: Term, entries: Vec<Entry>) -> Self {
         Self {
             base_index,
@@ -89,24 +89,24 @@
         }
     }
 
-    /// Index of the last entry.
+    /// Index of the last entry, or of the base if the log is empty.
     pub fn last_index(&self) -> Index {
         self.base_index + self.entries.len() as Index
     }
 
-    /// Term of the last entry.
+    /// Term of the last entry, or of the base if the log is empty.
     pub fn last_term(&self) -> Term {
         self.entries
             .last()
             .map_or(self.base_term, |entry| entry.term)
     }
 
-    /// Index of the first entry held.
+    /// Index of the first entry that is not compacted.
     pub fn first_index(&self) -> Index {
         self.base_index + 1
     }
 
-    /// Term of the entry at `index`; none when it is compacted or beyond the end.
+    /// Term of the entry at `index`; `None` if it is compacted or beyond the end.
     pub fn term_at(&self, index: Index) -> Option<Term> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -114,27 +114,27 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// The entry at `index`, where held.
+    /// The entry at `index`; `None` if it is compacted or beyond the end.
     pub fn entry(&self, index: Index) -> Option<&Entry> {
         let offset = index.checked_sub(self.first_index())?;
         self.entries.get(offset as usize)
     }
 
-    /// Entries from `from` on, within both limits, at least one if there is any.
+    /// Entries starting at index `from`, up to both limits, but at least one if there is any.
     pub fn slice(&self, from: Index, max_entries: usize, max_bytes: usize) -> Vec<Entry> {
         let Some(offset) = from.checked_sub(self.first_index()) else {
             return Vec::new();
         };
         let mut bytes = 0;
-        let mut taken = Vec::new();
+        let mut selected = Vec::new();
         for entry in self.entries.iter().skip(offset as usize).take(max_entries) {
             bytes += entry.payload.size();
-            if bytes > max_bytes && !taken.is_empty() {
+            if bytes > max_bytes && !selected.is_empty() {
                 break;
             }
-            taken.push(entry.clone());
+            selected.push(entry.clone());
         }
-        taken
+        selected
     }
 
     /// Adds an entry at the end.
@@ -143,13 +143,13 @@
         self.entries.push(entry);
     }
 
-    /// Drops the entries from `index` on.
+    /// Removes the entry at `index` and all later ones.
     pub fn truncate_from(&mut self, index: Index) {
-        let keep = index.saturating_sub(self.first_index()) as usize;
-        self.entries.truncate(keep);
+        let retained_count = index.saturating_sub(self.first_index()) as usize;
+        self.entries.truncate(retained_count);
     }
 
-    /// Drops the entries up to and with `index`, which a snapshot covers.
+    /// Removes the entries up to and including `index`, which a snapshot covers.
     pub fn compact_to(&mut self, index: Index) {
         let Some(term) = self.term_at(index) else {
             return;
@@ -160,12 +160,12 @@
         self.base_term = term;
     }
 
-    /// Replaces everything by what a snapshot covers.
+    /// Empties the log and moves its base to the last entry of a snapshot.
     pub fn reset(&mut self, index: Index, term: Term) {
         *self = Self::new(index, term, Vec::new());
     }
 
-    /// The last membership in the entries after the base, with its index.
+    /// Latest membership among the entries after the base, with its index.
     pub fn last_membership(&self) -> Option<(Index, &Membership)> {
         self.entries
             .iter()
@@ -176,12 +176,12 @@
             })
     }
 
-    /// Number of entries held.
+    /// Number of entries after the base.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no entry is held.
+    /// Whether there are no entries after the base.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,45 +1,45 @@
-//! Who votes. A replica's identity is bound to its disk: an emptied disk comes
-//! back under a new identity and so can't vote with what it has forgotten.
+//! Group membership. A replica's identity is bound to its storage: a node that lost its storage
+//! returns with a new identity, so it cannot vote twice in a term.
 
 use crate::log::Index;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Identity of one replica's stored state; random, never reused.
+/// Identity of a replica and its stored state; a random number that is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId(pub u64);
 
-/// The members of a group, each with the name of the node it runs on.
+/// The members of a group with the names of the nodes that they run on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Replicas that vote and count for the quorum.
+    /// Replicas that vote and count towards the quorum.
     pub voters: BTreeMap<ReplicaId, String>,
-    /// Replicas that receive the log and do not count.
+    /// Replicas that receive the log without voting.
     pub learners: BTreeMap<ReplicaId, String>,
 }
 
 impl Membership {
-    /// Whether `replica` votes.
+    /// Whether `replica` is a voter.
     pub fn is_voter(&self, replica: ReplicaId) -> bool {
         self.voters.contains_key(&replica)
     }
 
-    /// Whether `replica` votes or learns.
+    /// Whether `replica` is a voter or a learner.
     pub fn contains(&self, replica: ReplicaId) -> bool {
         self.is_voter(replica) || self.learners.contains_key(&replica)
     }
 
-    /// Every member.
+    /// All voters and learners.
     pub fn members(&self) -> impl Iterator<Item = ReplicaId> + '_ {
         self.voters.keys().chain(self.learners.keys()).copied()
     }
 
-    /// How many voters make a quorum.
+    /// Number of voters in a quorum.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// The node that `replica` runs on.
+    /// Name of the node that `replica` runs on; `None` if it is not a member.
     pub fn node_of(&self, replica: ReplicaId) -> Option<&str> {
         self.voters
             .get(&replica)
@@ -47,42 +47,39 @@
             .map(String::as_str)
     }
 
-    /// The largest value that a quorum of voters has reached, where `value`
-    /// gives what each has reached.
+    /// The largest value that a quorum of voters has reached, where `value` returns the value of
+    /// each voter.
     pub fn quorum_value<T: Ord + Default + Copy>(&self, value: impl Fn(ReplicaId) -> T) -> T {
-        let mut reached: Vec<T> = self.voters.keys().map(|replica| value(*replica)).collect();
-        reached.sort_unstable_by(|left, right| right.cmp(left));
-        reached.get(self.quorum() - 1).copied().unwrap_or_default()
+        let mut values: Vec<T> = self.voters.keys().map(|replica| value(*replica)).collect();
+        values.sort_unstable_by(|left, right| right.cmp(left));
+        values.get(self.quorum() - 1).copied().unwrap_or_default()
     }
 }
 
-/// A replica that asks to become a member.
+/// Request of a replica to become a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JoinRequest {
-    /// Identity of the replica.
+    /// Identity of the joining replica.
     pub replica: ReplicaId,
-    /// Node that it runs on.
+    /// Name of the node that it runs on.
     pub node: String,
 }
 
-/// How far behind the commit index a learner may be to become a voter.
-pub const PROMOTION_LAG: Index = 64;
+/// Largest distance from the commit index, in entries, at which a learner may become a voter.
+pub const MAX_PROMOTION_LAG: Index = 64;
 
-/// The next single change of membership that brings the replica of `join` in
-/// as a voter in place of its node's former replica, or none when there is
-/// nothing to do yet.
+/// Returns the next single-member change on the way to making the replica of `join` a voter in
+/// place of its node's former replica, or `None` if there is nothing to do yet.
 ///
-/// Order: learner first; then, once it holds the log, the former replica goes,
-/// or, where the node is new, a voter whose node `is_silent`: a machine that is
-/// gone for good has a successor under another name, and must not go on counting.
-/// Then the learner becomes a voter. A quorum is never counted on a replica
-/// that lacks the log, and any two consecutive quorums share a voter, as each
-/// step changes one voter only.
+/// The replica is first added as a learner. Once it has the log, the former replica of its node
+/// is removed or, if the node is new, a voter whose node `is_unreachable`, as the new node replaces a
+/// lost one. Then the learner is promoted. A replica without the log never counts towards the
+/// quorum, and consecutive quorums share a voter, as each step changes a single voter.
 pub fn next_membership(
     current: &Membership,
     join: &JoinRequest,
     learner_lag: Option<Index>,
-    is_silent: impl Fn(&str) -> bool,
+    is_unreachable: impl Fn(&str) -> bool,
 ) -> Option<Membership> {
     if current.is_voter(join.replica) {
         return None;
@@ -93,14 +90,14 @@
         next.learners.insert(join.replica, join.node.clone());
         return Some(next);
     }
-    if learner_lag.is_none_or(|lag| lag > PROMOTION_LAG) {
+    if learner_lag.is_none_or(|lag| lag > MAX_PROMOTION_LAG) {
         return None;
     }
     let voters = current.voters.iter();
     let former = voters
         .clone()
         .find(|(_, node)| **node == join.node)
-        .or_else(|| voters.clone().find(|(_, node)| is_silent(node)))
+        .or_else(|| voters.clone().find(|(_, node)| is_unreachable(node)))
         .map(|(replica, _)| *replica);
     if let Some(former) = former {
         next.voters.remove(&former);
@@ -111,25 +108,24 @@
     Some(next)
 }
 
-/// The membership without a voter whose node `is_silent`, where that makes the
-/// group bear more: an even number of voters bears no more losses than the odd
-/// one below it, so a silent voter of an even group only costs. A group of three
-/// or fewer is never made smaller, as a lost disk on top would end it.
+/// Returns the membership without one voter whose node `is_unreachable`, if the number of voters is
+/// even: an even group tolerates no more failures than the next smaller odd one. Groups of three
+/// or fewer voters are not reduced, as they could not tolerate a further failure.
 pub fn without_unreachable_voter(
     current: &Membership,
     own: ReplicaId,
-    is_silent: impl Fn(&str) -> bool,
+    is_unreachable: impl Fn(&str) -> bool,
 ) -> Option<Membership> {
     let count = current.voters.len();
-    if count <= SMALLEST_SAFE || !count.is_multiple_of(2) {
+    if count <= MIN_FAULT_TOLERANT_VOTERS || !count.is_multiple_of(2) {
         return None;
     }
     let mut voters = current.voters.iter();
-    let silent = voters.find(|(replica, node)| **replica != own && is_silent(node))?;
+    let unreachable = voters.find(|(replica, node)| **replica != own && is_unreachable(node))?;
     let mut next = current.clone();
-    next.voters.remove(silent.0);
+    next.voters.remove(unreachable.0);
     Some(next)
 }
 
-/// Fewest voters that bear the loss of one.
-const SMALLEST_SAFE: usize = 3;
+/// Smallest number of voters that tolerates the failure of one.
+const MIN_FAULT_TOLERANT_VOTERS: usize = 3;
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -10,15 +10,15 @@
 pub struct Message {
     /// Sender.
     pub from: ReplicaId,
-    /// Receiver; a message for a former identity is dropped.
+    /// Receiver; a replica drops messages that are addressed to another identity.
     pub to: ReplicaId,
-    /// Sender's term; for pre-votes the term that it would stand in.
+    /// Sender's term; for pre-votes the term that the sender would enter as a candidate.
     pub term: Term,
-    /// Content.
+    /// Type of the message with its fields.
     pub body: MessageBody,
 }
 
-/// What a message says.
+/// Type of a [`Message`] with its fields.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
     /// Asks whether a vote would be granted.
@@ -27,16 +27,16 @@
         last_index: Index,
         /// Term of the sender's last entry.
         last_term: Term,
-        /// Whether the sender has heard no leader since it started.
+        /// Whether the sender has had no leader contact since it started.
         after_start: bool,
     },
     /// Answers a pre-vote.
     PreVoteReply {
         /// Whether the vote would be granted.
         granted: bool,
-        /// Whether the sender can't have acknowledged a leader within an election
-        /// timeout: it was up for that long and heard none.
-        is_unbound: bool,
+        /// Whether no leader's lease can depend on the sender: it has been running for an election
+        /// timeout without leader contact.
+        is_lease_free: bool,
     },
     /// Asks for a vote.
     Vote {
@@ -44,7 +44,7 @@
         last_index: Index,
         /// Term of the sender's last entry.
         last_term: Term,
-        /// Whether the leader itself asked for the election.
+        /// Whether the leader requested the election as part of a leadership transfer.
         forced: bool,
     },
     /// Answers a vote request, after the vote is synced.
@@ -61,51 +61,51 @@
         /// The entries.
         entries: Vec<Entry>,
         /// The leader's commit index.
-        commit: Index,
-        /// What the follower needs to know how old this message's state is.
+        commit_index: Index,
+        /// Lets the follower bound the age of the state in this message.
         freshness: LeaderFreshness,
     },
     /// Answers an append or a snapshot, after its entries are synced.
     AppendReply {
-        /// Whether the entries fit the follower's log.
+        /// Whether the entries matched the follower's log.
         accepted: bool,
-        /// Accepted: last index known equal to the leader's. Else: the index
-        /// from which the leader should try again.
+        /// If accepted, the last index known to match the leader's log; otherwise the index from
+        /// which the leader should retry.
         match_index: Index,
-        /// The round that this answers.
+        /// The heartbeat round that this reply acknowledges.
         round: u64,
-        /// The follower's process and clock when it sent this.
-        sent_at: Stamp,
+        /// The follower's clock when it sent this reply.
+        sent_at: ProcessTimestamp,
     },
-    /// Replaces a follower's state, when the entries it lacks are compacted.
+    /// Replaces a follower's state if the leader has compacted the entries that it lacks.
     InstallSnapshot {
-        /// The state.
+        /// The snapshot to install.
         snapshot: Snapshot,
-        /// The leader's round.
+        /// The leader's heartbeat round, returned in the reply.
         round: u64,
     },
-    /// Asks the receiver to stand for election at once: the leader is stopping.
+    /// Asks the receiver to start an election at once, to complete a leadership transfer.
     TimeoutNow,
 }
 
-/// Lets a follower date a leader's message on its own clock.
+/// Lets a follower convert the age of a leader's message to its own clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderFreshness {
-    /// The leader's round; echoed in the reply.
+    /// The leader's heartbeat round, returned in the reply.
     pub round: u64,
-    /// How long before this message a quorum last confirmed the leader, in
-    /// milliseconds of the leader's clock.
+    /// Time since the start of the last round that a quorum acknowledged, in milliseconds of the
+    /// leader's clock.
     pub confirmed_age: Option<Millis>,
-    /// The latest `sent_at` that the leader has from this follower.
-    pub echo: Option<Stamp>,
+    /// The latest `sent_at` that the leader received from this follower.
+    pub echo: Option<ProcessTimestamp>,
 }
 
-/// A reading of the clock of one process. Clocks of a replica's former and
-/// present processes can't be compared, so a stamp names its process.
+/// A reading of one process's monotonic clock. Readings from different processes of a replica
+/// are not comparable, so the timestamp identifies its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamp {
-    /// The process; grows with each start of a replica.
+pub struct ProcessTimestamp {
+    /// Incarnation of the process; increases with each start of the replica.
     pub incarnation: u64,
-    /// Its clock.
+    /// Milliseconds of the clock of that process.
     pub at: Millis,
 }
--- a/crates/consensus/src/output.rs
+++ b/crates/consensus/src/output.rs
@@ -1,74 +1,73 @@
-//! What goes into a replica at its start, and what comes out of it.
+//! Initial state and output of a replica.
 
 use crate::log::{Entry, HardState, Snapshot};
 use crate::message::Message;
 
-/// What a replica does in its term.
+/// Raft role of a replica in its current term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader, or waits for one.
+    /// Accepts entries from a leader, or waits for one.
     Follower,
-    /// Asks whether an election could be won.
+    /// Requests pre-votes to find out whether it could win an election.
     PreCandidate,
-    /// Stands for election.
+    /// Requests votes in a new term.
     Candidate,
-    /// Leads.
+    /// Accepts proposals and replicates them.
     Leader,
 }
 
-/// What was read from the disk at start.
+/// State that was read from disk at startup.
 #[derive(Clone, Debug, Default)]
 pub struct StoredState {
-    /// Term and vote.
+    /// Stored term and vote.
     pub hard_state: HardState,
-    /// The newest snapshot.
+    /// The latest stored snapshot.
     pub snapshot: Snapshot,
-    /// Entries that follow a base at or before the snapshot's index.
+    /// Contiguous entries that start at or before the index after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// What must be written and synced, in this order of fields.
+/// State to write and sync, in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WriteBatch {
-    /// A snapshot that replaces all that was stored.
+    /// A snapshot that replaces everything stored before.
     pub snapshot: Option<Snapshot>,
-    /// Entries to append; each replaces the entry at its index and all that
-    /// follow.
+    /// Entries to append; each replaces the entry at its index and all later ones.
     pub entries: Vec<Entry>,
-    /// Term and vote.
+    /// New term and vote.
     pub hard_state: Option<HardState>,
 }
 
 impl WriteBatch {
-    /// Whether there is nothing to write.
+    /// Whether the batch contains nothing to write.
     pub fn is_empty(&self) -> bool {
         self.snapshot.is_none() && self.entries.is_empty() && self.hard_state.is_none()
     }
 }
 
-/// What the caller must do after handing an input to a replica.
+/// Actions that the caller must take after passing input to a replica.
 #[derive(Clone, Debug, Default)]
 pub struct Output {
-    /// Messages to send at once.
+    /// Messages to send immediately.
     pub messages: Vec<Message>,
-    /// To be written and synced; when done, call [`crate::Replica::on_synced`].
+    /// State to write and sync; afterwards call [`crate::Replica::on_synced`].
     pub writes: WriteBatch,
-    /// Messages to send only after `writes` and all earlier writes are synced:
-    /// they promise what the writes hold.
+    /// Messages to send only after `writes` and all earlier writes are synced, as they
+    /// acknowledge that state.
     pub messages_after_sync: Vec<Message>,
-    /// A snapshot that the state machine must take over before `committed`.
+    /// A snapshot to restore the state machine from before applying `committed`.
     pub restore: Option<Snapshot>,
-    /// Entries to apply, in order.
+    /// Committed entries to apply, in log order.
     pub committed: Vec<Entry>,
 }
 
-/// Why a proposal was not taken.
+/// Reason why a proposal was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposeError {
-    /// This replica does not lead.
+    /// This replica is not the leader.
     NotLeader,
-    /// This replica hands leadership over: another one leads in a moment.
+    /// This replica is transferring leadership to another voter.
     LeadershipTransferInProgress,
-    /// A membership change is under way.
+    /// An earlier membership change, or the first entry of the term, is not committed yet.
     MembershipPending,
 }
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,30 +1,30 @@
-//! What a leader knows of each follower.
+//! Replication progress that a leader tracks for each follower.
 
 use crate::log::Index;
-use crate::message::Stamp;
+use crate::message::ProcessTimestamp;
 use crate::Millis;
 
-/// A follower as the leader sees it.
+/// A leader's view of one follower's log and replies.
 #[derive(Clone, Debug)]
 pub struct Progress {
-    /// Last index known to be synced at the follower.
+    /// Last index that the follower is known to have synced.
     pub match_index: Index,
-    /// Next index to send.
+    /// Index of the next entry to send.
     pub next_index: Index,
-    /// Append messages sent and not answered.
+    /// Number of append messages sent and not acknowledged.
     pub in_flight: usize,
-    /// Latest round that the follower answered.
+    /// Latest heartbeat round that the follower acknowledged.
     pub acknowledged_round: u64,
-    /// Latest clock value of the follower, to be echoed.
-    pub echo: Option<Stamp>,
-    /// When the last answer came, on the leader's clock.
+    /// Latest clock reading of the follower, echoed in messages to it.
+    pub echo: Option<ProcessTimestamp>,
+    /// Time of the last reply, on the leader's clock.
     pub last_reply_at: Option<Millis>,
-    /// When a snapshot was last sent and is still unanswered.
+    /// Time at which a still unacknowledged snapshot was sent.
     pub snapshot_sent_at: Option<Millis>,
 }
 
 impl Progress {
-    /// Progress of a follower of which nothing is known.
+    /// Progress of a follower that has not replied yet.
     pub fn new(next_index: Index) -> Self {
         Self {
             match_index: 0,
@@ -37,13 +37,13 @@
         }
     }
 
-    /// Takes in the stamp of a reply; replies may come out of order.
-    pub fn note_stamp(&mut self, stamp: Stamp) {
-        let is_newer = self
-            .echo
-            .is_none_or(|known| (stamp.incarnation, stamp.at) > (known.incarnation, known.at));
+    /// Records the timestamp of a reply if it is newer; replies may arrive out of order.
+    pub fn record_timestamp(&mut self, timestamp: ProcessTimestamp) {
+        let is_newer = self.echo.is_none_or(|known| {
+            (timestamp.incarnation, timestamp.at) > (known.incarnation, known.at)
+        });
         if is_newer {
-            self.echo = Some(stamp);
+            self.echo = Some(timestamp);
         }
     }
 }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,10 +1,10 @@
-//! The replica: its state and its inputs.
+//! A replica of one Raft group: its state and the handling of its inputs.
 
 use crate::config::ConsensusConfig;
 use crate::freshness::Freshness;
 use crate::log::{Entry, HardState, Index, Payload, ReplicatedLog, Snapshot, SnapshotMeta, Term};
 use crate::membership::{Membership, ReplicaId};
-use crate::message::{Message, MessageBody, Stamp};
+use crate::message::{Message, MessageBody, ProcessTimestamp};
 use crate::output::{Output, ProposeError, Role, StoredState};
 use crate::progress::Progress;
 use crate::Millis;
@@ -12,7 +12,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// One replica of a group.
+/// One replica of a Raft group.
 pub struct Replica {
     pub(crate) id: ReplicaId,
     pub(crate) config: ConsensusConfig,
@@ -25,51 +25,51 @@
     pub(crate) log: ReplicatedLog,
     pub(crate) snapshot: Snapshot,
     pub(crate) membership: Membership,
-    pub(crate) commit: Index,
-    pub(crate) applied: Index,
-    /// Last index synced to the own disk.
-    pub(crate) synced: Index,
-    /// Writes handed out and not yet synced: the last index of each.
-    pub(crate) writes_pending: VecDeque<Option<(Index, Term)>>,
+    pub(crate) commit_index: Index,
+    pub(crate) applied_index: Index,
+    /// Last log index that this replica has synced to its own disk.
+    pub(crate) synced_index: Index,
+    /// Last index and term of each write that was returned to the caller and is not synced yet.
+    pub(crate) pending_writes: VecDeque<Option<(Index, Term)>>,
     pub(crate) election_deadline: Millis,
     pub(crate) started_at: Millis,
-    /// Whether the pre-votes asked for last are those of a start.
-    pub(crate) asks_after_start: bool,
-    /// When a replica that has heard no leader since its start asks again.
-    pub(crate) next_pre_vote_after_start: Millis,
-    /// Voters that would vote for this replica and can't be bound to a leader.
-    pub(crate) unbound_votes: BTreeSet<ReplicaId>,
-    /// Voters whose disks were emptied: their nodes have other replicas now.
-    pub(crate) emptied: BTreeSet<ReplicaId>,
-    /// When a leader of the current term was last heard.
-    pub(crate) leader_heard_at: Option<Millis>,
+    /// Whether the latest pre-vote requests were sent as part of a startup election.
+    pub(crate) is_startup_pre_vote: bool,
+    /// Time of the next pre-vote request of a replica without leader contact since its start.
+    pub(crate) next_startup_pre_vote_at: Millis,
+    /// Voters that granted a pre-vote and cannot be part of a leader's lease.
+    pub(crate) lease_free_votes: BTreeSet<ReplicaId>,
+    /// Voters whose storage was lost: their nodes now run replicas with other identities.
+    pub(crate) voters_without_storage: BTreeSet<ReplicaId>,
+    /// Time of the last message from a leader of the current term.
+    pub(crate) last_leader_contact_at: Option<Millis>,
     pub(crate) votes: BTreeSet<ReplicaId>,
     pub(crate) progress: BTreeMap<ReplicaId, Progress>,
     pub(crate) round: u64,
-    /// When each unconfirmed round began.
-    pub(crate) rounds: VecDeque<(u64, Millis)>,
+    /// Start time of each heartbeat round that no quorum has acknowledged yet.
+    pub(crate) unconfirmed_rounds: VecDeque<(u64, Millis)>,
     pub(crate) confirmed_at: Option<Millis>,
-    pub(crate) heartbeat_due: Millis,
-    /// Set while this leader hands leadership over and takes no proposals.
-    pub(crate) hand_over: Option<HandOver>,
+    pub(crate) next_heartbeat_at: Millis,
+    /// Set while this leader transfers leadership; it rejects proposals meanwhile.
+    pub(crate) leadership_transfer: Option<LeadershipTransfer>,
     pub(crate) term_start_index: Index,
     pub(crate) freshness: Freshness,
     pub(crate) output: Output,
 }
 
-/// A hand-over of leadership that is under way.
-pub(crate) struct HandOver {
-    /// When it began.
-    pub(crate) since: Millis,
-    /// The voter that was asked to take over.
+/// A leadership transfer in progress.
+pub(crate) struct LeadershipTransfer {
+    /// Start of the transfer.
+    pub(crate) started_at: Millis,
+    /// The voter that was asked to start an election.
     pub(crate) successor: Option<ReplicaId>,
 }
 
 impl Replica {
-    /// A replica that continues from what was stored.
+    /// Creates a follower from its stored state.
     ///
-    /// `seed` randomises election timeouts; replicas should use different ones.
-    /// `incarnation` grows with each start of the replica.
+    /// `seed` randomizes election timeouts and should differ between replicas.
+    /// `incarnation` must increase with each start of the replica.
     pub fn new(
         id: ReplicaId,
         config: ConsensusConfig,
@@ -85,10 +85,11 @@
             .filter(|entry| entry.index > meta.index)
             .collect();
         let log = ReplicatedLog::new(meta.index, meta.term, entries);
-        let membership = log
-            .last_membership()
-            .map_or_else(|| meta.membership.clone(), |(_, found)| found.clone());
-        let synced = log.last_index();
+        let membership = log.last_membership().map_or_else(
+            || meta.membership.clone(),
+            |(_, membership)| membership.clone(),
+        );
+        let synced_index = log.last_index();
         let snapshot_index = meta.index;
         let mut replica = Self {
             id,
@@ -101,24 +102,24 @@
             leader: None,
             log,
             membership,
-            commit: snapshot_index,
-            applied: snapshot_index,
-            synced,
-            writes_pending: VecDeque::new(),
+            commit_index: snapshot_index,
+            applied_index: snapshot_index,
+            synced_index,
+            pending_writes: VecDeque::new(),
             election_deadline: 0,
             started_at: now,
-            asks_after_start: false,
-            next_pre_vote_after_start: now,
-            unbound_votes: BTreeSet::new(),
-            emptied: BTreeSet::new(),
-            leader_heard_at: None,
+            is_startup_pre_vote: false,
+            next_startup_pre_vote_at: now,
+            lease_free_votes: BTreeSet::new(),
+            voters_without_storage: BTreeSet::new(),
+            last_leader_contact_at: None,
             votes: BTreeSet::new(),
             progress: BTreeMap::new(),
             round: 0,
-            rounds: VecDeque::new(),
+            unconfirmed_rounds: VecDeque::new(),
             confirmed_at: None,
-            heartbeat_due: now,
-            hand_over: None,
+            next_heartbeat_at: now,
+            leadership_transfer: None,
             term_start_index: 0,
             freshness: Freshness::default(),
             output: Output::default(),
@@ -128,7 +129,7 @@
         replica
     }
 
-    /// Identity of this replica.
+    /// Identity of this replica, bound to its storage.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
@@ -138,34 +139,34 @@
         self.snapshot.meta.cluster_id
     }
 
-    /// Current role.
+    /// Role of this replica in its current term.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Current term.
+    /// Highest term that this replica has seen.
     pub fn term(&self) -> Term {
         self.hard_state.term
     }
 
-    /// The leader of the current term, where known.
+    /// The leader of the current term; `None` if it is not known.
     pub fn leader(&self) -> Option<ReplicaId> {
         self.leader
     }
 
-    /// The membership in force.
+    /// The latest membership in the log, whether committed or not.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
     /// Index of the last committed entry.
     pub fn commit_index(&self) -> Index {
-        self.commit
+        self.commit_index
     }
 
-    /// Index of the last entry handed out for application.
+    /// Index of the last entry returned to the caller for application.
     pub fn applied_index(&self) -> Index {
-        self.applied
+        self.applied_index
     }
 
     /// Index of the last entry of the log.
@@ -178,15 +179,16 @@
         self.log.len()
     }
 
-    /// How far a learner is behind, where this replica leads and has heard it.
+    /// Number of committed entries that a learner lacks; `None` unless this replica is the leader
+    /// and the learner has replied to it.
     pub fn learner_lag(&self, learner: ReplicaId) -> Option<Index> {
         let progress = self.progress.get(&learner)?;
         progress.last_reply_at?;
-        Some(self.commit.saturating_sub(progress.match_index))
+        Some(self.commit_index.saturating_sub(progress.match_index))
     }
 
-    /// Lower bound on the age of the applied state. On a leader it is what a
-    /// quorum confirmed; on a follower what the leader's messages prove.
+    /// The time as of which the applied state is known to be current: on a leader the start of
+    /// the last round that a quorum acknowledged, on a follower derived from the leader's messages.
     pub fn freshness(&self) -> Freshness {
         if self.role == Role::Leader {
             let as_of = if self.has_committed_in_term() {
@@ -199,37 +201,36 @@
         self.freshness
     }
 
-    /// Whether this replica leads and may answer reads at `now`: a quorum has
-    /// confirmed it within the lease and it knows all commits before its term.
+    /// Whether this replica may answer reads at `now` under its leader lease: a quorum has
+    /// acknowledged it within the lease duration and it knows all commits of earlier terms.
     pub fn may_serve_reads(&self, now: Millis) -> bool {
         self.role == Role::Leader
-            && self.hand_over.is_none()
+            && self.leadership_transfer.is_none()
             && self.has_committed_in_term()
-            && self
-                .confirmed_at
-                .is_some_and(|confirmed| now.saturating_sub(confirmed) < self.config.lease_duration)
+            && self.confirmed_at.is_some_and(|confirmed_at| {
+                now.saturating_sub(confirmed_at) < self.config.lease_duration
+            })
     }
 
     pub(crate) fn has_committed_in_term(&self) -> bool {
-        self.commit >= self.term_start_index
+        self.commit_index >= self.term_start_index
     }
 
-    /// Takes what the last inputs produced.
+    /// Returns the output of all inputs since the last call.
     pub fn take_output(&mut self) -> Output {
         let output = std::mem::take(&mut self.output);
         if !output.writes.is_empty() || !output.messages_after_sync.is_empty() {
             let last = output.writes.entries.last();
             let snapshot = output.writes.snapshot.as_ref();
-            let reached = last
+            let last_position = last
                 .map(|entry| (entry.index, entry.term))
-                .or_else(|| snapshot.map(|one| (one.meta.index, one.meta.term)));
-            self.writes_pending.push_back(reached);
+                .or_else(|| snapshot.map(|snapshot| (snapshot.meta.index, snapshot.meta.term)));
+            self.pending_writes.push_back(last_position);
         }
         output
     }
 
-    /// Whether [`Replica::take_output`] would give something that needs
-    /// [`Replica::on_synced`].
+    /// Whether [`Replica::take_output`] would return anything to send, write, restore or apply.
     pub fn has_output(&self) -> bool {
         let output = &self.output;
         !(output.messages.is_empty()
@@ -239,39 +240,42 @@
             && output.committed.is_empty())
     }
 
-    /// Tells that the oldest output with writes or messages after sync, not yet
-    /// reported, is synced.
+    /// Reports that the oldest unreported output with writes or messages after sync is synced.
+    /// Must be called once for each such output, in order.
     pub fn on_synced(&mut self, now: Millis) {
         self.now = self.now.max(now);
-        let Some(Some((index, term))) = self.writes_pending.pop_front() else {
+        let Some(Some((index, term))) = self.pending_writes.pop_front() else {
             return;
         };
-        // The entry may have been replaced meanwhile by another leader's; only
-        // what is still in the log counts as synced.
-        if self.log.term_at(index) == Some(term) && index > self.synced {
-            self.synced = index;
+        // A later leader may have overwritten the entry; only entries that are still in the log
+        // count as synced.
+        if self.log.term_at(index) == Some(term) && index > self.synced_index {
+            self.synced_index = index;
         }
         if self.role == Role::Leader {
             self.advance_commit();
         }
     }
 
-    /// Moves time on.
+    /// Advances the clock to `now` and starts any heartbeat or election that is due.
     pub fn tick(&mut self, now: Millis) {
         self.now = self.now.max(now);
         if self.role == Role::Leader {
             self.leader_tick();
         } else if !self.membership.is_voter(self.id) {
-            // A learner follows only.
+            // Learners never start elections.
         } else if self.now >= self.election_deadline {
             self.start_pre_vote();
-        } else if self.is_due_after_start() {
-            self.start_pre_vote_after_start();
+        } else if self.is_startup_pre_vote_due() {
+            self.start_startup_pre_vote();
         }
     }
 
-    /// Proposes a command; the index and term identify it among the committed
-    /// entries.
+    /// Appends a command to the log. The returned index and term identify its entry among the
+    /// committed ones.
+    ///
+    /// # Errors
+    /// If this replica is not the leader or is transferring leadership.
     pub fn propose(
         &mut self,
         command: Vec<u8>,
@@ -283,14 +287,17 @@
     }
 
     fn may_propose(&self) -> Result<(), ProposeError> {
-        match (self.role, &self.hand_over) {
+        match (self.role, &self.leadership_transfer) {
             (Role::Leader, None) => Ok(()),
             (Role::Leader, Some(_)) => Err(ProposeError::LeadershipTransferInProgress),
             _ => Err(ProposeError::NotLeader),
         }
     }
 
-    /// Proposes a membership that differs in one member.
+    /// Appends a membership that differs from the current one in a single member.
+    ///
+    /// # Errors
+    /// Those of [`Replica::propose`], or if an earlier change is not committed yet.
     pub fn propose_membership(
         &mut self,
         membership: Membership,
@@ -301,17 +308,17 @@
         let pending = self
             .log
             .last_membership()
-            .is_some_and(|(index, _)| index > self.commit);
+            .is_some_and(|(index, _)| index > self.commit_index);
         if pending || !self.has_committed_in_term() {
             return Err(ProposeError::MembershipPending);
         }
         Ok(self.append_as_leader(Payload::Membership(membership)))
     }
 
-    /// Takes over a snapshot made by the state machine at the applied index
-    /// and drops the entries that it covers, but for the last `keep`.
-    pub fn compact(&mut self, data: Vec<u8>, keep: usize) -> Snapshot {
-        let index = self.applied;
+    /// Stores a snapshot that the state machine made at the applied index, and drops the log
+    /// entries that it covers except for the last `retained_entries`.
+    pub fn compact(&mut self, data: Vec<u8>, retained_entries: usize) -> Snapshot {
+        let index = self.applied_index;
         let term = self.log.term_at(index).unwrap_or(self.snapshot.meta.term);
         let membership = self.membership_at(index);
         self.snapshot = Snapshot {
@@ -323,57 +330,60 @@
             },
             data,
         };
-        let base = index.saturating_sub(keep as Index);
+        let base = index.saturating_sub(retained_entries as Index);
         if base >= self.log.first_index() {
             self.log.compact_to(base);
         }
         self.snapshot.clone()
     }
 
-    /// The newest snapshot.
+    /// The latest snapshot.
     pub fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// Entries after the snapshot, for rewriting the stored log.
+    /// Entries after the snapshot, used to rewrite the stored log.
     pub fn entries_after_snapshot(&self) -> Vec<Entry> {
         self.log
             .slice(self.snapshot.meta.index + 1, usize::MAX, usize::MAX)
     }
 
-    /// Term and vote, for rewriting the stored log.
+    /// Current term and vote, used to rewrite the stored log.
     pub fn hard_state(&self) -> HardState {
         self.hard_state
     }
 
     fn membership_at(&self, index: Index) -> Membership {
         match self.log.last_membership() {
-            Some((found, _)) if found > index => self.previous_membership(index),
+            Some((membership_index, _)) if membership_index > index => {
+                self.previous_membership(index)
+            }
             Some((_, membership)) => membership.clone(),
             None => self.snapshot.meta.membership.clone(),
         }
     }
 
     fn previous_membership(&self, index: Index) -> Membership {
-        let mut at = index;
-        while at >= self.log.first_index() {
-            if let Some(Payload::Membership(found)) = self.log.entry(at).map(|entry| &entry.payload)
+        let mut entry_index = index;
+        while entry_index >= self.log.first_index() {
+            if let Some(Payload::Membership(membership)) =
+                self.log.entry(entry_index).map(|entry| &entry.payload)
             {
-                return found.clone();
+                return membership.clone();
             }
-            at -= 1;
+            entry_index -= 1;
         }
         self.snapshot.meta.membership.clone()
     }
 
-    /// Handles a message of a peer.
+    /// Handles a message from another replica.
     pub fn step(&mut self, message: Message, now: Millis) {
         self.now = self.now.max(now);
         if message.to != self.id {
             return;
         }
-        self.emptied.remove(&message.from);
-        if !self.admit_term(&message) {
+        self.voters_without_storage.remove(&message.from);
+        if !self.check_term(&message) {
             return;
         }
         let from = message.from;
@@ -388,8 +398,8 @@
             }
             MessageBody::PreVoteReply {
                 granted,
-                is_unbound,
-            } => self.on_pre_vote_reply(from, granted, is_unbound),
+                is_lease_free,
+            } => self.on_pre_vote_reply(from, granted, is_lease_free),
             MessageBody::Vote {
                 last_index,
                 last_term,
@@ -400,14 +410,14 @@
                 previous_index,
                 previous_term,
                 entries,
-                commit,
+                commit_index,
                 freshness,
             } => self.on_append(
                 from,
                 previous_index,
                 previous_term,
                 entries,
-                commit,
+                commit_index,
                 freshness,
             ),
             MessageBody::AppendReply {
@@ -423,18 +433,17 @@
         }
     }
 
-    /// Compares terms; false when the message is to be dropped.
-    fn admit_term(&mut self, message: &Message) -> bool {
+    /// Compares the message's term with the current one; false if the message must be dropped.
+    fn check_term(&mut self, message: &Message) -> bool {
         let current = self.hard_state.term;
         match &message.body {
-            // Pre-votes carry a term that nobody has entered yet.
+            // A pre-vote carries the term that its sender would enter, not a current one.
             MessageBody::PreVote { .. } => true,
             MessageBody::PreVoteReply { .. } => message.term == current + 1,
-            // A vote request is ignored while a leader is alive, so that a
-            // replica that was cut off can't disturb it. This also makes the
-            // leader's lease sound.
+            // Vote requests are ignored while there is a live leader, so that a partitioned
+            // replica cannot disrupt it. The leader lease relies on this.
             MessageBody::Vote { forced: false, .. }
-                if message.term > current && self.leader_is_alive() =>
+                if message.term > current && self.has_live_leader() =>
             {
                 false
             }
@@ -442,41 +451,42 @@
                 if message.term > current {
                     self.become_follower(message.term, None);
                 }
-                self.tell_former_leader(message);
+                self.notify_former_leader(message);
                 message.term == self.hard_state.term
             }
         }
     }
 
-    /// A leader of an earlier term learns the present one and steps down: this replica
-    /// can't follow it any more, and nobody votes for this one while the leader lives.
-    fn tell_former_leader(&mut self, message: &Message) {
-        let leads = matches!(
+    /// Sends the current term to a leader of an earlier term, so that it steps down. Without this,
+    /// a replica with a later term than its leader's could neither follow it nor be elected.
+    fn notify_former_leader(&mut self, message: &Message) {
+        let is_from_leader = matches!(
             message.body,
             MessageBody::Append { .. } | MessageBody::InstallSnapshot { .. }
         );
-        if leads && message.term < self.hard_state.term {
-            self.tell_term(message.from);
+        if is_from_leader && message.term < self.hard_state.term {
+            self.send_current_term(message.from);
         }
     }
 
-    /// Tells a replica that lags behind which term is current.
-    pub(crate) fn tell_term(&mut self, to: ReplicaId) {
+    /// Sends the current term to a replica with an older one.
+    pub(crate) fn send_current_term(&mut self, to: ReplicaId) {
         let body = MessageBody::AppendReply {
             accepted: false,
             match_index: 0,
             round: 0,
-            sent_at: self.stamp(),
+            sent_at: self.timestamp(),
         };
         self.send(to, self.hard_state.term, body);
     }
 
-    pub(crate) fn leader_is_alive(&self) -> bool {
+    pub(crate) fn has_live_leader(&self) -> bool {
         if self.role == Role::Leader {
             return true;
         }
-        self.leader_heard_at
-            .is_some_and(|heard| self.now.saturating_sub(heard) < self.config.election_timeout)
+        self.last_leader_contact_at.is_some_and(|contact_at| {
+            self.now.saturating_sub(contact_at) < self.config.election_timeout
+        })
     }
 
     pub(crate) fn become_follower(&mut self, term: Term, leader: Option<ReplicaId>) {
@@ -488,9 +498,9 @@
             self.output.writes.hard_state = Some(self.hard_state);
         }
         if self.role == Role::Leader {
-            // A former leader's own bound on freshness stays true.
-            if let Some(confirmed) = self.confirmed_at.filter(|_| self.has_committed_in_term()) {
-                self.freshness.advance(confirmed);
+            // The freshness that a quorum confirmed to this leader stays valid.
+            if let Some(confirmed_at) = self.confirmed_at.filter(|_| self.has_committed_in_term()) {
+                self.freshness.advance(confirmed_at);
             }
         }
         self.role = Role::Follower;
@@ -500,13 +510,13 @@
     }
 
     pub(crate) fn reset_election_deadline(&mut self) {
-        let shortest = self.config.election_timeout;
-        let timeout = self.random.gen_range(shortest..shortest * 2);
+        let min_timeout = self.config.election_timeout;
+        let timeout = self.random.gen_range(min_timeout..min_timeout * 2);
         self.election_deadline = self.now + timeout;
     }
 
-    pub(crate) fn stamp(&self) -> Stamp {
-        Stamp {
+    pub(crate) fn timestamp(&self) -> ProcessTimestamp {
+        ProcessTimestamp {
             incarnation: self.incarnation,
             at: self.now,
         }
@@ -533,17 +543,17 @@
     }
 
     pub(crate) fn set_commit(&mut self, index: Index) {
-        if index <= self.commit {
+        if index <= self.commit_index {
             return;
         }
-        self.commit = index;
-        while self.applied < self.commit {
-            let next = self.applied + 1;
+        self.commit_index = index;
+        while self.applied_index < self.commit_index {
+            let next = self.applied_index + 1;
             let Some(entry) = self.log.entry(next) else {
                 break;
             };
             self.output.committed.push(entry.clone());
-            self.applied = next;
+            self.applied_index = next;
         }
     }
 }
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,14 +1,14 @@
-//! Appending, committing and confirming.
+//! Log replication, commitment and leadership confirmation.
 
 use crate::log::{Entry, Index, Payload, Snapshot, Term};
 use crate::membership::ReplicaId;
-use crate::message::{LeaderFreshness, MessageBody, Stamp};
+use crate::message::{LeaderFreshness, MessageBody, ProcessTimestamp};
 use crate::output::Role;
 use crate::progress::Progress;
 use crate::replica::Replica;
 use crate::Millis;
 
-/// After this many election timeouts an unanswered snapshot is sent again.
+/// Number of election timeouts after which an unacknowledged snapshot is sent again.
 const SNAPSHOT_RESEND_TIMEOUTS: Millis = 3;
 
 impl Replica {
@@ -27,12 +27,12 @@
     fn append_entry(&mut self, entry: Entry) {
         self.log.push(entry.clone());
         if let Payload::Membership(membership) = &entry.payload {
-            self.adopt_membership(membership.clone());
+            self.apply_membership(membership.clone());
         }
         self.output.writes.entries.push(entry);
     }
 
-    fn adopt_membership(&mut self, membership: crate::Membership) {
+    fn apply_membership(&mut self, membership: crate::Membership) {
         self.membership = membership;
         if self.role != Role::Leader {
             return;
@@ -48,37 +48,41 @@
     }
 
     pub(crate) fn leader_tick(&mut self) {
-        let confirmed = self.confirmed_at.or(self.leader_heard_at).unwrap_or(0);
-        if self.now.saturating_sub(confirmed) >= self.config.election_timeout {
-            // No quorum answers: someone else may lead by now.
+        let last_confirmed_at = self
+            .confirmed_at
+            .or(self.last_leader_contact_at)
+            .unwrap_or(0);
+        if self.now.saturating_sub(last_confirmed_at) >= self.config.election_timeout {
+            // Check quorum: without acknowledgements another replica may have been elected.
             let term = self.hard_state.term;
-            self.leader_heard_at = None;
+            self.last_leader_contact_at = None;
             self.become_follower(term, None);
             return;
         }
-        let hand_over = self.hand_over.as_ref();
-        let hands_over_for = hand_over.map(|one| self.now.saturating_sub(one.since));
-        if hands_over_for.is_some_and(|span| span >= self.config.election_timeout) {
-            // Nobody took over: an election decides.
+        let leadership_transfer = self.leadership_transfer.as_ref();
+        let transfer_duration =
+            leadership_transfer.map(|transfer| self.now.saturating_sub(transfer.started_at));
+        if transfer_duration.is_some_and(|duration| duration >= self.config.election_timeout) {
+            // The transfer timed out; the next leader is chosen by a regular election.
             let term = self.hard_state.term;
             self.become_follower(term, None);
             return;
         }
-        if self.now >= self.heartbeat_due {
-            self.heartbeat_due = self.now + self.config.heartbeat_interval;
+        if self.now >= self.next_heartbeat_at {
+            self.next_heartbeat_at = self.now + self.config.heartbeat_interval;
             self.heartbeat();
-            // The request to take over may be lost.
-            self.ask_successor();
+            // Repeats the takeover request, which may have been lost.
+            self.request_takeover();
         }
     }
 
     fn heartbeat(&mut self) {
         self.round += 1;
-        self.rounds.push_back((self.round, self.now));
+        self.unconfirmed_rounds.push_back((self.round, self.now));
         for member in self.other_members() {
             if let Some(progress) = self.progress.get_mut(&member) {
-                // Unanswered messages may be lost. The heartbeat probes at the
-                // next index; a follower that lacks what precedes it says so.
+                // Unacknowledged messages may be lost. The heartbeat probes the next index, and a
+                // follower that lacks the preceding entry rejects it.
                 progress.in_flight = 0;
             }
             self.replicate(member);
@@ -93,17 +97,17 @@
 
     fn replicate_all(&mut self) {
         for member in self.other_members() {
-            let has_room = self
+            let has_capacity = self
                 .progress
                 .get(&member)
-                .is_some_and(|one| one.in_flight < self.config.max_in_flight);
-            if has_room {
+                .is_some_and(|progress| progress.in_flight < self.config.max_in_flight);
+            if has_capacity {
                 self.replicate(member);
             }
         }
     }
 
-    /// Sends the next entries, or the snapshot where they are compacted.
+    /// Sends a member the next entries, or the snapshot if they were compacted.
     fn replicate(&mut self, member: ReplicaId) {
         let Some(progress) = self.progress.get(&member) else {
             return;
@@ -123,7 +127,7 @@
             confirmed_age: self
                 .confirmed_at
                 .filter(|_| self.has_committed_in_term())
-                .map(|confirmed| self.now.saturating_sub(confirmed)),
+                .map(|confirmed_at| self.now.saturating_sub(confirmed_at)),
             echo: progress.echo,
         };
         if let (Some(last), Some(progress)) = (entries.last(), self.progress.get_mut(&member)) {
@@ -134,7 +138,7 @@
             previous_index,
             previous_term,
             entries,
-            commit: self.commit,
+            commit_index: self.commit_index,
             freshness,
         };
         self.send(member, self.hard_state.term, body);
@@ -146,10 +150,10 @@
         let Some(progress) = self.progress.get_mut(&member) else {
             return;
         };
-        let waiting = progress
+        let is_snapshot_pending = progress
             .snapshot_sent_at
-            .is_some_and(|sent| now.saturating_sub(sent) < resend_after);
-        if waiting {
+            .is_some_and(|sent_at| now.saturating_sub(sent_at) < resend_after);
+        if is_snapshot_pending {
             return;
         }
         progress.snapshot_sent_at = Some(now);
@@ -166,53 +170,55 @@
         previous_index: Index,
         previous_term: Term,
         entries: Vec<Entry>,
-        commit: Index,
+        commit_index: Index,
         freshness: LeaderFreshness,
     ) {
-        self.follow(from);
+        self.accept_leader(from);
         let round = freshness.round;
-        if previous_index < self.applied {
-            // All up to `applied` is committed and equal; take the rest.
-            let rest: Vec<Entry> = entries
+        if previous_index < self.applied_index {
+            // Entries up to the applied index are committed and therefore equal; skip them.
+            let new_entries: Vec<Entry> = entries
                 .into_iter()
-                .filter(|entry| entry.index > self.applied)
+                .filter(|entry| entry.index > self.applied_index)
                 .collect();
-            let contiguous = rest
+            let is_contiguous = new_entries
                 .first()
-                .is_none_or(|entry| entry.index == self.applied + 1);
-            if contiguous {
-                let reached = rest.last().map_or(self.applied, |entry| entry.index);
-                self.accept_entries(rest);
-                self.finish_append(from, reached, commit, freshness);
+                .is_none_or(|entry| entry.index == self.applied_index + 1);
+            if is_contiguous {
+                let match_index = new_entries
+                    .last()
+                    .map_or(self.applied_index, |entry| entry.index);
+                self.accept_entries(new_entries);
+                self.finish_append(from, match_index, commit_index, freshness);
             }
             return;
         }
         if self.log.term_at(previous_index) != Some(previous_term) {
-            let hint = previous_index
+            let retry_index = previous_index
                 .min(self.log.last_index() + 1)
-                .max(self.commit + 1);
-            self.reply_append(from, false, hint, round);
+                .max(self.commit_index + 1);
+            self.reply_append(from, false, retry_index, round);
             return;
         }
-        let reached = previous_index + entries.len() as Index;
+        let match_index = previous_index + entries.len() as Index;
         self.accept_entries(entries);
-        self.finish_append(from, reached, commit, freshness);
+        self.finish_append(from, match_index, commit_index, freshness);
     }
 
     fn finish_append(
         &mut self,
         from: ReplicaId,
-        reached: Index,
-        commit: Index,
+        match_index: Index,
+        commit_index: Index,
         freshness: LeaderFreshness,
     ) {
-        self.reply_append(from, true, reached, freshness.round);
-        self.set_commit(commit.min(reached));
-        // The message was made after the echoed time, and its commit index was
-        // current when a quorum last confirmed the leader.
+        self.reply_append(from, true, match_index, freshness.round);
+        self.set_commit(commit_index.min(match_index));
+        // The leader sent this message after the echoed time, and its commit index was current
+        // when a quorum last acknowledged the leader.
         if let (Some(echo), Some(age)) = (freshness.echo, freshness.confirmed_age) {
-            let is_own = echo.incarnation == self.incarnation;
-            if is_own && self.applied >= commit {
+            let is_current_process = echo.incarnation == self.incarnation;
+            if is_current_process && self.applied_index >= commit_index {
                 self.freshness.advance(echo.at.saturating_sub(age));
             }
         }
@@ -224,7 +230,7 @@
                 Some(term) if term == entry.term => continue,
                 Some(_) => {
                     self.log.truncate_from(entry.index);
-                    self.synced = self.synced.min(entry.index - 1);
+                    self.synced_index = self.synced_index.min(entry.index - 1);
                     self.restore_membership();
                     self.append_entry(entry);
                 }
@@ -233,17 +239,20 @@
         }
     }
 
-    /// After a truncation the newest membership still in the log is in force.
+    /// After a truncation the latest membership that is still in the log applies.
     fn restore_membership(&mut self) {
-        let found = self.log.last_membership().map(|(_, found)| found.clone());
-        self.membership = found.unwrap_or_else(|| self.snapshot.meta.membership.clone());
+        let last_membership = self
+            .log
+            .last_membership()
+            .map(|(_, membership)| membership.clone());
+        self.membership = last_membership.unwrap_or_else(|| self.snapshot.meta.membership.clone());
     }
 
-    fn follow(&mut self, leader: ReplicaId) {
+    fn accept_leader(&mut self, leader: ReplicaId) {
         if self.role != Role::Follower || self.leader != Some(leader) {
             self.become_follower(self.hard_state.term, Some(leader));
         }
-        self.leader_heard_at = Some(self.now);
+        self.last_leader_contact_at = Some(self.now);
         self.reset_election_deadline();
     }
 
@@ -252,31 +261,30 @@
             accepted,
             match_index,
             round,
-            sent_at: self.stamp(),
+            sent_at: self.timestamp(),
         };
         self.send_after_sync(to, body);
     }
 
     pub(crate) fn on_install_snapshot(&mut self, from: ReplicaId, snapshot: Snapshot, round: u64) {
-        self.follow(from);
+        self.accept_leader(from);
         let index = snapshot.meta.index;
-        if index <= self.applied {
-            self.reply_append(from, true, self.applied, round);
+        if index <= self.applied_index {
+            self.reply_append(from, true, self.applied_index, round);
             return;
         }
         if self.log.term_at(index) == Some(snapshot.meta.term) {
-            // The log holds what the snapshot covers, and maybe entries after
-            // it that were acknowledged: a snapshot that comes late must not
-            // take them away.
+            // The log already has the entries that the snapshot covers and may have acknowledged
+            // entries after it, which a delayed snapshot must not remove.
             self.set_commit(index);
             self.reply_append(from, true, index, round);
             return;
         }
         self.log.reset(index, snapshot.meta.term);
         self.membership = snapshot.meta.membership.clone();
-        self.commit = index;
-        self.applied = index;
-        self.synced = index;
+        self.commit_index = index;
+        self.applied_index = index;
+        self.synced_index = index;
         self.snapshot = snapshot.clone();
         self.output.committed.clear();
         self.output.writes.entries.clear();
@@ -292,7 +300,7 @@
         accepted: bool,
         match_index: Index,
         round: u64,
-        sent_at: Stamp,
+        sent_at: ProcessTimestamp,
     ) {
         if self.role != Role::Leader {
             return;
@@ -303,7 +311,7 @@
             return;
         };
         progress.last_reply_at = Some(now);
-        progress.note_stamp(sent_at);
+        progress.record_timestamp(sent_at);
         progress.acknowledged_round = progress.acknowledged_round.max(round);
         progress.in_flight = progress.in_flight.saturating_sub(1);
         if accepted {
@@ -313,77 +321,79 @@
         } else {
             progress.next_index = match_index.clamp(progress.match_index + 1, last + 1);
         }
-        // A follower that lacks what it had acknowledged has a disk that lies:
-        // sending it the same again at once would go on without end. The next
-        // heartbeat asks again.
-        let more = match accepted {
+        // A follower that lacks entries which it acknowledged has lost synced data. Resending them
+        // at once could loop forever, so the next heartbeat probes it instead.
+        let should_send_more = match accepted {
             true => progress.next_index <= last,
             false => match_index > progress.match_index,
         };
         self.confirm_rounds();
         self.advance_commit();
-        if more {
+        if should_send_more {
             self.replicate(from);
         }
-        if self.is_without_successor() {
-            self.ask_successor();
+        if self.needs_successor() {
+            self.request_takeover();
         }
     }
 
-    fn is_without_successor(&self) -> bool {
-        let hand_over = self.hand_over.as_ref();
-        hand_over.is_some_and(|one| one.successor.is_none())
+    fn needs_successor(&self) -> bool {
+        let leadership_transfer = self.leadership_transfer.as_ref();
+        leadership_transfer.is_some_and(|transfer| transfer.successor.is_none())
     }
 
-    /// A round answered by a quorum proves that no other leader was elected
-    /// before the round began.
+    /// Records the latest round that a quorum acknowledged, which proves that no other leader was
+    /// elected before that round began.
     fn confirm_rounds(&mut self) {
         let own = self.id;
-        let newest = self.round;
-        let confirmed = self.membership.quorum_value(|member| {
+        let current_round = self.round;
+        let confirmed_round = self.membership.quorum_value(|member| {
             if member == own {
-                newest
+                current_round
             } else {
                 let progress = self.progress.get(&member);
-                progress.map_or(0, |one| one.acknowledged_round)
+                progress.map_or(0, |progress| progress.acknowledged_round)
             }
         });
-        while let Some((round, began)) = self.rounds.front().copied() {
-            if round > confirmed {
+        while let Some((round, started_at)) = self.unconfirmed_rounds.front().copied() {
+            if round > confirmed_round {
                 break;
             }
-            self.confirmed_at = Some(began);
-            self.rounds.pop_front();
+            self.confirmed_at = Some(started_at);
+            self.unconfirmed_rounds.pop_front();
         }
     }
 
     pub(crate) fn advance_commit(&mut self) {
         let own = self.id;
-        let synced = self.synced;
-        let reached = self.membership.quorum_value(|member| {
+        let synced_index = self.synced_index;
+        let quorum_index = self.membership.quorum_value(|member| {
             if member == own {
-                synced
+                synced_index
             } else {
-                self.progress.get(&member).map_or(0, |one| one.match_index)
+                let progress = self.progress.get(&member);
+                progress.map_or(0, |progress| progress.match_index)
             }
         });
-        // Only entries of the own term commit by counting.
-        if reached > self.commit && self.log.term_at(reached) == Some(self.hard_state.term) {
-            self.set_commit(reached);
+        // Only entries of the current term are committed by counting replicas (Raft, section 5.4.2).
+        if quorum_index > self.commit_index
+            && self.log.term_at(quorum_index) == Some(self.hard_state.term)
+        {
+            self.set_commit(quorum_index);
             self.replicate_commit();
             self.step_down_if_removed();
         }
     }
 
-    /// Followers learn of commits at once rather than with the next heartbeat:
-    /// a change must be in force everywhere soon.
+    /// Sends the new commit index to followers that are up to date, instead of waiting for the
+    /// next heartbeat, so that changes take effect quickly on all replicas.
     fn replicate_commit(&mut self) {
         for member in self.other_members() {
-            let caught_up = self
+            let is_caught_up = self
                 .progress
                 .get(&member)
-                .is_some_and(|one| one.next_index > self.log.last_index());
-            if caught_up {
+                .is_some_and(|progress| progress.next_index > self.log.last_index());
+            if is_caught_up {
                 self.replicate(member);
             }
         }
--- a/crates/consensus/src/state_machine.rs
+++ b/crates/consensus/src/state_machine.rs
@@ -1,17 +1,17 @@
-//! What a group replicates.
+//! Interface of the state machine that a group replicates.
 
 use crate::log::Index;
 
-/// A deterministic state machine. The same commands in the same order give the
-/// same states and replies on every replica.
+/// A deterministic state machine: the same commands in the same order lead to the same state and
+/// replies on every replica.
 pub trait StateMachine {
-    /// Applies the command committed at `index`; the reply goes to whoever
-    /// proposed it. A command that can't be decoded changes nothing.
+    /// Applies the command committed at `index` and returns the reply for its proposer. A command
+    /// that cannot be decoded must have no effect.
     fn apply(&mut self, index: Index, command: &[u8]) -> Vec<u8>;
 
-    /// The whole state, encoded.
+    /// Encodes the complete state.
     fn snapshot(&self) -> Vec<u8>;
 
-    /// Replaces the state by a snapshot; false when it can't be decoded.
+    /// Replaces the state with a snapshot; returns false if it cannot be decoded.
     fn restore(&mut self, snapshot: &[u8]) -> bool;
 }
--- a/crates/consensus/tests/replica.rs
+++ b/crates/consensus/tests/replica.rs
@@ -78,7 +78,7 @@
             2,
             MessageBody::PreVoteReply {
                 granted: true,
-                is_unbound: true,
+                is_lease_free: true,
             },
         ),
         now,
@@ -180,7 +180,7 @@
         accepted: true,
         match_index: one.last_index(),
         round: 1,
-        sent_at: silversail_consensus::Stamp {
+        sent_at: silversail_consensus::ProcessTimestamp {
             incarnation: 1,
             at: 0,
         },
@@ -199,7 +199,7 @@
         previous_index: 1,
         previous_term: 1,
         entries: Vec::new(),
-        commit: 1,
+        commit_index: 1,
         freshness: Default::default(),
     };
     two.step(message(1, 2, 2, heartbeat), 10);
@@ -222,11 +222,11 @@
         previous_index: 1,
         previous_term: 1,
         entries: Vec::new(),
-        commit: 1,
+        commit_index: 1,
         freshness: silversail_consensus::message::LeaderFreshness {
             round: 5,
             confirmed_age: Some(20),
-            echo: Some(silversail_consensus::Stamp {
+            echo: Some(silversail_consensus::ProcessTimestamp {
                 incarnation,
                 at: 900,
             }),
@@ -272,7 +272,7 @@
         accepted,
         match_index,
         round: 1,
-        sent_at: silversail_consensus::Stamp {
+        sent_at: silversail_consensus::ProcessTimestamp {
             incarnation: 1,
             at: 0,
         },
@@ -302,7 +302,7 @@
         previous_index: 1,
         previous_term: 1,
         entries,
-        commit: 1,
+        commit_index: 1,
         freshness: Default::default(),
     };
     two.step(message(1, 2, 2, append), 10);
@@ -366,7 +366,7 @@
         accepted: true,
         match_index: index,
         round: 1,
-        sent_at: silversail_consensus::Stamp {
+        sent_at: silversail_consensus::ProcessTimestamp {
             incarnation: 1,
             at: 0,
         },
