--- a/crates/ledger/src/command.rs
+++ b/crates/ledger/src/command.rs
@@ -1,132 +1,133 @@
-//! Commands and replies of the ledger.
+//! Commands and replies of the ledger state machine.
 
 use serde::{Deserialize, Serialize};
 use silversail_model::{NodeName, ResultCode, TenantName};
 
-/// Identity of a request: the caller's key in its tenant's name space.
+/// Identity of a request: the caller's idempotency key, which is unique within its tenant.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestKey {
-    /// The tenant.
+    /// Tenant that the caller belongs to.
     pub tenant: TenantName,
-    /// The caller's `Idempotency-Key`.
+    /// Value of the `Idempotency-Key` header.
     pub key: String,
 }
 
-/// The process that runs a request.
+/// The process that executes a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
-    /// Its node.
+    /// Node that the process runs on.
     pub node: NodeName,
-    /// Its process on that node.
+    /// Incarnation of the process on that node.
     pub incarnation: u64,
-    /// The request in that process.
+    /// Number of the request within that process.
     pub request: u64,
 }
 
-/// How a request ended; what a repeat of its key gets.
+/// Recorded outcome of a request, returned for later requests with the same key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedOutcome {
-    /// The numbered result.
+    /// Numbered result code.
     pub code: ResultCode,
-    /// The answer's body as the first caller got it.
+    /// Response body as sent to the first caller.
     pub body: Vec<u8>,
 }
 
-/// Takes ownership of a key.
+/// Requests ownership of a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Begin {
-    /// The request.
+    /// Identity of the request.
     pub key: RequestKey,
-    /// SHA-256 of what was asked; a repeat must ask the same.
+    /// SHA-256 digest of the request content; a repeated key must have the same content.
     pub digest: [u8; 32],
-    /// Who would run it.
+    /// The process that would execute the request.
     pub owner: Owner,
-    /// Take over from the owner at this epoch, which is believed dead. Refused
-    /// when it has claimed a call meanwhile.
+    /// Epoch of a presumably failed owner to take over from. Rejected if that owner has claimed a
+    /// call.
     pub take_over: Option<u64>,
-    /// The token of a refusal that the caller has seen and retries after.
+    /// Token of an earlier rejection, which proves that the caller received it before retrying.
     pub retry_token: Option<u64>,
-    /// Milliseconds since the Unix epoch, for retention.
+    /// Current time in milliseconds since the Unix epoch, used for retention.
     pub now_ms: u64,
 }
 
-/// Claims one call before it leaves.
+/// Claims one call to a back end before it is sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The request.
+    /// Identity of the request.
     pub key: RequestKey,
-    /// The claimant's epoch.
+    /// Epoch at which the sender owns the key.
     pub epoch: u64,
-    /// Position of the stage in its pipeline.
+    /// Index of the stage in its pipeline.
     pub stage: u16,
-    /// Identifier of the attempt.
+    /// Identifier of the attempt at this stage.
     pub attempt: u64,
 }
 
-/// Ends a request.
+/// Records the outcome of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Finish {
-    /// The request.
+    /// Identity of the request.
     pub key: RequestKey,
-    /// The owner's epoch.
+    /// Epoch at which the sender owns the key.
     pub epoch: u64,
-    /// How it ended.
+    /// Outcome to record.
     pub outcome: RecordedOutcome,
 }
 
-/// A command of the ledger.
+/// A command to the ledger state machine, encoded with postcard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LedgerCommand {
-    /// See [`Begin`].
+    /// Requests ownership of a key; see [`Begin`].
     Begin(Begin),
-    /// See [`Claim`].
+    /// Claims a call; see [`Claim`].
     Claim(Claim),
-    /// See [`Finish`].
+    /// Records an outcome; see [`Finish`].
     Finish(Finish),
-    /// Ends a key that was never begun, so that no older copy can begin it.
+    /// Records a rejection for a key without an owner, so that a delayed copy of the request
+    /// cannot acquire it.
     Fence {
-        /// The key, as `Begin` has it.
+        /// Key, digest and owner as in [`LedgerCommand::Begin`].
         begin: Begin,
-        /// The refusal.
+        /// The rejection to record.
         outcome: RecordedOutcome,
     },
 }
 
-/// The answer to a [`LedgerCommand`].
+/// Reply to a [`LedgerCommand`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LedgerReply {
-    /// The key is owned by the asker at this epoch.
+    /// The sender owns the key.
     Granted {
-        /// The epoch.
+        /// Epoch of the ownership.
         epoch: u64,
     },
-    /// The key has ended.
+    /// The request has finished and its outcome is recorded.
     AlreadyFinished {
-        /// How.
+        /// The recorded outcome.
         outcome: RecordedOutcome,
-        /// Token that lets a caller who saw a refusal try the key again.
+        /// Token with which a caller that received a rejection may retry the key.
         epoch: u64,
     },
     /// Another process owns the key.
     InProgress {
-        /// Which.
+        /// The current owner.
         owner: Owner,
-        /// At which epoch.
+        /// Epoch of its ownership.
         epoch: u64,
-        /// Whether it has claimed a call.
+        /// Whether the owner has claimed a call.
         claimed: bool,
     },
-    /// The key was used for another request.
+    /// The key was used for a request with other content.
     Conflict,
-    /// The call is claimed and may leave.
+    /// The call is claimed and may be sent.
     Claimed,
-    /// The outcome is kept.
+    /// The outcome is recorded.
     Finished {
         /// Token for [`Begin::retry_token`].
         epoch: u64,
     },
-    /// The epoch is not the key's, or the key has ended: nothing may be sent.
+    /// The sender no longer owns the key or the request has finished; it must not send any call.
     Superseded,
-    /// The command could not be decoded.
+    /// The command cannot be decoded.
     Malformed,
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,8 +1,8 @@
-//! The ledger of requests that may run at most once: who owns a key, which
-//! calls were claimed, and how the request ended.
+//! Replicated ledger of requests that may be executed at most once: the owner of each idempotency
+//! key, the claimed calls and the recorded outcome.
 //!
-//! A claim is committed by a majority of disks before its call leaves. Each
-//! take-over of a key raises its epoch, so an older owner's claims are refused.
+//! A claim is committed by a quorum before its call is sent. Each takeover of a key increases its
+//! epoch, so that claims of earlier owners are rejected.
 
 pub mod command;
 pub mod state;
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -8,8 +8,8 @@
 use silversail_model::Outcome;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How many outlived records are dropped at most with one command.
-const PRUNE_PER_COMMAND: usize = 8;
+/// Maximum number of expired records that one command removes, to bound its cost.
+const MAX_PRUNED_PER_COMMAND: usize = 8;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct ClaimedCall {
@@ -27,50 +27,50 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Begun {
-    at_ms: u64,
+struct Ownership {
+    granted_at_ms: u64,
     epoch: u64,
     key: RequestKey,
 }
 
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-struct Replicated {
+struct ReplicatedState {
     records: BTreeMap<RequestKey, Record>,
-    /// When each ownership began, oldest first.
-    begun: VecDeque<Begun>,
-    /// Largest time seen in a command.
+    /// Ownerships in the order of their start times, oldest first.
+    ownerships: VecDeque<Ownership>,
+    /// Latest time in any command, in milliseconds since the Unix epoch.
     latest_ms: u64,
     next_epoch: u64,
 }
 
-/// The state machine of one ledger group.
+/// State machine of a ledger group.
 #[derive(Debug)]
 pub struct LedgerState {
-    replicated: Replicated,
+    replicated: ReplicatedState,
     retention_ms: u64,
 }
 
 impl LedgerState {
-    /// An empty ledger that keeps records for `retention_ms` from their begin,
-    /// which must be well above the longest deadline.
+    /// Creates an empty ledger that retains each record for `retention_ms` milliseconds after its
+    /// ownership was granted. This must be well above the longest request deadline.
     pub fn new(retention_ms: u64) -> Self {
         Self {
-            replicated: Replicated::default(),
+            replicated: ReplicatedState::default(),
             retention_ms,
         }
     }
 
-    /// Number of records held.
+    /// Number of records, including expired ones that are not removed yet.
     pub fn len(&self) -> usize {
         self.replicated.records.len()
     }
 
-    /// Whether no record is held.
+    /// Whether the ledger has no records.
     pub fn is_empty(&self) -> bool {
         self.replicated.records.is_empty()
     }
 
-    /// Applies one command.
+    /// Applies a decoded command and returns its reply.
     pub fn apply_command(&mut self, command: LedgerCommand) -> LedgerReply {
         match command {
             LedgerCommand::Begin(begin) => self.begin(begin),
@@ -83,32 +83,32 @@
     fn begin(&mut self, begin: Begin) -> LedgerReply {
         self.prune(begin.now_ms);
         let Some(record) = self.replicated.records.get(&begin.key) else {
-            return self.grant(begin);
+            return self.grant_ownership(begin);
         };
         if record.digest != begin.digest {
             return LedgerReply::Conflict;
         }
         if record.outcome.is_none() && record.owner == begin.owner {
-            // A resend of the owner's own command.
+            // The owner sent its command again.
             return LedgerReply::Granted {
                 epoch: record.epoch,
             };
         }
-        let may_take = match &record.outcome {
-            // A refused key stays refused for copies that were sent before the
-            // refusal was seen; only the token proves that it was seen.
+        let may_acquire = match &record.outcome {
+            // Copies of a request that were sent before the caller received the rejection stay
+            // rejected; the token proves that the caller received it.
             Some(outcome) => {
                 outcome.code.outcome() == Outcome::NotRun && begin.retry_token == Some(record.epoch)
             }
             None => begin.take_over == Some(record.epoch) && record.claims.is_empty(),
         };
-        if may_take {
-            return self.grant(begin);
+        if may_acquire {
+            return self.grant_ownership(begin);
         }
-        record_status(record)
+        status_reply(record)
     }
 
-    fn grant(&mut self, begin: Begin) -> LedgerReply {
+    fn grant_ownership(&mut self, begin: Begin) -> LedgerReply {
         self.replicated.next_epoch += 1;
         let epoch = self.replicated.next_epoch;
         let record = Record {
@@ -118,8 +118,8 @@
             claims: Vec::new(),
             outcome: None,
         };
-        self.replicated.begun.push_back(Begun {
-            at_ms: self.replicated.latest_ms,
+        self.replicated.ownerships.push_back(Ownership {
+            granted_at_ms: self.replicated.latest_ms,
             epoch,
             key: begin.key.clone(),
         });
@@ -128,7 +128,7 @@
     }
 
     fn claim(&mut self, claim: Claim) -> LedgerReply {
-        let Some(record) = self.owned(&claim.key, claim.epoch) else {
+        let Some(record) = self.active_record(&claim.key, claim.epoch) else {
             return LedgerReply::Superseded;
         };
         let call = ClaimedCall {
@@ -146,11 +146,11 @@
             return LedgerReply::Superseded;
         };
         if record.epoch != finish.epoch {
-            return record_status(record);
+            return status_reply(record);
         }
-        if let Some(kept) = &record.outcome {
-            if *kept != finish.outcome {
-                return record_status(record);
+        if let Some(recorded) = &record.outcome {
+            if *recorded != finish.outcome {
+                return status_reply(record);
             }
             return LedgerReply::Finished {
                 epoch: finish.epoch,
@@ -174,7 +174,7 @@
         }
     }
 
-    fn owned(&mut self, key: &RequestKey, epoch: u64) -> Option<&mut Record> {
+    fn active_record(&mut self, key: &RequestKey, epoch: u64) -> Option<&mut Record> {
         self.replicated
             .records
             .get_mut(key)
@@ -183,31 +183,31 @@
 
     fn prune(&mut self, now_ms: u64) {
         self.replicated.latest_ms = self.replicated.latest_ms.max(now_ms);
-        let oldest_kept = self.replicated.latest_ms.saturating_sub(self.retention_ms);
-        for _ in 0..PRUNE_PER_COMMAND {
-            match self.replicated.begun.front() {
-                Some(begun) if begun.at_ms < oldest_kept => {}
+        let retention_start_ms = self.replicated.latest_ms.saturating_sub(self.retention_ms);
+        for _ in 0..MAX_PRUNED_PER_COMMAND {
+            match self.replicated.ownerships.front() {
+                Some(ownership) if ownership.granted_at_ms < retention_start_ms => {}
                 _ => return,
             }
-            if let Some(begun) = self.replicated.begun.pop_front() {
-                self.drop_outlived(&begun);
+            if let Some(ownership) = self.replicated.ownerships.pop_front() {
+                self.remove_expired(&ownership);
             }
         }
     }
 
-    fn drop_outlived(&mut self, begun: &Begun) {
+    fn remove_expired(&mut self, ownership: &Ownership) {
         let is_latest = self
             .replicated
             .records
-            .get(&begun.key)
-            .is_some_and(|record| record.epoch == begun.epoch);
+            .get(&ownership.key)
+            .is_some_and(|record| record.epoch == ownership.epoch);
         if is_latest {
-            self.replicated.records.remove(&begun.key);
+            self.replicated.records.remove(&ownership.key);
         }
     }
 }
 
-fn record_status(record: &Record) -> LedgerReply {
+fn status_reply(record: &Record) -> LedgerReply {
     match &record.outcome {
         Some(outcome) => LedgerReply::AlreadyFinished {
             outcome: outcome.clone(),
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/ledger/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger's promises: one owner, claims fenced by epochs, refusals kept.
+//! Guarantees of the ledger: a single owner per key, claims fenced by epochs, recorded outcomes.
 
 use silversail_consensus::StateMachine;
 use silversail_ledger::{
@@ -31,18 +31,18 @@
     }
 }
 
-fn kept(code: ResultCode) -> RecordedOutcome {
+fn recorded(code: ResultCode) -> RecordedOutcome {
     RecordedOutcome {
         code,
         body: vec![7],
     }
 }
 
-fn ledger() -> LedgerState {
+fn empty_ledger() -> LedgerState {
     LedgerState::new(RETENTION_MS)
 }
 
-fn granted(ledger: &mut LedgerState, begin: Begin) -> u64 {
+fn acquire(ledger: &mut LedgerState, begin: Begin) -> u64 {
     match ledger.apply_command(LedgerCommand::Begin(begin)) {
         LedgerReply::Granted { epoch } => epoch,
         other => panic!("{other:?}"),
@@ -63,22 +63,22 @@
     let finish = Finish {
         key: key(),
         epoch,
-        outcome: kept(code),
+        outcome: recorded(code),
     };
     ledger.apply_command(LedgerCommand::Finish(finish))
 }
 
 #[test]
-fn a_resend_of_the_owners_own_begin_gives_the_same_epoch() {
-    let mut ledger = ledger();
-    let epoch = granted(&mut ledger, begin(1));
-    assert_eq!(granted(&mut ledger, begin(1)), epoch);
+fn a_repeated_begin_of_the_owner_returns_the_same_epoch() {
+    let mut ledger = empty_ledger();
+    let epoch = acquire(&mut ledger, begin(1));
+    assert_eq!(acquire(&mut ledger, begin(1)), epoch);
 }
 
 #[test]
-fn a_second_owner_waits_and_can_take_over_only_what_is_not_claimed() {
-    let mut ledger = ledger();
-    let first = granted(&mut ledger, begin(1));
+fn another_process_can_take_over_a_key_only_without_claimed_calls() {
+    let mut ledger = empty_ledger();
+    let first = acquire(&mut ledger, begin(1));
     let reply = ledger.apply_command(LedgerCommand::Begin(begin(2)));
     assert!(matches!(
         reply,
@@ -88,14 +88,14 @@
         take_over: Some(first),
         ..begin(2)
     };
-    let second = granted(&mut ledger, take_over);
+    let second = acquire(&mut ledger, take_over);
     assert_eq!(claim(&mut ledger, first), LedgerReply::Superseded);
     assert_eq!(claim(&mut ledger, second), LedgerReply::Claimed);
-    let late = Begin {
+    let late_takeover = Begin {
         take_over: Some(second),
         ..begin(3)
     };
-    let reply = ledger.apply_command(LedgerCommand::Begin(late));
+    let reply = ledger.apply_command(LedgerCommand::Begin(late_takeover));
     assert!(matches!(
         reply,
         LedgerReply::InProgress { claimed: true, .. }
@@ -103,19 +103,19 @@
 }
 
 #[test]
-fn a_fenced_key_can_not_be_begun_or_claimed_by_an_older_copy() {
-    let mut ledger = ledger();
-    let refusal = kept(ResultCode::DeadlineUnreachable);
+fn a_fenced_key_can_be_acquired_only_with_its_retry_token() {
+    let mut ledger = empty_ledger();
+    let refusal = recorded(ResultCode::DeadlineUnreachable);
     let fence = LedgerCommand::Fence {
         begin: begin(1),
         outcome: refusal.clone(),
     };
     let LedgerReply::Finished { epoch } = ledger.apply_command(fence) else {
-        panic!("not fenced");
+        panic!("the key is not fenced");
     };
-    let older = ledger.apply_command(LedgerCommand::Begin(begin(2)));
+    let delayed_copy = ledger.apply_command(LedgerCommand::Begin(begin(2)));
     assert_eq!(
-        older,
+        delayed_copy,
         LedgerReply::AlreadyFinished {
             outcome: refusal,
             epoch
@@ -126,13 +126,13 @@
         retry_token: Some(epoch),
         ..begin(3)
     };
-    assert!(granted(&mut ledger, retry) > epoch);
+    assert!(acquire(&mut ledger, retry) > epoch);
 }
 
 #[test]
-fn a_token_reopens_refusals_only() {
-    let mut ledger = ledger();
-    let epoch = granted(&mut ledger, begin(1));
+fn a_retry_token_is_accepted_only_after_a_rejection() {
+    let mut ledger = empty_ledger();
+    let epoch = acquire(&mut ledger, begin(1));
     finish(&mut ledger, epoch, ResultCode::AnswerLost);
     let retry = Begin {
         retry_token: Some(epoch),
@@ -143,9 +143,9 @@
 }
 
 #[test]
-fn the_first_outcome_stands() {
-    let mut ledger = ledger();
-    let epoch = granted(&mut ledger, begin(1));
+fn the_first_recorded_outcome_is_not_replaced() {
+    let mut ledger = empty_ledger();
+    let epoch = acquire(&mut ledger, begin(1));
     assert_eq!(
         finish(&mut ledger, epoch, ResultCode::Completed),
         LedgerReply::Finished { epoch }
@@ -158,16 +158,16 @@
     assert_eq!(
         other,
         LedgerReply::AlreadyFinished {
-            outcome: kept(ResultCode::Completed),
+            outcome: recorded(ResultCode::Completed),
             epoch
         }
     );
 }
 
 #[test]
-fn another_body_under_the_same_key_is_a_conflict() {
-    let mut ledger = ledger();
-    granted(&mut ledger, begin(1));
+fn a_request_with_the_same_key_and_another_digest_is_a_conflict() {
+    let mut ledger = empty_ledger();
+    acquire(&mut ledger, begin(1));
     let other = Begin {
         digest: [2; 32],
         ..begin(2)
@@ -179,9 +179,9 @@
 }
 
 #[test]
-fn records_outlive_their_retention_by_nothing_and_snapshots_keep_them() {
-    let mut ledger = ledger();
-    let epoch = granted(&mut ledger, begin(1));
+fn snapshots_include_records_and_expired_records_are_removed() {
+    let mut ledger = empty_ledger();
+    let epoch = acquire(&mut ledger, begin(1));
     finish(&mut ledger, epoch, ResultCode::Completed);
     let mut restored = LedgerState::new(RETENTION_MS);
     assert!(restored.restore(&ledger.snapshot()));
@@ -197,6 +197,6 @@
         now_ms: 1_000 + RETENTION_MS + 1,
         ..begin(3)
     };
-    granted(&mut restored, later);
+    acquire(&mut restored, later);
     assert_eq!(restored.len(), 1);
 }
