--- a/crates/control/src/batch_owners.rs
+++ b/crates/control/src/batch_owners.rs
@@ -1,7 +1,8 @@
-//! Which node batches which service, or which part of one. The leader assigns the
-//! shards to the usable nodes and lets a node keep what it has: an owner that comes back
-//! after a restart does not take its shards from the node that has them meanwhile, as two
-//! nodes that batch one shard do not know of each other's calls and results.
+//! Assignment of service shards to the nodes that batch their calls.
+//!
+//! The leader assigns shards to usable nodes. Assignments are sticky: an owner that returns after
+//! a restart does not get its shards back, as two nodes that batch the same shard at the same time
+//! do not know each other's calls and results.
 
 use silversail_model::topology::Topology;
 use silversail_model::{NodeName, Shard, ShardPlace};
@@ -9,94 +10,93 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
-/// Owners by shard.
+/// Owning node of each shard.
 pub type BatchOwners = BTreeMap<Shard, NodeName>;
 
-/// Back ends of one service, counted by zone.
+/// Number of back ends of one service in each zone.
 pub type BackendsByZone = BTreeMap<String, usize>;
 
-/// More back ends than this are dealt to an owner a zone: all pieces pass their owner's link
-/// and processor.
-const MOST_MAKERS_OF_OWNER: usize = 12;
-/// A service whose back ends are dealt by zone stays so down to this number, so that a
-/// few that come and go do not change all owners.
-const DEALT_DOWN_TO: usize = 8;
+/// Maximum number of back ends of an unsharded service. All calls to them use the owner's link and
+/// processor.
+const MAX_BACKENDS_PER_OWNER: usize = 12;
+/// Maximum number of back ends at which a sharded service becomes unsharded again; lower than
+/// [`MAX_BACKENDS_PER_OWNER`], so that small changes do not reassign all shards.
+const MAX_BACKENDS_TO_UNSHARD: usize = 8;
 
-/// With several regions, a service whose zones have fewer back ends than this in the mean is
-/// dealt by region: an owner of three of them fills few calls, and an order that its zone
-/// can't take goes 20 ms away and back.
-const FEWEST_MAKERS_OF_ZONE: usize = 6;
-/// A service that is dealt by region is dealt by zone from this mean on, so that a few back
-/// ends that come and go do not change all owners.
-const BACK_TO_ZONES_AT: usize = 9;
+/// Minimum mean number of back ends per zone for sharding by zone when there are several regions.
+/// With fewer, owners form small batches and send overflow to other regions.
+const MIN_MEAN_BACKENDS_PER_ZONE: usize = 6;
+/// Minimum mean number of back ends per zone at which a service sharded by region becomes sharded
+/// by zone; higher than [`MIN_MEAN_BACKENDS_PER_ZONE`], so that small changes do not reassign all
+/// shards.
+const MIN_MEAN_BACKENDS_TO_LEAVE_REGIONS: usize = 9;
 
-/// How the back ends of a service are dealt to owners.
+/// How the back ends of a service are divided into shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShardingMode {
-    /// All to one.
+    /// One shard with all back ends.
     Whole,
-    /// Those of each zone to one.
+    /// One shard per zone.
     ByZone,
-    /// Those of each region to one.
+    /// One shard per region.
     ByRegion,
 }
 
 impl ShardingMode {
-    /// How the shards of a service are dealt now.
+    /// Sharding mode of the existing shards of a service.
     fn of<'a>(shards: impl Iterator<Item = &'a Shard>) -> Self {
-        let dealings = shards.map(|shard| match shard.place {
+        let modes = shards.map(|shard| match shard.place {
             ShardPlace::All => Self::Whole,
             ShardPlace::Zone(_) => Self::ByZone,
             ShardPlace::Region { .. } => Self::ByRegion,
         });
-        // Back ends in zones of no known region have shards of their own beside those of
-        // regions.
-        dealings.max().unwrap_or(Self::Whole)
+        // With sharding by region, zones outside of any known region have shards of their own.
+        modes.max().unwrap_or(Self::Whole)
     }
 
-    /// How a service with `makers` that is dealt as `present` is to be dealt.
-    fn next(present: Self, makers: &BackendsByZone, topology: &Topology) -> Self {
-        let count: usize = makers.values().sum();
-        let most_of_owner = match present {
-            Self::Whole => MOST_MAKERS_OF_OWNER,
-            Self::ByRegion | Self::ByZone => DEALT_DOWN_TO,
+    /// Next sharding mode of a service with `backends` whose current mode is `current`.
+    fn next(current: Self, backends: &BackendsByZone, topology: &Topology) -> Self {
+        let count: usize = backends.values().sum();
+        let max_unsharded = match current {
+            Self::Whole => MAX_BACKENDS_PER_OWNER,
+            Self::ByRegion | Self::ByZone => MAX_BACKENDS_TO_UNSHARD,
         };
-        if count <= most_of_owner || makers.len() < 2 {
+        if count <= max_unsharded || backends.len() < 2 {
             return Self::Whole;
         }
-        let fewest_of_zone = match present {
-            Self::ByRegion => BACK_TO_ZONES_AT,
-            Self::Whole | Self::ByZone => FEWEST_MAKERS_OF_ZONE,
+        let min_mean_per_zone = match current {
+            Self::ByRegion => MIN_MEAN_BACKENDS_TO_LEAVE_REGIONS,
+            Self::Whole | Self::ByZone => MIN_MEAN_BACKENDS_PER_ZONE,
         };
-        let regions = makers.keys().map(|zone| topology.region_of(zone));
+        let regions = backends.keys().map(|zone| topology.region_of(zone));
         let has_regions = regions.collect::<BTreeSet<_>>().len() > 1;
-        match has_regions && count < fewest_of_zone * makers.len() {
+        match has_regions && count < min_mean_per_zone * backends.len() {
             true => Self::ByRegion,
             false => Self::ByZone,
         }
     }
 }
 
-/// A node that may own shards.
+/// A node to which shards may be assigned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnerCandidate<'a> {
-    /// The node.
+    /// Name of the node.
     pub node: &'a NodeName,
-    /// Its zone.
+    /// Zone that the node is in.
     pub zone: &'a str,
-    /// Whether it replicates the state and so has other work, and is watched for by all.
+    /// Whether the node is a replica of the control group, which adds load to it.
     pub replicates: bool,
-    /// Whether it leads the control group.
+    /// Whether the node is the leader of the control group.
     pub leads: bool,
-    /// Share of a core that it may use, in hundredths.
+    /// Share of a processor core that the node may use, in percent.
     pub processor_percent: u16,
-    /// Whether callers may be sent to it, so that it may get a shard. One that may not, as
-    /// its configuration is not confirmed, keeps the parts of services that it has.
+    /// Whether the node may serve callers and get new shards. A node whose configuration is not
+    /// confirmed is not usable but keeps its zone and region shards.
     pub usable: bool,
 }
 
-/// The node of `nodes` that comes first for `shard` by rendezvous hash: every node
-/// that asks about the same nodes names the same, and the shards are spread.
+/// Selects an owner for `shard` from `nodes` by rendezvous hashing. The result is the same on every
+/// node that passes the same `nodes`.
 pub fn rendezvous_owner<'a>(
     nodes: impl Iterator<Item = &'a NodeName>,
     shard: &Shard,
@@ -109,126 +109,136 @@
     })
 }
 
-/// The shards of a service with `makers`, where it has those of `owners` now.
+/// Returns the shards that a service with `backends` should have, given its existing ones in
+/// `owners`.
 fn shards_of(
     service: &str,
-    makers: Option<&BackendsByZone>,
+    backends: Option<&BackendsByZone>,
     owners: &BatchOwners,
     topology: &Topology,
 ) -> BTreeSet<Shard> {
-    let present = owners.keys().filter(|shard| shard.service == service);
-    let Some(makers) = makers.filter(|makers| !makers.is_empty()) else {
-        // Nothing is known of its back ends: it stays as it is.
-        let kept: BTreeSet<Shard> = present.cloned().collect();
-        return match kept.is_empty() {
+    let existing = owners.keys().filter(|shard| shard.service == service);
+    let Some(backends) = backends.filter(|backends| !backends.is_empty()) else {
+        // The back ends of the service are not known; keep its existing shards.
+        let retained: BTreeSet<Shard> = existing.cloned().collect();
+        return match retained.is_empty() {
             true => [Shard::whole(service)].into(),
-            false => kept,
+            false => retained,
         };
     };
-    let dealing = ShardingMode::next(ShardingMode::of(present), makers, topology);
-    let shard_of = |zone: &String| match dealing {
+    let mode = ShardingMode::next(ShardingMode::of(existing), backends, topology);
+    let shard_of = |zone: &String| match mode {
         ShardingMode::Whole => Shard::whole(service),
         ShardingMode::ByRegion => Shard::in_region_of(service, zone, topology),
         ShardingMode::ByZone => Shard::in_zone(service, zone),
     };
-    makers.keys().map(shard_of).collect()
+    backends.keys().map(shard_of).collect()
 }
 
-/// Which nodes may get a part of a service that has no owner.
+/// Which nodes may get a zone or region shard without an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnerPlacement {
-    /// Those in it that own no other shard, as long as there are nodes in it at all, which may
-    /// not be usable yet. After a restart of all nodes the first view names one or two, which
-    /// would keep all shards of all services else.
-    Near,
-    /// Those first, then any.
-    Anywhere,
+    /// Only nodes in the shard's zone or region that own no other shard, if there are any nodes
+    /// there, usable or not. After a restart of all nodes this prevents the first usable nodes from
+    /// getting all shards.
+    LocalOnly,
+    /// Any node, with a preference for those of the shard's zone or region.
+    Any,
 }
 
-/// The owner of a shard that has none. For a whole service, a node with the largest share of
-/// a core among those that neither lead nor own another shard: all pieces of a service pass
-/// its owner. For a zone's or region's shard, a node in it that neither replicates the state
-/// nor owns another shard, where there is one.
+/// Selects an owner for a shard without one. An unsharded service gets a node with the largest
+/// processor share that neither is the leader nor owns another shard, as all its calls pass through
+/// the owner. A zone or region shard gets, if possible, a node of that zone or region that neither
+/// is a replica nor owns another shard.
 fn new_owner<'a>(
     shard: &Shard,
     candidates: &[OwnerCandidate<'a>],
-    taken: &BTreeSet<NodeName>,
-    reach: OwnerPlacement,
+    owning_nodes: &BTreeSet<NodeName>,
+    placement: OwnerPlacement,
 ) -> Option<&'a NodeName> {
-    let first = |is_fit: &dyn Fn(&OwnerCandidate) -> bool| {
-        let fit = candidates.iter().filter(|one| one.usable && is_fit(one));
-        rendezvous_owner(fit.map(|one| one.node), shard)
+    let select = |is_suitable: &dyn Fn(&OwnerCandidate) -> bool| {
+        let suitable = candidates
+            .iter()
+            .filter(|candidate| candidate.usable && is_suitable(candidate));
+        rendezvous_owner(suitable.map(|candidate| candidate.node), shard)
     };
     if shard.is_whole() {
-        let is_free = |one: &OwnerCandidate| one.usable && !one.leads && !taken.contains(one.node);
-        let free = candidates.iter().filter(|one| is_free(one));
-        let largest = free.map(|one| one.processor_percent).max();
-        let is_largest = |one: &OwnerCandidate| Some(one.processor_percent) == largest;
-        return first(&|one| is_free(one) && is_largest(one)).or_else(|| first(&|_| true));
+        let is_available = |candidate: &OwnerCandidate| {
+            candidate.usable && !candidate.leads && !owning_nodes.contains(candidate.node)
+        };
+        let available = candidates
+            .iter()
+            .filter(|candidate| is_available(candidate));
+        let largest_share = available.map(|candidate| candidate.processor_percent).max();
+        let has_largest_share =
+            |candidate: &OwnerCandidate| Some(candidate.processor_percent) == largest_share;
+        return select(&|candidate| is_available(candidate) && has_largest_share(candidate))
+            .or_else(|| select(&|_| true));
     }
-    let is_near = |one: &OwnerCandidate| shard.holds(one.zone);
-    let is_free = |one: &OwnerCandidate| !one.replicates && !taken.contains(one.node);
-    let nearest = first(&|one| is_near(one) && is_free(one));
-    if reach == OwnerPlacement::Near && candidates.iter().any(is_near) {
-        return nearest;
+    let is_local = |candidate: &OwnerCandidate| shard.holds(candidate.zone);
+    let is_available = |candidate: &OwnerCandidate| {
+        !candidate.replicates && !owning_nodes.contains(candidate.node)
+    };
+    let local_owner = select(&|candidate| is_local(candidate) && is_available(candidate));
+    if placement == OwnerPlacement::LocalOnly && candidates.iter().any(is_local) {
+        return local_owner;
     }
-    nearest
-        .or_else(|| first(&is_near))
-        .or_else(|| first(&is_free))
-        .or_else(|| first(&|_| true))
+    local_owner
+        .or_else(|| select(&is_local))
+        .or_else(|| select(&is_available))
+        .or_else(|| select(&|_| true))
 }
 
-/// Assigns the shards of `services` to usable nodes; owners that are usable keep what
-/// they have. `makers` counts the back ends by service. True when something changed.
+/// Assigns the shards of `services` to usable nodes; usable owners keep their shards. `backends`
+/// contains the number of back ends of each service. Returns whether any assignment changed.
 ///
-/// The owner of a part of a service keeps it while it holds a lease and does not stop. After
-/// seconds without a leader no node's configuration is confirmed; if only confirmed nodes kept
-/// shards, all would go to the first few and then to others, and what that sends to all nodes
-/// loses the next leaders.
+/// The owner of a zone or region shard keeps it for as long as it is a candidate, even if it is not
+/// usable. After an outage of the control group no node's configuration is confirmed; moving all
+/// shards then would flood the network with view updates and destabilize the next leader.
 pub fn assign(
     owners: &mut BatchOwners,
     services: &[String],
-    makers: &BTreeMap<String, BackendsByZone>,
+    backends: &BTreeMap<String, BackendsByZone>,
     candidates: &[OwnerCandidate],
     topology: &Topology,
 ) -> bool {
-    let reach = OwnerPlacement::Anywhere;
-    assign_with_placement(owners, services, makers, candidates, topology, reach)
+    let placement = OwnerPlacement::Any;
+    assign_with_placement(owners, services, backends, candidates, topology, placement)
 }
 
-/// The same, where parts of services may have to wait for a node within `reach`.
+/// Like [`assign`], with `placement` restricting which nodes may get zone and region shards.
 pub fn assign_with_placement(
     owners: &mut BatchOwners,
     services: &[String],
-    makers: &BTreeMap<String, BackendsByZone>,
+    backends: &BTreeMap<String, BackendsByZone>,
     candidates: &[OwnerCandidate],
     topology: &Topology,
-    reach: OwnerPlacement,
+    placement: OwnerPlacement,
 ) -> bool {
     let shards = services
         .iter()
-        .flat_map(|service| shards_of(service, makers.get(service), owners, topology));
+        .flat_map(|service| shards_of(service, backends.get(service), owners, topology));
     let shards: Vec<Shard> = shards.collect();
-    let keeps = |shard: &Shard, owner: &NodeName| {
-        let candidate = candidates.iter().find(|one| one.node == owner);
-        candidate.is_some_and(|one| one.usable || !shard.is_whole())
+    let keeps_shard = |shard: &Shard, owner: &NodeName| {
+        let candidate = candidates.iter().find(|candidate| candidate.node == owner);
+        candidate.is_some_and(|candidate| candidate.usable || !shard.is_whole())
     };
     let mut next: BatchOwners = owners
         .iter()
-        .filter(|(shard, owner)| shards.contains(shard) && keeps(shard, owner))
+        .filter(|(shard, owner)| shards.contains(shard) && keeps_shard(shard, owner))
         .map(|(shard, owner)| (shard.clone(), owner.clone()))
         .collect();
-    let mut taken: BTreeSet<NodeName> = next.values().cloned().collect();
+    let mut owning_nodes: BTreeSet<NodeName> = next.values().cloned().collect();
     for shard in shards {
         if next.contains_key(&shard) {
             continue;
         }
-        if let Some(owner) = new_owner(&shard, candidates, &taken, reach) {
-            taken.insert(owner.clone());
+        if let Some(owner) = new_owner(&shard, candidates, &owning_nodes, placement) {
+            owning_nodes.insert(owner.clone());
             next.insert(shard, owner.clone());
         }
     }
-    let changed = next != *owners;
+    let has_changed = next != *owners;
     *owners = next;
-    changed
+    has_changed
 }
--- a/crates/control/src/membership_table.rs
+++ b/crates/control/src/membership_table.rs
@@ -1,4 +1,4 @@
-//! The leader's table of nodes, each with a lease renewed by its heartbeats.
+//! The leader's table of live nodes, each with a lease that its heartbeats renew.
 
 use crate::batch_owners::{self, BackendsByZone, BatchOwners, OwnerCandidate, OwnerPlacement};
 use crate::view::{merge_machine, ClusterView, MachineState, NodeReport, NodeStatus, ViewVersion};
@@ -7,35 +7,35 @@
 use silversail_model::NodeName;
 use std::collections::BTreeMap;
 
-/// How long a leader that knew no view listens before it assigns services, in
-/// milliseconds: nodes that do not serve yet send heartbeats every 100 ms.
-const ASSIGNS_AFTER: Millis = 300;
-/// How long after that a part of a service waits for a node in it, in milliseconds: nodes that
-/// start at once become usable over half a second.
-const NEAR_ONLY_FOR: Millis = 1_000;
+/// Time for which a leader without an earlier view collects heartbeats before it assigns
+/// services, in milliseconds. Nodes that do not serve yet send one every 100 ms.
+const ASSIGNMENT_DELAY: Millis = 300;
+/// Time after that for which zone and region shards are assigned only to local nodes, in
+/// milliseconds. Nodes that start together become usable within about half of it.
+const LOCAL_ONLY_DURATION: Millis = 1_000;
 
 struct Lease {
     status: NodeStatus,
-    /// Whether the node told that it stops.
+    /// Whether the node reported that it is stopping.
     stopping: bool,
     expires_at: Millis,
 }
 
-/// Leases of nodes and states of machines. Kept by the leader only; a new
-/// leader starts with what its last view said, each lease renewed once, so that
-/// an election takes no node out of the answers.
+/// Node leases and machine states. Only the leader has this table. A new leader initializes it
+/// from its last view with renewed leases, so that an election removes no node from the view.
 pub struct MembershipTable {
     lease_duration: Millis,
     leases: BTreeMap<NodeName, Lease>,
     machines: Vec<MachineState>,
     batch_owners: BatchOwners,
-    /// From when on services are assigned.
-    assigns_from: Millis,
+    /// Time from which services are assigned.
+    assignment_start: Millis,
     version: ViewVersion,
 }
 
 impl MembershipTable {
-    /// The table of a leader elected in `term` that knew `last_view`.
+    /// Creates the table of a leader that was elected in `term` and has `last_view`. Times are in
+    /// milliseconds.
     pub fn new(term: u64, last_view: &ClusterView, lease_duration: Millis, now: Millis) -> Self {
         let leases = last_view
             .nodes
@@ -49,27 +49,26 @@
                 (status.node.clone(), lease)
             })
             .collect();
-        // A leader without a memory hears of the nodes first; they go on with the
-        // owners that they know.
-        let knows_nodes = !last_view.nodes.is_empty();
-        let assigns_from = if knows_nodes {
+        // A leader without an earlier view collects heartbeats first; until then nodes keep using
+        // the owners of their own views.
+        let has_nodes = !last_view.nodes.is_empty();
+        let assignment_start = if has_nodes {
             now
         } else {
-            now + ASSIGNS_AFTER
+            now + ASSIGNMENT_DELAY
         };
         Self {
             lease_duration,
             leases,
             machines: last_view.machines.clone(),
             batch_owners: last_view.batch_owners.clone(),
-            assigns_from,
+            assignment_start,
             version: ViewVersion { term, sequence: 1 },
         }
     }
 
-    /// Takes in a heartbeat. A report of a former process of the same node,
-    /// held back on its way, does not displace the current one's lease: see
-    /// [`NodeReport::incarnation`], which grows with each start.
+    /// Records the report of a heartbeat and renews the node's lease. A delayed report of an
+    /// earlier process of the node, with a lower incarnation, has no effect on the lease.
     pub fn record_report(&mut self, report: &NodeReport, now: Millis) {
         for machine in &report.machines {
             if merge_machine(&mut self.machines, machine) {
@@ -107,41 +106,41 @@
         }
     }
 
-    /// Drops the leases that ended.
+    /// Removes expired leases.
     pub fn expire(&mut self, now: Millis) {
-        let before = self.leases.len();
+        let previous_count = self.leases.len();
         self.leases.retain(|_, lease| lease.expires_at > now);
-        if self.leases.len() != before {
+        if self.leases.len() != previous_count {
             self.version.sequence += 1;
         }
     }
 
-    /// Assigns the services that are batched to the usable nodes. `makers` counts their
-    /// back ends, `replicating` names the nodes that replicate the state, `leader` the one
-    /// that leads; `topology` tells which zones are near each other.
+    /// Assigns batched services to usable nodes. `backends` contains the number of their back ends,
+    /// `replica_nodes` the nodes of the control group's replicas, `leader` the node of its leader,
+    /// and `topology` the regions of the zones.
     pub fn assign_services(
         &mut self,
         services: &[String],
-        makers: &BTreeMap<String, BackendsByZone>,
-        replicating: &[NodeName],
+        backends: &BTreeMap<String, BackendsByZone>,
+        replica_nodes: &[NodeName],
         leader: &NodeName,
         topology: &Topology,
         now: Millis,
     ) {
-        if now < self.assigns_from {
+        if now < self.assignment_start {
             return;
         }
-        let reach = match now < self.assigns_from + NEAR_ONLY_FOR {
-            true => OwnerPlacement::Near,
-            false => OwnerPlacement::Anywhere,
+        let placement = match now < self.assignment_start + LOCAL_ONLY_DURATION {
+            true => OwnerPlacement::LocalOnly,
+            false => OwnerPlacement::Any,
         };
         let leases = self.leases.values();
-        let staying = leases.filter(|lease| !lease.stopping);
-        let candidates: Vec<OwnerCandidate> = staying
+        let remaining = leases.filter(|lease| !lease.stopping);
+        let candidates: Vec<OwnerCandidate> = remaining
             .map(|lease| OwnerCandidate {
                 node: &lease.status.node,
                 zone: &lease.status.zone,
-                replicates: replicating.contains(&lease.status.node),
+                replicates: replica_nodes.contains(&lease.status.node),
                 leads: lease.status.node == *leader,
                 processor_percent: lease.status.processor_percent,
                 usable: lease.status.usable,
@@ -150,22 +149,22 @@
         if batch_owners::assign_with_placement(
             &mut self.batch_owners,
             services,
-            makers,
+            backends,
             &candidates,
             topology,
-            reach,
+            placement,
         ) {
             self.version.sequence += 1;
         }
     }
 
-    /// The processes that hold a lease.
+    /// Node and incarnation of each process with a lease.
     pub fn processes(&self) -> impl Iterator<Item = (&NodeName, u64)> {
         let leases = self.leases.values();
         leases.map(|lease| (&lease.status.node, lease.status.incarnation))
     }
 
-    /// The current view.
+    /// Builds the current view.
     pub fn view(&self) -> ClusterView {
         ClusterView {
             version: self.version,
