--- a/crates/control/src/configuration_state.rs
+++ b/crates/control/src/configuration_state.rs
@@ -1,4 +1,4 @@
-//! The replicated configuration.
+//! Replicated configuration with its change history.
 
 use crate::change::{ChangeOutcome, ChangeRequest};
 use crate::update::ConfigurationUpdate;
@@ -6,53 +6,53 @@
 use silversail_model::{ChangeId, Configuration, ConfigurationDocument, Revision};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How many change identifiers are remembered with their answers.
-pub const REMEMBERED_CHANGES: usize = 10_000;
-/// How many changes are kept to bring nodes up to date without the whole
+/// Number of change identifiers whose outcomes are stored to answer repeated requests.
+pub const MAX_RECORDED_CHANGES: usize = 10_000;
+/// Number of recent changes that are stored to update nodes without sending the full
 /// configuration.
-pub const RECENT_CHANGES: usize = 512;
+pub const MAX_RECENT_CHANGES: usize = 512;
 
-/// One accepted change, for `history`.
+/// An accepted change in the history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HistoryEntry {
-    /// The revision that it created.
+    /// Revision that the change created.
     pub revision: Revision,
-    /// Its identifier.
+    /// Identifier chosen by the operator.
     pub change_id: ChangeId,
-    /// Who made it.
+    /// Operator who made the change.
     pub operator: String,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct RememberedChange {
+struct RecordedChange {
     fingerprint: u32,
     outcome: ChangeOutcome,
 }
 
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-struct Replicated {
+struct ReplicatedState {
     revision: Revision,
     configuration: Configuration,
-    remembered: BTreeMap<ChangeId, RememberedChange>,
-    remembered_order: VecDeque<ChangeId>,
+    recorded: BTreeMap<ChangeId, RecordedChange>,
+    recorded_order: VecDeque<ChangeId>,
     history: VecDeque<HistoryEntry>,
 }
 
 /// The configuration with its accepted changes.
 #[derive(Debug, Default)]
 pub struct ConfigurationState {
-    replicated: Replicated,
-    /// Changes since the last restart or snapshot; derived, not replicated.
+    replicated: ReplicatedState,
+    /// Changes since the last restart or snapshot; not part of the replicated state.
     recent: VecDeque<(Revision, ConfigurationDocument)>,
 }
 
 impl ConfigurationState {
-    /// The current revision.
+    /// Revision of the current configuration.
     pub fn revision(&self) -> Revision {
         self.replicated.revision
     }
 
-    /// The current configuration.
+    /// Configuration at the current revision.
     pub fn configuration(&self) -> &Configuration {
         &self.replicated.configuration
     }
@@ -62,28 +62,29 @@
         self.replicated.history.iter()
     }
 
-    /// What a node at revision `have` lacks: single changes where they are
-    /// still known, else everything. None when it is current. `have` is none
-    /// for a node that has no configuration yet.
-    pub fn update_since(&self, have: Option<Revision>) -> Option<ConfigurationUpdate> {
+    /// Update for a node at revision `held_revision`: the later changes if they are all stored, otherwise
+    /// the full configuration. Returns `None` if the node is current. `held_revision` is `None` for a
+    /// node without a configuration.
+    pub fn update_since(&self, held_revision: Option<Revision>) -> Option<ConfigurationUpdate> {
         let current = self.revision();
-        let Some(have) = have.filter(|have| *have <= current) else {
+        let Some(held_revision) = held_revision.filter(|held_revision| *held_revision <= current)
+        else {
             return Some(self.full_update());
         };
-        if have == current {
+        if held_revision == current {
             return None;
         }
         let documents: Vec<ConfigurationDocument> = self
             .recent
             .iter()
-            .filter(|(revision, _)| *revision > have)
+            .filter(|(revision, _)| *revision > held_revision)
             .map(|(_, document)| document.clone())
             .collect();
-        if documents.len() as Revision != current - have {
+        if documents.len() as Revision != current - held_revision {
             return Some(self.full_update());
         }
         Some(ConfigurationUpdate::Changes {
-            base: have,
+            base: held_revision,
             documents,
         })
     }
@@ -95,22 +96,22 @@
         }
     }
 
-    /// Applies a change, or gives the first answer when it was seen before.
+    /// Applies a change, or returns the recorded outcome if its identifier is known.
     pub fn apply_change(&mut self, request: ChangeRequest) -> ChangeOutcome {
         let fingerprint = fingerprint(&request);
-        if let Some(known) = self.replicated.remembered.get(&request.change_id) {
-            if known.fingerprint != fingerprint {
+        if let Some(previous) = self.replicated.recorded.get(&request.change_id) {
+            if previous.fingerprint != fingerprint {
                 return ChangeOutcome::ChangeIdReused;
             }
-            return known.outcome.clone();
+            return previous.outcome.clone();
         }
         let change_id = request.change_id.clone();
-        let outcome = self.decide(request);
-        self.remember(change_id, fingerprint, outcome.clone());
+        let outcome = self.accept_change(request);
+        self.record_change(change_id, fingerprint, outcome.clone());
         outcome
     }
 
-    fn decide(&mut self, request: ChangeRequest) -> ChangeOutcome {
+    fn accept_change(&mut self, request: ChangeRequest) -> ChangeOutcome {
         let current = self.revision();
         if request.base_revision != current {
             return ChangeOutcome::Conflict { current };
@@ -129,23 +130,21 @@
             operator: request.operator,
         });
         self.recent.push_back((revision, request.document));
-        trim(&mut self.replicated.history, RECENT_CHANGES);
-        trim(&mut self.recent, RECENT_CHANGES);
+        trim(&mut self.replicated.history, MAX_RECENT_CHANGES);
+        trim(&mut self.recent, MAX_RECENT_CHANGES);
         ChangeOutcome::Accepted { revision }
     }
 
-    fn remember(&mut self, change_id: ChangeId, fingerprint: u32, outcome: ChangeOutcome) {
-        let remembered = RememberedChange {
+    fn record_change(&mut self, change_id: ChangeId, fingerprint: u32, outcome: ChangeOutcome) {
+        let recorded = RecordedChange {
             fingerprint,
             outcome,
         };
-        self.replicated
-            .remembered
-            .insert(change_id.clone(), remembered);
-        self.replicated.remembered_order.push_back(change_id);
-        if self.replicated.remembered_order.len() > REMEMBERED_CHANGES {
-            if let Some(oldest) = self.replicated.remembered_order.pop_front() {
-                self.replicated.remembered.remove(&oldest);
+        self.replicated.recorded.insert(change_id.clone(), recorded);
+        self.replicated.recorded_order.push_back(change_id);
+        if self.replicated.recorded_order.len() > MAX_RECORDED_CHANGES {
+            if let Some(oldest) = self.replicated.recorded_order.pop_front() {
+                self.replicated.recorded.remove(&oldest);
             }
         }
     }
@@ -163,12 +162,12 @@
 }
 
 impl ConfigurationState {
-    /// The whole state, encoded.
+    /// Encodes the replicated state.
     pub fn snapshot(&self) -> Vec<u8> {
         postcard::to_stdvec(&self.replicated).expect("encoding into memory does not fail")
     }
 
-    /// Replaces the state by a snapshot; false when it can't be decoded.
+    /// Replaces the state with a snapshot; returns false if it cannot be decoded.
     pub fn restore(&mut self, snapshot: &[u8]) -> bool {
         let Ok(replicated) = postcard::from_bytes(snapshot) else {
             return false;
--- a/crates/control/src/control_state.rs
+++ b/crates/control/src/control_state.rs
@@ -1,5 +1,5 @@
-//! The state machine of the control group: configuration, orders to engines, and what operators
-//! ordered of zones and versions.
+//! State machine of the control group: configuration, engine orders, traffic configuration,
+//! evacuations, rollouts and quarantined requests.
 
 use crate::change::ChangeRequest;
 use crate::configuration_state::ConfigurationState;
@@ -12,12 +12,12 @@
 use silversail_quarantine::{Quarantine, QuarantineCommand};
 use std::sync::Arc;
 
-/// A command of the control group.
+/// Command to the control group, encoded with postcard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ControlCommand {
     /// Changes the configuration; answered by a [`crate::ChangeOutcome`].
     Change(ChangeRequest),
-    /// About orders to engines; answered by an [`crate::orders::OrderReply`].
+    /// Issues or ends an engine order; answered by an [`crate::orders::OrderReply`].
     Order(OrderCommand),
     /// Publishes a traffic configuration; answered by a
     /// [`crate::published::PublishReply`].
@@ -25,35 +25,34 @@
     /// Begins or ends the evacuation of a zone; answered by a
     /// [`crate::evacuation::EvacuationReply`].
     Evacuate(EvacuationOrder),
-    /// About rollouts of versions; answered by a [`crate::rollouts::RolloutReply`].
+    /// Starts, advances or ends a rollout; answered by a [`crate::rollouts::RolloutReply`].
     Rollout(RolloutCommand),
-    /// About requests that crash back ends; answered by a
+    /// Records crashes or updates quarantined requests; answered by a
     /// [`silversail_quarantine::QuarantineReply`].
     Quarantine(QuarantineCommand),
 }
 
 impl ControlCommand {
-    /// The command as the group replicates it.
+    /// Encodes the command for replication.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 }
 
-/// Configuration, orders, the published traffic configuration, evacuated zones, rollouts and
-/// requests that are refused as they crash back ends.
+/// Replicated state of the control group.
 #[derive(Debug, Default)]
 pub struct ControlState {
-    /// The configuration.
+    /// Configuration with its accepted changes.
     pub configuration: ConfigurationState,
-    /// The orders.
+    /// Outstanding orders to engines.
     pub orders: OrderTable,
-    /// The traffic configuration in force, once there is one.
+    /// Traffic configuration in force; `None` until one is published.
     pub published: Option<SharedTraffic>,
-    /// The zones that get no new work.
+    /// Zones whose back ends get no new requests.
     pub evacuations: SharedEvacuations,
     /// The latest rollout of each service.
     pub rollouts: SharedRollouts,
-    /// Requests that crash back ends.
+    /// Requests that crash back ends, with the evidence for it.
     pub quarantine: Quarantine,
 }
 
@@ -63,7 +62,8 @@
         if let (true, Some(published)) = (reply.is_new, &self.published) {
             let services = &published.traffic.services;
             let rollouts = Arc::make_mut(&mut self.rollouts);
-            rollouts.keep_services(|name| services.iter().any(|service| service.name == name));
+            rollouts
+                .prune_removed_services(|name| services.iter().any(|service| service.name == name));
         }
         reply
     }
--- a/crates/control/src/crash_table.rs
+++ b/crates/control/src/crash_table.rs
@@ -1,46 +1,47 @@
-//! What the nodes told of crashes, as the leader puts it together.
+//! Aggregation of the nodes' crash reports on the leader.
 
 use crate::view::NodeReport;
 use silversail_consensus::Millis;
 use silversail_model::{NodeName, RequestFingerprint};
 use std::collections::BTreeSet;
 
-/// How long after the first node told of a crash the others are waited for, in milliseconds, so
-/// that its requests are judged together: nodes tell at once, and relays pass it on within 100.
-const SETTLES_AFTER: Millis = 200;
-/// Tellings of one back end's end are of the same crash within this time, in milliseconds.
-const SAME_CRASH_WITHIN: Millis = 3_000;
-/// How long a crash is held, in milliseconds: longer than nodes tell of it.
-const HELD_FOR: Millis = 20_000;
-/// Crashes held at most; the oldest are dropped first.
-const MOST_HELD: usize = 1_024;
+/// Time after the first report of a crash for which reports of other nodes are collected, in
+/// milliseconds. Relays forward reports within 100 ms.
+const CRASH_SETTLE_DURATION: Millis = 200;
+/// Maximum distance of the crash times in reports about the same crash of a back end, in
+/// milliseconds.
+const SAME_CRASH_WINDOW: Millis = 3_000;
+/// Time for which a crash is retained, in milliseconds; longer than nodes report it.
+const CRASH_RETENTION: Millis = 20_000;
+/// Maximum number of retained crashes; the oldest are removed first.
+const MAX_CRASHES: usize = 1_024;
 
-/// A crash that nodes told of.
+/// A back-end crash that nodes reported.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportedCrash {
-    /// The back end that ended.
+    /// Back end that crashed.
     pub backend: String,
-    /// When, by the leader's monotonic clock.
+    /// Time of the crash on the leader's monotonic clock, in milliseconds.
     pub at: Millis,
-    /// When it was first told of.
-    told_at: Millis,
-    /// The requests that broke off there.
+    /// Time of the first report on the leader's monotonic clock, in milliseconds.
+    first_reported_at: Millis,
+    /// Requests that were interrupted by the crash.
     pub fingerprints: BTreeSet<RequestFingerprint>,
-    /// The nodes that told of it.
+    /// Nodes that reported the crash.
     pub reported_by: BTreeSet<NodeName>,
-    /// Those of the requests that are committed.
-    committed: BTreeSet<RequestFingerprint>,
+    /// Requests of this crash that are already committed.
+    committed_requests: BTreeSet<RequestFingerprint>,
 }
 
 impl ReportedCrash {
-    fn is_due(&self, now: Millis) -> bool {
-        let has_settled = now.saturating_sub(self.told_at) >= SETTLES_AFTER;
-        has_settled && self.fingerprints != self.committed
+    fn has_uncommitted_requests(&self, now: Millis) -> bool {
+        let has_settled = now.saturating_sub(self.first_reported_at) >= CRASH_SETTLE_DURATION;
+        has_settled && self.fingerprints != self.committed_requests
     }
 }
 
-/// Crashes that nodes told of lately. Held by the leader; a new leader has it within a heartbeat
-/// of all nodes, as these tell each crash for seconds.
+/// Recently reported crashes. Only the leader has this table; a new leader rebuilds it from the
+/// next heartbeats, as nodes repeat their reports for several seconds.
 #[derive(Debug, Default)]
 pub struct CrashTable {
     crashes: Vec<ReportedCrash>,
@@ -48,55 +49,66 @@
 }
 
 impl CrashTable {
-    /// Takes in a heartbeat.
+    /// Records the crashes and completed requests of a heartbeat.
     pub fn record_report(&mut self, report: &NodeReport, now: Millis) {
         self.completed_requests.extend(&report.completed_requests);
         for sighting in &report.crashes {
-            let at = now.saturating_sub(sighting.age_ms);
-            let crash = self.crash_of(&sighting.backend, at, now);
+            let crashed_at = now.saturating_sub(sighting.age_ms);
+            let crash = self.find_or_insert_crash(&sighting.backend, crashed_at, now);
             crash.fingerprints.extend(&sighting.fingerprints);
             crash.reported_by.insert(report.node.clone());
         }
     }
 
-    fn crash_of(&mut self, backend: &str, at: Millis, now: Millis) -> &mut ReportedCrash {
-        let is_same =
-            |one: &ReportedCrash| one.backend == backend && one.at.abs_diff(at) < SAME_CRASH_WITHIN;
+    fn find_or_insert_crash(
+        &mut self,
+        backend: &str,
+        crashed_at: Millis,
+        now: Millis,
+    ) -> &mut ReportedCrash {
+        let is_same = |crash: &ReportedCrash| {
+            crash.backend == backend && crash.at.abs_diff(crashed_at) < SAME_CRASH_WINDOW
+        };
         let position = self.crashes.iter().position(is_same);
         let position = position.unwrap_or_else(|| {
-            if self.crashes.len() == MOST_HELD {
+            if self.crashes.len() == MAX_CRASHES {
                 self.crashes.remove(0);
             }
             self.crashes.push(ReportedCrash {
                 backend: backend.to_owned(),
-                at,
-                told_at: now,
+                at: crashed_at,
+                first_reported_at: now,
                 fingerprints: BTreeSet::new(),
                 reported_by: BTreeSet::new(),
-                committed: BTreeSet::new(),
+                committed_requests: BTreeSet::new(),
             });
             self.crashes.len() - 1
         });
         &mut self.crashes[position]
     }
 
-    /// Crashes of which something is to be committed.
+    /// Removes old crashes and returns those with requests that are not committed yet.
     pub fn uncommitted(&mut self, now: Millis) -> Vec<ReportedCrash> {
         self.crashes
-            .retain(|one| now.saturating_sub(one.told_at) < HELD_FOR);
-        let due = self.crashes.iter().filter(|one| one.is_due(now));
-        due.cloned().collect()
+            .retain(|crash| now.saturating_sub(crash.first_reported_at) < CRASH_RETENTION);
+        let uncommitted = self
+            .crashes
+            .iter()
+            .filter(|crash| crash.has_uncommitted_requests(now));
+        uncommitted.cloned().collect()
     }
 
-    /// A crash is committed with the requests that were known of it.
+    /// Records that a crash was committed with the requests that `crash` contains.
     pub fn mark_committed(&mut self, crash: &ReportedCrash) {
-        let is_same = |one: &&mut ReportedCrash| one.backend == crash.backend && one.at == crash.at;
-        if let Some(known) = self.crashes.iter_mut().find(is_same) {
-            known.committed.extend(&crash.fingerprints);
+        let is_same = |reported: &&mut ReportedCrash| {
+            reported.backend == crash.backend && reported.at == crash.at
+        };
+        if let Some(reported) = self.crashes.iter_mut().find(is_same) {
+            reported.committed_requests.extend(&crash.fingerprints);
         }
     }
 
-    /// Takes the requests that got whole answers.
+    /// Returns and clears the quarantined requests that were nevertheless completed.
     pub fn take_completed_requests(&mut self) -> BTreeSet<RequestFingerprint> {
         std::mem::take(&mut self.completed_requests)
     }
--- a/crates/control/src/evidence_table.rs
+++ b/crates/control/src/evidence_table.rs
@@ -1,4 +1,4 @@
-//! What the nodes told of rollouts in progress, as the leader sums it.
+//! Aggregation of the nodes' evidence about rollouts in progress, on the leader.
 
 use crate::rollouts::Rollouts;
 use crate::view::NodeReport;
@@ -6,61 +6,61 @@
 use silversail_rollout::{Evidence, RolloutNumber};
 use std::collections::BTreeMap;
 
-/// What was told of one rollout.
+/// Reports about one rollout.
 #[derive(Debug, Default)]
-struct Told {
-    /// By node: its present process, and what that one told last.
+struct RolloutReports {
+    /// Incarnation and latest evidence of the current process of each node.
     processes: BTreeMap<NodeName, (u64, Evidence)>,
-    /// Counts of processes that another one of their node has followed.
-    gone: Evidence,
+    /// Sum of the counts of earlier processes of the same nodes.
+    ended_processes: Evidence,
 }
 
-impl Told {
-    /// Takes what a process told. An older message of it, that another relay passed on late, and
-    /// one of a former process change nothing: counts of a process only grow.
-    fn take(&mut self, node: &NodeName, incarnation: u64, evidence: &Evidence) {
-        let Some((known_incarnation, known)) = self.processes.get_mut(node) else {
+impl RolloutReports {
+    /// Records the evidence of a process. Delayed evidence, of the same or an earlier process, is
+    /// ignored; it is recognized by its counts, which only grow within a process.
+    fn record(&mut self, node: &NodeName, incarnation: u64, evidence: &Evidence) {
+        let Some((latest_incarnation, latest)) = self.processes.get_mut(node) else {
             let entry = (incarnation, evidence.clone());
             self.processes.insert(node.clone(), entry);
             return;
         };
-        if incarnation < *known_incarnation {
+        if incarnation < *latest_incarnation {
             return;
         }
-        if incarnation == *known_incarnation {
-            if progress_of(evidence) >= progress_of(known) {
-                *known = evidence.clone();
+        if incarnation == *latest_incarnation {
+            if progress_key(evidence) >= progress_key(latest) {
+                *latest = evidence.clone();
             }
             return;
         }
-        let former = std::mem::replace(known, evidence.clone());
-        *known_incarnation = incarnation;
-        self.gone.merge(&former);
+        let former = std::mem::replace(latest, evidence.clone());
+        *latest_incarnation = incarnation;
+        self.ended_processes.merge(&former);
     }
 }
 
-/// Orders what one process tells: the directive that it obeys, then requests sent and ended.
-fn progress_of(evidence: &Evidence) -> (u32, u64) {
+/// Sort key for the evidence of one process: the step of its directive, then its request counts.
+fn progress_key(evidence: &Evidence) -> (u32, u64) {
     let versions = evidence
         .routes
         .values()
-        .flat_map(|seen| [&seen.baseline, &seen.candidate]);
+        .flat_map(|route| [&route.baseline, &route.candidate]);
     let counted = versions.map(|answers| answers.sent + answers.good + answers.bad);
     (evidence.step, counted.sum())
 }
 
-/// The latest evidence of each process by rollout in progress, and which nodes are live. Held by
-/// the leader; a new leader has it within a heartbeat of all nodes, but for what processes told
-/// that have ended since.
+/// The latest evidence of each process for each rollout in progress, and the live processes. Only
+/// the leader has this table. A new leader rebuilds it from the next heartbeats, without the
+/// evidence of processes that have ended.
 #[derive(Debug, Default)]
 pub struct EvidenceTable {
-    rollouts: BTreeMap<RolloutNumber, Told>,
-    /// The processes that hold a lease.
+    rollouts: BTreeMap<RolloutNumber, RolloutReports>,
+    /// Incarnations of the processes with a lease, by node.
     live: BTreeMap<NodeName, u64>,
 }
 
 impl EvidenceTable {
-    /// Takes in a heartbeat.
+    /// Records the evidence of a heartbeat.
     pub fn record_report(&mut self, report: &NodeReport, rollouts: &Rollouts) {
         for evidence in &report.evidence {
             let number = evidence.rollout;
@@ -68,13 +68,13 @@
                 .by_number(number)
                 .is_some_and(|rollout| rollout.is_in_progress());
             if is_in_progress {
-                let told = self.rollouts.entry(number).or_default();
-                told.take(&report.node, report.incarnation, evidence);
+                let reports = self.rollouts.entry(number).or_default();
+                reports.record(&report.node, report.incarnation, evidence);
             }
         }
     }
 
-    /// Takes the live processes, and drops what was told of rollouts that have ended.
+    /// Sets the live processes and removes the evidence of rollouts that have ended.
     pub fn update_live_processes<'a>(
         &mut self,
         live: impl Iterator<Item = (&'a NodeName, u64)>,
@@ -93,54 +93,55 @@
         });
     }
 
-    /// The sum over all processes. Of those that are gone, what they had under way and the step
-    /// that they obeyed do not count.
+    /// Sums the evidence of all processes. In-flight requests and directive steps of processes that
+    /// are no longer live are excluded.
     pub fn sum(&self, number: RolloutNumber) -> Evidence {
         let mut sum = Evidence {
             rollout: number,
             step: u32::MAX,
             ..Evidence::default()
         };
-        let Some(told) = self.rollouts.get(&number) else {
+        let Some(reports) = self.rollouts.get(&number) else {
             sum.step = 0;
             return sum;
         };
         let mut has_live = false;
-        for (node, (incarnation, evidence)) in &told.processes {
+        for (node, (incarnation, evidence)) in &reports.processes {
             match self.live.get(node) == Some(incarnation) {
                 true => {
                     has_live = true;
                     sum.merge(evidence);
                 }
-                false => sum.merge(&counts_of(evidence)),
+                false => sum.merge(&retained_counts(evidence)),
             }
         }
-        sum.merge(&counts_of(&told.gone));
+        sum.merge(&retained_counts(&reports.ended_processes));
         if !has_live {
             sum.step = 0;
         }
         sum
     }
 
-    /// Whether every live node told that it obeys the directive of this step, or a later one.
+    /// Whether every live process reported that it follows the directive of this or a later step.
     pub fn is_in_force(&self, number: RolloutNumber, step: u32) -> bool {
-        let Some(told) = self.rollouts.get(&number) else {
+        let Some(reports) = self.rollouts.get(&number) else {
             return false;
         };
-        let obeys = |node: &NodeName, incarnation: u64| {
-            let process = told.processes.get(node);
-            process.is_some_and(|(known, evidence)| *known == incarnation && evidence.step >= step)
+        let has_applied_step = |node: &NodeName, incarnation: u64| {
+            let process = reports.processes.get(node);
+            process
+                .is_some_and(|(latest, evidence)| *latest == incarnation && evidence.step >= step)
         };
         !self.live.is_empty()
             && self
                 .live
                 .iter()
-                .all(|(node, incarnation)| obeys(node, *incarnation))
+                .all(|(node, incarnation)| has_applied_step(node, *incarnation))
     }
 }
 
-/// What a process that is gone counted.
-fn counts_of(evidence: &Evidence) -> Evidence {
+/// Evidence of an ended process that still counts: its routes, without in-flight requests and step.
+fn retained_counts(evidence: &Evidence) -> Evidence {
     Evidence {
         rollout: evidence.rollout,
         step: u32::MAX,
--- a/crates/control/src/order_plan.rs
+++ b/crates/control/src/order_plan.rs
@@ -1,4 +1,4 @@
-//! Which orders bring the engines from what they hold to what is declared.
+//! Plans the orders that bring the loaded models of engines in line with the configuration.
 
 use crate::orders::{OrderAction, OrderTable};
 use silversail_model::{Backend, BackendKind, BackendName, Configuration, Model};
@@ -6,27 +6,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
-/// Models that each engine said it holds; engines that said nothing lately are
-/// absent, and get no orders.
+/// Models that each engine reported as loaded. Engines without a recent report are absent and get
+/// no orders.
 pub type LoadedModels = BTreeMap<BackendName, BTreeSet<String>>;
 
 /// An order to be issued.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedOrder {
-    /// The engine.
+    /// Engine that gets the order.
     pub backend: BackendName,
-    /// What to do.
+    /// Whether to load or unload the model.
     pub action: OrderAction,
-    /// With which model.
+    /// Name of the model.
     pub model: String,
 }
 
-/// The models that each managed engine shall hold. Engines keep what they hold
-/// where that serves; else the engine with the most room is chosen, ties broken
-/// by a hash that every node computes alike.
-pub fn target(
+/// Computes the models that each managed engine should have loaded. Engines that already have a
+/// model are preferred, then those with the most free slots; ties are broken by a hash that is the
+/// same on every node.
+pub fn target_placement(
     configuration: &Configuration,
-    holdings: &LoadedModels,
+    loaded_models: &LoadedModels,
     is_leaving: impl Fn(&Backend) -> bool,
 ) -> LoadedModels {
     let engines: Vec<&Backend> = configuration
@@ -34,14 +34,14 @@
         .values()
         .filter(|backend| backend.managed && backend.kind == BackendKind::Engine)
         .filter(|backend| !backend.drain && !is_leaving(backend))
-        .filter(|backend| holdings.contains_key(&backend.name))
+        .filter(|backend| loaded_models.contains_key(&backend.name))
         .collect();
     let mut target: LoadedModels = engines
         .iter()
         .map(|engine| (engine.name.clone(), BTreeSet::new()))
         .collect();
     for model in configuration.models.values() {
-        for engine in choose(model, &engines, holdings, &target) {
+        for engine in select_engines(model, &engines, loaded_models, &target) {
             if let Some(models) = target.get_mut(&engine) {
                 models.insert(model.name.clone());
             }
@@ -50,30 +50,30 @@
     target
 }
 
-fn choose(
+fn select_engines(
     model: &Model,
     engines: &[&Backend],
-    holdings: &LoadedModels,
+    loaded_models: &LoadedModels,
     target: &LoadedModels,
 ) -> Vec<BackendName> {
-    let room = |engine: &Backend| {
-        let taken = target.get(&engine.name).map_or(0, BTreeSet::len);
-        (engine.model_slots as usize).saturating_sub(taken)
+    let free_slots = |engine: &Backend| {
+        let used_slots = target.get(&engine.name).map_or(0, BTreeSet::len);
+        (engine.model_slots as usize).saturating_sub(used_slots)
     };
-    let holds = |engine: &Backend| {
-        holdings
+    let has_model = |engine: &Backend| {
+        loaded_models
             .get(&engine.name)
             .is_some_and(|models| models.contains(&model.name))
     };
     let mut candidates: Vec<&Backend> = engines
         .iter()
         .copied()
-        .filter(|engine| model.engines.matches(&engine.labels) && room(engine) > 0)
+        .filter(|engine| model.engines.matches(&engine.labels) && free_slots(engine) > 0)
         .collect();
     candidates.sort_by_key(|engine| {
-        let free = room(engine);
-        let order = preference(&model.name, &engine.name);
-        (!holds(engine), std::cmp::Reverse(free), order)
+        let free = free_slots(engine);
+        let order = tie_breaker(&model.name, &engine.name);
+        (!has_model(engine), std::cmp::Reverse(free), order)
     });
     candidates
         .into_iter()
@@ -82,67 +82,67 @@
         .collect()
 }
 
-fn preference(model: &str, engine: &BackendName) -> u64 {
+fn tie_breaker(model: &str, engine: &BackendName) -> u64 {
     let mut hasher = DefaultHasher::new();
     (model, engine).hash(&mut hasher);
     hasher.finish()
 }
 
-/// The next order for each engine that has none outstanding. A model is dropped
-/// only to make room, or when enough other engines hold it.
+/// Returns the next order for each engine without an outstanding one. A model is unloaded only to
+/// free a slot for another, or once all other target engines have loaded it.
 pub fn plan_orders(
     configuration: &Configuration,
-    holdings: &LoadedModels,
-    book: &OrderTable,
+    loaded_models: &LoadedModels,
+    orders: &OrderTable,
     is_leaving: impl Fn(&Backend) -> bool,
 ) -> Vec<PlannedOrder> {
-    let target = target(configuration, holdings, is_leaving);
-    let mut orders = Vec::new();
-    for (backend, wanted) in &target {
-        let Some(held) = holdings.get(backend) else {
+    let target = target_placement(configuration, loaded_models, is_leaving);
+    let mut planned = Vec::new();
+    for (backend, target_models) in &target {
+        let Some(loaded) = loaded_models.get(backend) else {
             continue;
         };
-        if book.order_for(backend).is_some() {
+        if orders.order_for(backend).is_some() {
             continue;
         }
         let slots = configuration
             .backends
             .get(backend)
             .map_or(1, |engine| engine.model_slots as usize);
-        let missing = wanted.difference(held).next();
-        let surplus = held.difference(wanted).find(|model| {
-            held.len() >= slots && missing.is_some()
-                || is_covered(model, backend, &target, holdings)
+        let missing = target_models.difference(loaded).next();
+        let surplus = loaded.difference(target_models).find(|model| {
+            loaded.len() >= slots && missing.is_some()
+                || has_enough_replicas(model, backend, &target, loaded_models)
         });
         let order = match (missing, surplus) {
             (_, Some(model)) => Some((OrderAction::Unload, model)),
-            (Some(model), None) if held.len() < slots => Some((OrderAction::Load, model)),
+            (Some(model), None) if loaded.len() < slots => Some((OrderAction::Load, model)),
             _ => None,
         };
         if let Some((action, model)) = order {
-            orders.push(PlannedOrder {
+            planned.push(PlannedOrder {
                 backend: backend.clone(),
                 action,
                 model: model.clone(),
             });
         }
     }
-    orders
+    planned
 }
 
-/// Whether all engines that shall hold `model` do, `except` one aside.
-fn is_covered(
+/// Whether all target engines of `model` other than `except` have loaded it.
+fn has_enough_replicas(
     model: &str,
     except: &BackendName,
     target: &LoadedModels,
-    holdings: &LoadedModels,
+    loaded_models: &LoadedModels,
 ) -> bool {
     target
         .iter()
-        .filter(|(backend, wanted)| *backend != except && wanted.contains(model))
+        .filter(|(backend, target_models)| *backend != except && target_models.contains(model))
         .all(|(backend, _)| {
-            holdings
+            loaded_models
                 .get(backend)
-                .is_some_and(|held| held.contains(model))
+                .is_some_and(|loaded| loaded.contains(model))
         })
 }
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -1,74 +1,73 @@
-//! Orders to engines: which were issued, which ended. An order is committed
-//! before it is sent, so a new leader knows what its predecessor may have sent.
+//! Replicated orders to engines. An order is committed before it is sent, so that a new leader
+//! knows all orders that its predecessor may have sent.
 
 use serde::{Deserialize, Serialize};
 use silversail_model::BackendName;
 use std::collections::BTreeMap;
 
-/// Identity and fence of an order: a later leader's are larger.
+/// Identity and fencing token of an order; those of a later leader are larger.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct OrderId {
-    /// Term of the leader that issues it.
+    /// Term of the leader that issues the order.
     pub term: u64,
-    /// Counts up in that term.
+    /// Number of the order within the term.
     pub sequence: u64,
 }
 
-/// What an engine is told to do.
+/// Action that an engine must carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderAction {
     /// Load a model.
     Load,
-    /// Drop a model.
+    /// Unload a model.
     Unload,
 }
 
-/// One order.
+/// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Identity and fence.
+    /// Identity and fencing token.
     pub id: OrderId,
-    /// The engine.
+    /// Engine that gets the order.
     pub backend: BackendName,
-    /// What to do.
+    /// Whether to load or unload the model.
     pub action: OrderAction,
-    /// With which model.
+    /// Name of the model.
     pub model: String,
 }
 
-/// A command about orders.
+/// Command that changes the outstanding orders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderCommand {
-    /// Issue an order, which is sent once this is committed.
+    /// Issues an order, which is sent once this command is committed.
     Issue(Order),
-    /// An order was carried out, or given up.
+    /// Ends an order that was carried out or abandoned.
     End(OrderId),
 }
 
-/// The answer to an [`OrderCommand`].
+/// Reply to an [`OrderCommand`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderReply {
     /// The order may be sent.
     Issued,
-    /// Another order to the engine is outstanding, or a later leader has
-    /// issued orders.
+    /// The engine has another outstanding order, or a later order was issued before.
     Refused,
-    /// The order has ended.
+    /// The order is no longer outstanding.
     Ended,
 }
 
-/// The outstanding orders, at most one for each engine.
+/// Outstanding orders, at most one per engine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OrderTable {
     outstanding: BTreeMap<BackendName, Order>,
-    newest: OrderId,
+    latest_id: OrderId,
 }
 
 impl OrderTable {
-    /// Applies a command. Resends give the same answer.
+    /// Applies a command. Repeated commands get the same reply.
     pub fn apply(&mut self, command: OrderCommand) -> OrderReply {
         match command {
             OrderCommand::Issue(order) => self.issue(order),
@@ -81,24 +80,24 @@
 
     fn issue(&mut self, order: Order) -> OrderReply {
         match self.outstanding.get(&order.backend) {
-            Some(known) if *known == order => return OrderReply::Issued,
+            Some(outstanding) if *outstanding == order => return OrderReply::Issued,
             Some(_) => return OrderReply::Refused,
             None => {}
         }
-        if order.id <= self.newest {
+        if order.id <= self.latest_id {
             return OrderReply::Refused;
         }
-        self.newest = order.id;
+        self.latest_id = order.id;
         self.outstanding.insert(order.backend.clone(), order);
         OrderReply::Issued
     }
 
-    /// Orders that were issued and have not ended.
+    /// All orders that were issued and have not ended.
     pub fn outstanding(&self) -> impl Iterator<Item = &Order> {
         self.outstanding.values()
     }
 
-    /// The order outstanding at an engine.
+    /// The outstanding order of an engine.
     pub fn order_for(&self, backend: &BackendName) -> Option<&Order> {
         self.outstanding.get(backend)
     }
--- a/crates/control/src/rollouts.rs
+++ b/crates/control/src/rollouts.rs
@@ -1,5 +1,7 @@
-//! The rollouts of versions: replicated beside the configuration, so that an acknowledged order
-//! outlives the loss of every process.
+//! Replicated state of version rollouts.
+//!
+//! An acknowledged order is committed by the control group, so it survives the failure of any
+//! process.
 
 use serde::{Deserialize, Serialize};
 use silversail_rollout::{
@@ -8,20 +10,20 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Counts the changes of [`Rollouts`] that nodes have to know; a higher one is newer. The time
-/// since an order is none of them.
+/// Revision of [`Rollouts`]. It increases with each change that nodes must know, but not with
+/// updates of the elapsed time.
 pub type RolloutsRevision = u64;
 
-/// How long after its end a rollout still answers a repeat of its order, in milliseconds, where
-/// it was rolled back: operators whose answer was lost repeat an order for some seconds. From
-/// then on the same order begins a new rollout.
+/// Time after a rollback in which a repeated order is acknowledged as the same rollout, in
+/// milliseconds. Operators whose response was lost retry within this time; later the same order
+/// starts a new rollout.
 pub const REPEATED_ORDER_WINDOW_MS: u64 = 10_000;
 
-/// Ended rollouts that are kept of services which the configuration does not name any more, so
-/// that a service which is left out for a while finds its version again.
-const KEPT_OF_DROPPED_SERVICES: usize = 64;
+/// Maximum number of ended rollouts retained for services that are no longer configured, so that a
+/// service that is removed temporarily keeps its version.
+const MAX_ROLLOUTS_OF_REMOVED_SERVICES: usize = 64;
 
-/// The latest rollout of each service.
+/// The latest rollout of each service, with a revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollouts {
     revision: RolloutsRevision,
@@ -29,92 +31,91 @@
     by_service: BTreeMap<String, Rollout>,
 }
 
-/// Rollouts shared inside a process.
+/// Rollouts shared within a process.
 pub type SharedRollouts = Arc<Rollouts>;
 
-/// Changes the rollouts.
+/// Command that changes the replicated rollouts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutCommand {
-    /// An operator's order.
+    /// Starts a rollout by order of an operator.
     Begin {
-        /// What is ordered.
+        /// Service, target version and duration.
         order: RolloutOrder,
-        /// Number of the service's latest rollout that was known where the operator's call
-        /// arrived; 0 for none. A copy of an order that comes late must not begin a second
-        /// rollout.
+        /// Number of the service's latest rollout known to the node that received the order; 0
+        /// for none. Prevents a delayed copy of an order from starting another rollout.
         known_number: RolloutNumber,
     },
-    /// Nodes are to obey another directive.
+    /// Replaces the directive that nodes follow.
     Advance {
-        /// The rollout.
+        /// Number of the rollout.
         number: RolloutNumber,
-        /// Of a higher step than the one in force.
+        /// The new directive; its step must be higher than that of the current one.
         directive: Directive,
         /// Milliseconds since the order.
         elapsed_ms: u64,
     },
-    /// Time went on.
+    /// Updates the elapsed time, so that a new leader continues from it.
     Elapsed {
-        /// The rollout.
+        /// Number of the rollout.
         number: RolloutNumber,
         /// Milliseconds since the order.
         elapsed_ms: u64,
     },
-    /// The rollout ends.
+    /// Ends a rollout.
     End {
-        /// The rollout.
+        /// Number of the rollout.
         number: RolloutNumber,
-        /// How; any state but one in progress.
+        /// Final state; must not be in progress.
         state: RolloutState,
         /// Milliseconds since the order.
         elapsed_ms: u64,
     },
 }
 
-/// What became of a command.
+/// Result of a [`RolloutCommand`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutReply {
-    /// The rollout of this number is as ordered, whether by this command or by an earlier one.
+    /// The rollout is as ordered, by this or an earlier command.
     InForce {
-        /// Its number.
+        /// Number of the rollout.
         number: RolloutNumber,
     },
-    /// The order is refused; nothing was done.
+    /// The order is rejected and has no effect.
     Refused(OrderError),
-    /// The service had another rollout since the order's `known_number`: nothing was done. An operator
-    /// who still waits gets the order proposed again on this number.
+    /// The service has a later rollout than the order's `known_number`; the order has no effect.
+    /// If the operator is still waiting, the order is proposed again with the current number.
     Outdated {
         /// Number of the service's latest rollout.
         number: RolloutNumber,
     },
-    /// The rollout was changed.
+    /// The command changed the rollout.
     Changed,
-    /// The command names no rollout in progress, or what has been passed: nothing was done.
+    /// The command is stale or refers to no rollout in progress; it has no effect.
     Unchanged,
 }
 
 impl Rollouts {
-    /// Counts the changes so far.
+    /// Revision of the current state.
     pub fn revision(&self) -> RolloutsRevision {
         self.revision
     }
 
-    /// The latest rollout of a service.
+    /// The latest rollout of a service, ended or in progress.
     pub fn latest_of_service(&self, service: &str) -> Option<&Rollout> {
         self.by_service.get(service)
     }
 
-    /// The latest rollout of each service, by name of the service.
+    /// The latest rollout of each service, ordered by service name.
     pub fn all(&self) -> impl Iterator<Item = &Rollout> {
         self.by_service.values()
     }
 
-    /// The rollout of this number, where it is the latest of its service.
+    /// The rollout with this number, if it is the latest of its service.
     pub fn by_number(&self, number: RolloutNumber) -> Option<&Rollout> {
         self.all().find(|rollout| rollout.number == number)
     }
 
-    /// Applies a command. Commands may come twice and late.
+    /// Applies a command. Repeated and delayed commands are handled.
     pub fn apply(&mut self, command: RolloutCommand) -> RolloutReply {
         match command {
             RolloutCommand::Begin {
@@ -126,7 +127,9 @@
                 directive,
                 elapsed_ms,
             } => self.advance(number, directive, elapsed_ms),
-            RolloutCommand::Elapsed { number, elapsed_ms } => self.elapsed(number, elapsed_ms),
+            RolloutCommand::Elapsed { number, elapsed_ms } => {
+                self.record_elapsed(number, elapsed_ms)
+            }
             RolloutCommand::End {
                 number,
                 state,
@@ -139,7 +142,7 @@
         if let Some(latest) = self.by_service.get(&order.service) {
             let number = latest.number;
             let is_same_target = latest.order.target_version == order.target_version;
-            if is_same_target && answers_repeats(latest) {
+            if is_same_target && acknowledges_repeated_order(latest) {
                 return RolloutReply::InForce { number };
             }
             if latest.is_in_progress() {
@@ -173,11 +176,11 @@
         directive: Directive,
         elapsed_ms: u64,
     ) -> RolloutReply {
-        let Some(rollout) = self.numbered_mut(number) else {
+        let Some(rollout) = self.by_number_mut(number) else {
             return RolloutReply::Unchanged;
         };
         match &rollout.state {
-            RolloutState::InProgress(held) if directive.step > held.step => {}
+            RolloutState::InProgress(current) if directive.step > current.step => {}
             _ => return RolloutReply::Unchanged,
         }
         rollout.state = RolloutState::InProgress(directive);
@@ -186,8 +189,8 @@
         RolloutReply::Changed
     }
 
-    fn elapsed(&mut self, number: RolloutNumber, elapsed_ms: u64) -> RolloutReply {
-        match self.numbered_mut(number) {
+    fn record_elapsed(&mut self, number: RolloutNumber, elapsed_ms: u64) -> RolloutReply {
+        match self.by_number_mut(number) {
             Some(rollout) if elapsed_ms > rollout.elapsed_ms => {
                 rollout.elapsed_ms = elapsed_ms;
                 RolloutReply::Changed
@@ -202,7 +205,7 @@
         mut state: RolloutState,
         elapsed_ms: u64,
     ) -> RolloutReply {
-        let Some(rollout) = self.numbered_mut(number) else {
+        let Some(rollout) = self.by_number_mut(number) else {
             return RolloutReply::Unchanged;
         };
         let elapsed_ms = rollout.elapsed_ms.max(elapsed_ms);
@@ -214,7 +217,7 @@
         }
         match &mut state {
             RolloutState::InProgress(_) => return RolloutReply::Unchanged,
-            // Whoever ends it may know an older time since the order than is committed.
+            // The proposer may have an older elapsed time than the committed one.
             RolloutState::Completed { verdict, .. } | RolloutState::RolledBack { verdict } => {
                 verdict.elapsed_ms = verdict.elapsed_ms.max(elapsed_ms);
             }
@@ -225,37 +228,39 @@
         RolloutReply::Changed
     }
 
-    fn numbered_mut(&mut self, number: RolloutNumber) -> Option<&mut Rollout> {
+    fn by_number_mut(&mut self, number: RolloutNumber) -> Option<&mut Rollout> {
         let mut all = self.by_service.values_mut();
         all.find(|rollout| rollout.number == number)
     }
 
-    /// Another configuration is in force: of the services that it does not name, the latest
-    /// ended rollouts are kept.
-    pub fn keep_services(&mut self, is_named: impl Fn(&str) -> bool) {
+    /// Removes old ended rollouts of services that the configuration no longer contains, retaining
+    /// the latest [`MAX_ROLLOUTS_OF_REMOVED_SERVICES`].
+    pub fn prune_removed_services(&mut self, is_configured: impl Fn(&str) -> bool) {
         let ended = self.all().filter(|rollout| !rollout.is_in_progress());
-        let mut dropped: Vec<RolloutNumber> = ended
-            .filter(|rollout| !is_named(&rollout.order.service))
+        let mut of_removed_services: Vec<RolloutNumber> = ended
+            .filter(|rollout| !is_configured(&rollout.order.service))
             .map(|rollout| rollout.number)
             .collect();
-        dropped.sort_unstable();
-        let excess = dropped.len().saturating_sub(KEPT_OF_DROPPED_SERVICES);
+        of_removed_services.sort_unstable();
+        let excess = of_removed_services
+            .len()
+            .saturating_sub(MAX_ROLLOUTS_OF_REMOVED_SERVICES);
         if excess == 0 {
             return;
         }
-        let forgotten = &dropped[..excess];
+        let pruned = &of_removed_services[..excess];
         self.by_service
-            .retain(|_, rollout| !forgotten.contains(&rollout.number));
+            .retain(|_, rollout| !pruned.contains(&rollout.number));
         self.revision += 1;
     }
 }
 
-/// Whether an order of the same version changes nothing: it is under way, is what the service
-/// came to, or was rolled back so lately that its operator may be repeating it.
-fn answers_repeats(latest: &Rollout) -> bool {
+/// Whether an order of the same version is acknowledged without a new rollout: the latest one is
+/// in progress, completed, or was rolled back so recently that the operator may be retrying.
+fn acknowledges_repeated_order(latest: &Rollout) -> bool {
     match &latest.state {
         RolloutState::InProgress(_) | RolloutState::Completed { .. } => true,
-        RolloutState::RolledBack { verdict } => is_repeated(latest, verdict.elapsed_ms),
+        RolloutState::RolledBack { verdict } => is_in_repeat_window(latest, verdict.elapsed_ms),
     }
 }
 
@@ -263,16 +268,16 @@
     matches!(state, RolloutState::RolledBack { .. })
 }
 
-fn is_repeated(rollout: &Rollout, ended_at_ms: u64) -> bool {
+fn is_in_repeat_window(rollout: &Rollout, ended_at_ms: u64) -> bool {
     rollout.elapsed_ms.saturating_sub(ended_at_ms) < REPEATED_ORDER_WINDOW_MS
 }
 
-/// Whether the time since the order still matters: until the end, and then for as long as
-/// repeats of the order are answered.
+/// Whether the elapsed time must still be updated: while the rollout is in progress, and after a
+/// rollback for as long as repeated orders are acknowledged.
 pub fn needs_elapsed_time(rollout: &Rollout) -> bool {
     match &rollout.state {
         RolloutState::InProgress(_) => true,
         RolloutState::Completed { .. } => false,
-        RolloutState::RolledBack { verdict } => is_repeated(rollout, verdict.elapsed_ms),
+        RolloutState::RolledBack { verdict } => is_in_repeat_window(rollout, verdict.elapsed_ms),
     }
 }
--- a/crates/control/src/view_update.rs
+++ b/crates/control/src/view_update.rs
@@ -1,8 +1,7 @@
-//! Views as differences: what changed since a version that the receiver holds.
+//! Incremental updates of the cluster view.
 //!
-//! A view changes many times a second while nodes join, stop or fail. Sent whole to all of
-//! hundreds of nodes it fills the links of the voters: heartbeats come late, leaders are lost,
-//! and views change the more.
+//! A view may change many times a second while nodes join, stop or fail. Sending full views to
+//! hundreds of nodes could saturate the links of the voters and delay their heartbeats.
 
 use crate::batch_owners::BatchOwners;
 use crate::view::{ClusterView, MachineState, NodeStatus, ViewVersion};
@@ -10,43 +9,42 @@
 use silversail_model::NodeName;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Versions for which a difference can be told: 20 s of a change each 100 ms.
-const REMEMBERED_VERSIONS: usize = 200;
+/// Number of changes from which an incremental update can be built: 20 s at one per 100 ms.
+const MAX_RECORDED_CHANGES: usize = 200;
 
-/// Bytes of a node, a machine or an owner on the way, about.
-const BYTES_OF_ENTRY: usize = 70;
+/// Approximate encoded size of a node, machine or owner, in bytes.
+const APPROXIMATE_ENTRY_BYTES: usize = 70;
 
-/// What turns an older view into a newer one.
+/// Update from an older to a newer view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ViewUpdate {
-    /// The only version that it can be applied to; none for a whole view, which can be
-    /// applied to any. A later version will not do: a leader that was cut off may have made
-    /// it from other reports.
+    /// The only version to which the update applies; `None` for a full view, which applies to any
+    /// older one. It does not apply to a later version, which may come from a partitioned leader.
     pub base: Option<ViewVersion>,
-    /// The version that it leads to.
+    /// Version of the newer view.
     pub version: ViewVersion,
-    /// Nodes that came or changed.
+    /// Added and changed nodes.
     pub nodes: Vec<NodeStatus>,
-    /// Nodes that are gone.
+    /// Removed nodes.
     pub gone: Vec<NodeName>,
-    /// Machine states, if one changed.
+    /// All machine states, if any changed.
     pub machines: Option<Vec<MachineState>>,
-    /// Owners of shards, if one changed.
+    /// All shard owners, if any changed.
     pub batch_owners: Option<BatchOwners>,
 }
 
-/// A difference can't be applied: the view held is not its base.
+/// Error of an incremental update whose base is not the version of the held view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the view held, {held:?}, is not the base {base:?}")]
+#[error("view update for base {base:?} cannot be applied to held view {held:?}")]
 pub struct ViewBaseMismatch {
-    /// Version held.
+    /// Version of the held view.
     pub held: ViewVersion,
-    /// Version needed.
+    /// Base version of the update.
     pub base: ViewVersion,
 }
 
 impl ViewUpdate {
-    /// A whole view.
+    /// Creates an update that contains the full view.
     pub fn whole(view: &ClusterView) -> Self {
         Self {
             base: None,
@@ -58,19 +56,18 @@
         }
     }
 
-    /// Its size on the way, about, in bytes.
+    /// Approximate encoded size, in bytes.
     pub fn size(&self) -> usize {
         let owners = self.batch_owners.as_ref().map_or(0, BatchOwners::len);
         let machines = self.machines.as_ref().map_or(0, Vec::len);
         let entries = self.nodes.len() + self.gone.len() + owners + machines;
-        entries * BYTES_OF_ENTRY
+        entries * APPROXIMATE_ENTRY_BYTES
     }
 
-    /// The newer view, where this leads from `held` to a newer one; none where `held` is
-    /// as new.
+    /// Applies the update to `held` and returns the newer view, or `None` if `held` is not older.
     ///
     /// # Errors
-    /// [`ViewBaseMismatch`] where `held` is not the base.
+    /// [`ViewBaseMismatch`] if the update applies to another version than that of `held`.
     pub fn apply_to(&self, held: &ClusterView) -> Result<Option<ClusterView>, ViewBaseMismatch> {
         if self.version <= held.version {
             return Ok(None);
@@ -81,14 +78,14 @@
                 base,
             });
         }
-        let kept: &[NodeStatus] = match self.base {
+        let base_nodes: &[NodeStatus] = match self.base {
             Some(_) => &held.nodes,
             None => &[],
         };
-        let kept = kept
+        let base_nodes = base_nodes
             .iter()
             .map(|status| (status.node.clone(), status.clone()));
-        let mut nodes: BTreeMap<NodeName, NodeStatus> = kept.collect();
+        let mut nodes: BTreeMap<NodeName, NodeStatus> = base_nodes.collect();
         for node in &self.gone {
             nodes.remove(node);
         }
@@ -106,22 +103,22 @@
     }
 }
 
-/// What changed with one step from a version to the next.
-struct Step {
-    from: ViewVersion,
+/// Parts of the view that changed from one version to the next.
+struct ViewChange {
+    base: ViewVersion,
     nodes: BTreeSet<NodeName>,
     machines: bool,
     batch_owners: bool,
 }
 
-/// The last steps of a view.
+/// The most recent changes of the view.
 #[derive(Default)]
 pub struct ViewHistory {
-    steps: VecDeque<Step>,
+    changes: VecDeque<ViewChange>,
 }
 
 impl ViewHistory {
-    /// The view changed.
+    /// Records the change from one view to the next.
     pub fn record_change(&mut self, before: &ClusterView, after: &ClusterView) {
         let old: BTreeMap<&NodeName, &NodeStatus> = before
             .nodes
@@ -135,39 +132,41 @@
             .collect();
         let names = old.keys().chain(new.keys());
         let changed = names.filter(|node| old.get(**node) != new.get(**node));
-        if self.steps.len() == REMEMBERED_VERSIONS {
-            self.steps.pop_front();
+        if self.changes.len() == MAX_RECORDED_CHANGES {
+            self.changes.pop_front();
         }
-        self.steps.push_back(Step {
-            from: before.version,
+        self.changes.push_back(ViewChange {
+            base: before.version,
             nodes: changed.map(|node| (*node).clone()).collect(),
             machines: before.machines != after.machines,
             batch_owners: before.batch_owners != after.batch_owners,
         });
     }
 
-    /// What leads from `held` to `present`, the view that the last step led to: a
-    /// difference where the steps are remembered, else the whole view.
-    pub fn update_since(&self, held: ViewVersion, present: &ClusterView) -> ViewUpdate {
-        let Some(first) = self.steps.iter().position(|step| step.from == held) else {
-            return ViewUpdate::whole(present);
+    /// Builds the update from version `held` to `latest`, the view after the last recorded change:
+    /// incremental if all changes since `held` are recorded, otherwise the full view.
+    pub fn update_since(&self, held: ViewVersion, latest: &ClusterView) -> ViewUpdate {
+        let Some(first) = self.changes.iter().position(|change| change.base == held) else {
+            return ViewUpdate::whole(latest);
         };
-        let steps = self.steps.range(first..);
-        let touched: BTreeSet<&NodeName> = steps.clone().flat_map(|step| &step.nodes).collect();
-        let is_touched = |status: &&NodeStatus| touched.contains(&status.node);
-        let nodes: Vec<NodeStatus> = present.nodes.iter().filter(is_touched).cloned().collect();
-        let present_names: BTreeSet<&NodeName> = nodes.iter().map(|status| &status.node).collect();
-        let gone = touched
+        let changes = self.changes.range(first..);
+        let changed_nodes: BTreeSet<&NodeName> =
+            changes.clone().flat_map(|change| &change.nodes).collect();
+        let is_changed = |status: &&NodeStatus| changed_nodes.contains(&status.node);
+        let nodes: Vec<NodeStatus> = latest.nodes.iter().filter(is_changed).cloned().collect();
+        let remaining_names: BTreeSet<&NodeName> =
+            nodes.iter().map(|status| &status.node).collect();
+        let gone = changed_nodes
             .iter()
-            .filter(|node| !present_names.contains(**node));
-        let machines = steps.clone().any(|step| step.machines);
-        let owners = steps.clone().any(|step| step.batch_owners);
+            .filter(|node| !remaining_names.contains(**node));
+        let machines = changes.clone().any(|change| change.machines);
+        let owners = changes.clone().any(|change| change.batch_owners);
         ViewUpdate {
             base: Some(held),
-            version: present.version,
+            version: latest.version,
             gone: gone.map(|node| (*node).clone()).collect(),
-            machines: machines.then(|| present.machines.clone()),
-            batch_owners: owners.then(|| present.batch_owners.clone()),
+            machines: machines.then(|| latest.machines.clone()),
+            batch_owners: owners.then(|| latest.batch_owners.clone()),
             nodes,
         }
     }
