--- a/crates/control/src/change.rs
+++ b/crates/control/src/change.rs
@@ -1,36 +1,36 @@
-//! Changes of the configuration as operators propose them.
+//! Configuration changes proposed by operators.
 
 use serde::{Deserialize, Serialize};
 use silversail_model::{ChangeId, ConfigurationDocument, Revision, ValidationErrors};
 
-/// A change with its identity and the revision that it builds on.
+/// A configuration change with its identifier and base revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeRequest {
-    /// Chosen once by the operator, kept over resends.
+    /// Chosen by the operator; the same for all retries of the change.
     pub change_id: ChangeId,
-    /// The revision that the operator saw; the change is accepted only on it.
+    /// Revision that the change is based on; it is accepted only if that is still current.
     pub base_revision: Revision,
-    /// Who makes the change, for the history.
+    /// Name of the operator, for the history.
     pub operator: String,
-    /// What changes.
+    /// Objects to create, replace or delete.
     pub document: ConfigurationDocument,
 }
 
-/// The answer to a change; a resend gets the first one.
+/// Outcome of a change; retries get the outcome of the first attempt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ChangeOutcome {
-    /// Accepted, as this revision.
+    /// The change is accepted.
     Accepted {
-        /// The revision that the change created.
+        /// Revision created by the change.
         revision: Revision,
     },
-    /// Another change was accepted on the base revision.
+    /// The base revision is not the current one.
     Conflict {
-        /// The current revision.
+        /// Current revision.
         current: Revision,
     },
-    /// The resulting configuration does not validate; nothing changed.
+    /// The resulting configuration is invalid; the change has no effect.
     Invalid(ValidationErrors),
-    /// The identifier belongs to another change.
+    /// The identifier was used for a different change.
     ChangeIdReused,
 }
--- a/crates/control/src/compression.rs
+++ b/crates/control/src/compression.rs
@@ -1,54 +1,59 @@
-//! Compression of large documents, alone or against a document that the other side
-//! holds.
+//! Compression of large documents, optionally with a document that the receiver has as
+//! dictionary.
 
 use std::io;
 
-/// Level of compression: the library's usual one, about 200 MB/s on a whole core.
-const LEVEL: i32 = 3;
-/// Largest document that is unpacked, in bytes: a packed one of a few kilobytes could
-/// ask for any amount of memory.
-const MAX_UNPACKED_BYTES: usize = 64 << 20;
+/// Zstandard compression level; the default of the library.
+const COMPRESSION_LEVEL: i32 = 3;
+/// Maximum size of a decompressed document, in bytes. Limits the memory that a small compressed
+/// document can require.
+const MAX_DECOMPRESSED_BYTES: usize = 64 << 20;
 
-/// Packs `plain`.
+/// Compresses `data`.
 ///
 /// # Errors
-/// What the library tells.
-pub fn compress(plain: &[u8]) -> io::Result<Vec<u8>> {
-    zstd::bulk::compress(plain, LEVEL)
+/// If the compression library fails.
+pub fn compress(data: &[u8]) -> io::Result<Vec<u8>> {
+    zstd::bulk::compress(data, COMPRESSION_LEVEL)
 }
 
-/// Unpacks what [`compress`] gave.
+/// Decompresses the result of [`compress`].
 ///
 /// # Errors
-/// Where `packed` is damaged, or would take more than 64 MiB.
-pub fn decompress(packed: &[u8]) -> io::Result<Vec<u8>> {
-    zstd::bulk::decompress(packed, unpacked_size(packed)?)
+/// If `compressed` is damaged or its decompressed size is unknown or exceeds 64 MiB.
+pub fn decompress(compressed: &[u8]) -> io::Result<Vec<u8>> {
+    zstd::bulk::decompress(compressed, decompressed_size(compressed)?)
 }
 
-/// Packs `plain` for a receiver that holds `base`: what both have in common takes next
-/// to nothing.
-pub fn compress_against(base: &[u8], plain: &[u8]) -> io::Result<Vec<u8>> {
-    let mut compressor = zstd::bulk::Compressor::with_dictionary(LEVEL, base)?;
-    // Against another base the result would be another document, not an error.
+/// Compresses `data` with `dictionary` as dictionary, for a receiver that has `dictionary`.
+///
+/// # Errors
+/// If the compression library fails.
+pub fn compress_against(dictionary: &[u8], data: &[u8]) -> io::Result<Vec<u8>> {
+    let mut compressor = zstd::bulk::Compressor::with_dictionary(COMPRESSION_LEVEL, dictionary)?;
+    // Without a checksum, decompression with another dictionary could return wrong data.
     compressor.include_checksum(true)?;
-    compressor.compress(plain)
+    compressor.compress(data)
 }
 
-/// Unpacks what [`compress_against`] gave for the same `base`.
-pub fn decompress_against(base: &[u8], packed: &[u8]) -> io::Result<Vec<u8>> {
-    let mut decompressor = zstd::bulk::Decompressor::with_dictionary(base)?;
-    decompressor.decompress(packed, unpacked_size(packed)?)
+/// Decompresses the result of [`compress_against`] for the same `dictionary`.
+///
+/// # Errors
+/// As [`decompress`], or if `dictionary` is another document.
+pub fn decompress_against(dictionary: &[u8], compressed: &[u8]) -> io::Result<Vec<u8>> {
+    let mut decompressor = zstd::bulk::Decompressor::with_dictionary(dictionary)?;
+    decompressor.decompress(compressed, decompressed_size(compressed)?)
 }
 
-/// The size that a packed document says it has, where that is allowed.
-fn unpacked_size(packed: &[u8]) -> io::Result<usize> {
-    let size = zstd::zstd_safe::get_frame_content_size(packed);
+/// Decompressed size according to the header of `compressed`, if it is within the limit.
+fn decompressed_size(compressed: &[u8]) -> io::Result<usize> {
+    let size = zstd::zstd_safe::get_frame_content_size(compressed);
     let size = size.ok().flatten().unwrap_or(u64::MAX);
     match usize::try_from(size) {
-        Ok(size) if size <= MAX_UNPACKED_BYTES => Ok(size),
+        Ok(size) if size <= MAX_DECOMPRESSED_BYTES => Ok(size),
         _ => Err(io::Error::new(
             io::ErrorKind::InvalidData,
-            "a packed document of no allowed size",
+            "decompressed size is unknown or exceeds 64 MiB",
         )),
     }
 }
--- a/crates/control/src/evacuation.rs
+++ b/crates/control/src/evacuation.rs
@@ -1,70 +1,71 @@
-//! Zones whose back ends are to get no new work, by order of operators: replicated beside
-//! the configuration, so that an acknowledged order outlives the loss of every process.
+//! Replicated set of evacuated zones, whose back ends get no new requests.
+//!
+//! An acknowledged order is committed by the control group, so it survives the failure of any
+//! process.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Counts the changes of [`Evacuations`]; a higher one is newer.
+/// Revision of [`Evacuations`]; it increases with each change.
 pub type EvacuationRevision = u64;
 
-/// The evacuated zones.
+/// The evacuated zones with a revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
     revision: EvacuationRevision,
     zones: BTreeSet<String>,
 }
 
-/// Evacuated zones shared inside a process.
+/// Evacuated zones shared within a process.
 pub type SharedEvacuations = Arc<Evacuations>;
 
-/// Begins or ends the evacuation of a zone.
+/// Order to begin or end the evacuation of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationOrder {
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Whether it is evacuated from now on.
+    /// Whether the zone must be evacuated (true) or used again (false).
     pub evacuated: bool,
-    /// The revision that was known where the operator's call arrived. A copy of an order
-    /// that was resent or delayed on its way must not undo an order acknowledged since:
-    /// where the zones have changed after this revision, the order changes nothing.
+    /// Revision known to the node that received the order. If the zones have changed since, the
+    /// order has no effect, so that a delayed copy cannot undo a later acknowledged order.
     pub known_revision: EvacuationRevision,
 }
 
-/// What became of an order.
+/// Result of an [`EvacuationOrder`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EvacuationReply {
-    /// The zone is as ordered, whether by this order or by an earlier one.
+    /// The zone is as ordered, by this or an earlier order.
     InForce {
-        /// The revision that says so.
+        /// Revision of the zones after the order.
         revision: EvacuationRevision,
     },
-    /// The zones changed since the order's `known_revision`: nothing was done. An operator who still
-    /// waits gets the order proposed again on this revision.
+    /// The zones have changed since the order's `known_revision`; the order has no effect. If the
+    /// operator is still waiting, the order is proposed again with the current revision.
     Outdated {
-        /// The present revision.
+        /// Current revision of the zones.
         revision: EvacuationRevision,
     },
 }
 
 impl Evacuations {
-    /// Counts the changes so far.
+    /// Revision of the current set.
     pub fn revision(&self) -> EvacuationRevision {
         self.revision
     }
 
-    /// The zones that are evacuated, by name.
+    /// Names of the evacuated zones.
     pub fn zones(&self) -> &BTreeSet<String> {
         &self.zones
     }
 
-    /// Whether a zone is evacuated.
+    /// Whether the zone with this name is evacuated.
     pub fn contains(&self, zone: &str) -> bool {
         self.zones.contains(zone)
     }
 
-    /// Applies an order. One that asks for what is in force already is acknowledged and
-    /// changes nothing, an end without a begin included.
+    /// Applies an order. An order that matches the current state is acknowledged without a change,
+    /// whatever revision it names.
     pub fn apply(&mut self, order: EvacuationOrder) -> EvacuationReply {
         let revision = self.revision;
         if self.contains(&order.zone) == order.evacuated {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,8 @@
-//! The control group's state: configuration revisions with deduplicated
-//! changes, orders to engines, evacuated zones and rollouts (replicated), and what the leader holds
-//! and rebuilds after an election: the view of live nodes and leaving machines, the evidence of
-//! rollouts, and what nodes told of crashes.
+//! State of the control group.
+//!
+//! Replicated are the configuration with deduplicated changes, engine orders, evacuated zones,
+//! rollouts and quarantined requests. Only the leader has, and rebuilds after an election, the view
+//! of live nodes and leaving machines, the evidence about rollouts and the reported crashes.
 
 pub mod batch_owners;
 pub mod change;
--- a/crates/control/src/published.rs
+++ b/crates/control/src/published.rs
@@ -1,100 +1,102 @@
-//! The traffic configuration in the operator's version order: the highest
-//! version prevails, whatever order versions arrive in.
+//! The published traffic configuration. The highest version wins, in whatever order versions
+//! arrive.
 
 use crate::compression;
 use serde::{de, ser, Deserialize, Deserializer, Serialize, Serializer};
 use silversail_model::{TrafficConfiguration, TrafficVersion};
 use std::sync::Arc;
 
-/// A traffic configuration with the document that it was read from, kept whole
-/// so that it reads back as it was sent.
+/// A traffic configuration with the document that it was parsed from, so that operators can read
+/// back exactly what they sent.
 ///
-/// It is serialized packed: thousands of routes are megabytes of text that repeats
-/// itself, and small machines have links of a megabyte a second.
+/// Its serialized form is compressed, as configurations with thousands of routes are large and
+/// repetitive.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PublishedTraffic {
-    /// The operator's document.
+    /// Document as sent by the operator.
     pub document: Vec<u8>,
-    /// What it says.
+    /// Configuration parsed from the document.
     pub traffic: TrafficConfiguration,
 }
 
 impl PublishedTraffic {
-    /// The operator's version.
+    /// Version that the operator assigned.
     pub fn version(&self) -> TrafficVersion {
         self.traffic.version
     }
 }
 
-/// [`PublishedTraffic`] as it is encoded before it is packed.
+/// Borrowed fields of [`PublishedTraffic`] as encoded before compression.
 #[derive(Serialize)]
-struct PlainRef<'a> {
+struct TrafficToEncode<'a> {
     document: &'a [u8],
     traffic: &'a TrafficConfiguration,
 }
 
+/// Owned fields of [`PublishedTraffic`] as decoded after decompression.
 #[derive(Deserialize)]
-struct Plain {
+struct DecodedTraffic {
     document: Vec<u8>,
     traffic: TrafficConfiguration,
 }
 
 impl PublishedTraffic {
-    /// The encoding that is packed; the same for equal configurations.
+    /// Encoding before compression; identical for equal configurations.
     pub(crate) fn encode(&self) -> Vec<u8> {
-        let plain = PlainRef {
+        let fields = TrafficToEncode {
             document: &self.document,
             traffic: &self.traffic,
         };
-        postcard::to_stdvec(&plain).expect("encoding into memory does not fail")
+        postcard::to_stdvec(&fields).expect("encoding into memory does not fail")
     }
 
-    /// Reads what [`PublishedTraffic::encode`] gave; none when it is anything else.
+    /// Decodes the result of [`PublishedTraffic::encode`]; `None` if `bytes` is not valid.
     pub(crate) fn decode(bytes: &[u8]) -> Option<Self> {
-        let plain: Plain = postcard::from_bytes(bytes).ok()?;
+        let decoded: DecodedTraffic = postcard::from_bytes(bytes).ok()?;
         Some(Self {
-            document: plain.document,
-            traffic: plain.traffic,
+            document: decoded.document,
+            traffic: decoded.traffic,
         })
     }
 }
 
 impl Serialize for PublishedTraffic {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let packed = compression::compress(&self.encode()).map_err(ser::Error::custom)?;
-        packed.serialize(serializer)
+        let compressed = compression::compress(&self.encode()).map_err(ser::Error::custom)?;
+        compressed.serialize(serializer)
     }
 }
 
 impl<'de> Deserialize<'de> for PublishedTraffic {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let packed = Vec::<u8>::deserialize(deserializer)?;
-        let plain = compression::decompress(&packed).map_err(de::Error::custom)?;
-        Self::decode(&plain).ok_or_else(|| de::Error::custom("not a traffic configuration"))
+        let compressed = Vec::<u8>::deserialize(deserializer)?;
+        let encoded = compression::decompress(&compressed).map_err(de::Error::custom)?;
+        Self::decode(&encoded)
+            .ok_or_else(|| de::Error::custom("decompressed data is not a traffic configuration"))
     }
 }
 
-/// A published configuration shared inside a process.
+/// A published configuration shared within a process.
 pub type SharedTraffic = Arc<PublishedTraffic>;
 
-/// The answer to a publication.
+/// Result of publishing a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishReply {
-    /// The version in force after it.
+    /// Version in force afterwards.
     pub in_force: TrafficVersion,
-    /// Whether this publication put it in force.
+    /// Whether this publication changed the version in force.
     pub is_new: bool,
 }
 
-/// Puts `next` in force in `current` where its version is above the one held.
-/// A lower or equal version changes nothing.
+/// Replaces `current` with `next` if the version of `next` is higher; otherwise `current` is not
+/// changed.
 pub fn publish(current: &mut Option<SharedTraffic>, next: PublishedTraffic) -> PublishReply {
-    let held = current.as_ref().map(|held| held.version());
-    let is_new = held.is_none_or(|held| next.version() > held);
+    let current_version = current.as_ref().map(|current| current.version());
+    let is_new = current_version.is_none_or(|version| next.version() > version);
     let in_force = if is_new {
         next.version()
     } else {
-        held.unwrap_or_default()
+        current_version.unwrap_or_default()
     };
     if is_new {
         *current = Some(Arc::new(next));
--- a/crates/control/src/traffic_update.rs
+++ b/crates/control/src/traffic_update.rs
@@ -1,4 +1,4 @@
-//! What brings a node from the traffic configuration that it holds to a newer one.
+//! Updates of the traffic configuration on nodes.
 
 use crate::compression;
 use crate::published::{PublishedTraffic, SharedTraffic};
@@ -6,38 +6,38 @@
 use silversail_model::TrafficVersion;
 use std::sync::Arc;
 
-/// A newer traffic configuration for a node.
+/// Update of a node to a newer traffic configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum TrafficUpdate {
-    /// The whole, for a node that holds none or an old one.
+    /// The full configuration, for a node without one or with an old version.
     Whole(SharedTraffic),
-    /// What changed, for a node that holds the version before.
+    /// The difference from the previous version, for a node with that version.
     Difference(Arc<TrafficDifference>),
 }
 
-/// What changed between two versions, packed against the earlier one.
+/// Difference between two versions: the newer one, compressed with the older as dictionary.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TrafficDifference {
-    /// The version that the receiver must hold.
+    /// Version that the receiver must have.
     base: TrafficVersion,
-    /// The version that it gets.
+    /// Version after the update.
     version: TrafficVersion,
     packed: Vec<u8>,
 }
 
-/// Why an update could not be applied; a heartbeat then asks for the whole.
+/// Error from applying an update; the next heartbeat then requests the full configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UpdateError {
-    /// It builds on a version that is not held.
-    #[error("the update builds on version {0}, which is not held")]
+    /// The update applies to a version that the node does not have.
+    #[error("traffic update for base version {0} does not match the held version")]
     OtherBase(TrafficVersion),
-    /// It can't be unpacked.
-    #[error("the update can't be unpacked")]
+    /// The update cannot be decompressed or decoded.
+    #[error("traffic update cannot be decompressed or decoded")]
     Malformed,
 }
 
 impl TrafficUpdate {
-    /// The version that the receiver gets.
+    /// Version of the configuration after the update.
     pub fn version(&self) -> TrafficVersion {
         match self {
             TrafficUpdate::Whole(whole) => whole.version(),
@@ -45,7 +45,10 @@
         }
     }
 
-    /// The newer configuration, for a node that holds `held`.
+    /// Returns the newer configuration of a node that has `held`.
+    ///
+    /// # Errors
+    /// [`UpdateError`] if `held` is not the base of the update or the update is damaged.
     pub fn apply(&self, held: Option<&SharedTraffic>) -> Result<SharedTraffic, UpdateError> {
         match self {
             TrafficUpdate::Whole(whole) => Ok(whole.clone()),
@@ -56,11 +59,11 @@
 
 impl TrafficDifference {
     fn between(base: &PublishedTraffic, next: &PublishedTraffic) -> Option<Self> {
-        let packed = compression::compress_against(&base.encode(), &next.encode()).ok()?;
+        let compressed = compression::compress_against(&base.encode(), &next.encode()).ok()?;
         Some(Self {
             base: base.version(),
             version: next.version(),
-            packed,
+            packed: compressed,
         })
     }
 
@@ -68,9 +71,9 @@
         let base = held
             .filter(|held| held.version() == self.base)
             .ok_or(UpdateError::OtherBase(self.base))?;
-        let plain = compression::decompress_against(&base.encode(), &self.packed)
+        let encoded = compression::decompress_against(&base.encode(), &self.packed)
             .map_err(|_| UpdateError::Malformed)?;
-        let next = PublishedTraffic::decode(&plain).ok_or(UpdateError::Malformed)?;
+        let next = PublishedTraffic::decode(&encoded).ok_or(UpdateError::Malformed)?;
         match next.version() == self.version {
             true => Ok(next),
             false => Err(UpdateError::Malformed),
@@ -78,39 +81,39 @@
     }
 }
 
-/// The newest traffic configuration with what leads to it from the version before, made
-/// once for all nodes.
+/// The latest traffic configuration and its difference from the previous version, computed once
+/// for all nodes.
 #[derive(Debug, Default)]
 pub struct TrafficUpdateCache {
-    newest: Option<SharedTraffic>,
+    latest: Option<SharedTraffic>,
     difference: Option<Arc<TrafficDifference>>,
 }
 
 impl TrafficUpdateCache {
-    /// Takes what is in force now.
+    /// Sets the configuration in force, if it is newer than the current one.
     pub fn set_latest(&mut self, published: Option<&SharedTraffic>) {
         let Some(next) = published else {
             return;
         };
-        let held = self.newest.as_ref().map(|held| held.version());
-        if held >= Some(next.version()) {
+        let current_version = self.latest.as_ref().map(|current| current.version());
+        if current_version >= Some(next.version()) {
             return;
         }
-        let before = self.newest.replace(next.clone());
-        let difference = before.and_then(|before| TrafficDifference::between(&before, next));
+        let previous = self.latest.replace(next.clone());
+        let difference = previous.and_then(|previous| TrafficDifference::between(&previous, next));
         self.difference = difference.map(Arc::new);
     }
 
-    /// What a node that holds `have` lacks; none when it lacks nothing.
-    pub fn update_since(&self, have: Option<TrafficVersion>) -> Option<TrafficUpdate> {
-        let newest = self.newest.as_ref()?;
-        if have >= Some(newest.version()) {
+    /// Returns the update for a node with version `held_version`, or `None` if it is current.
+    pub fn update_since(&self, held_version: Option<TrafficVersion>) -> Option<TrafficUpdate> {
+        let latest = self.latest.as_ref()?;
+        if held_version >= Some(latest.version()) {
             return None;
         }
         let difference = self.difference.as_ref();
-        match difference.filter(|one| Some(one.base) == have) {
+        match difference.filter(|difference| Some(difference.base) == held_version) {
             Some(difference) => Some(TrafficUpdate::Difference(difference.clone())),
-            None => Some(TrafficUpdate::Whole(newest.clone())),
+            None => Some(TrafficUpdate::Whole(latest.clone())),
         }
     }
 }
--- a/crates/control/src/update.rs
+++ b/crates/control/src/update.rs
@@ -1,29 +1,28 @@
-//! Configuration on its way to the nodes. A node applies increasing revisions
-//! only.
+//! Configuration updates for nodes, which apply only increasing revisions.
 
 use serde::{Deserialize, Serialize};
 use silversail_model::{Configuration, ConfigurationDocument, Revision};
 
-/// What brings a node to a newer revision.
+/// Update of a node to a newer configuration revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ConfigurationUpdate {
     /// The changes that follow revision `base`, one revision each.
     Changes {
-        /// Revision on which the first change builds.
+        /// Revision to which the first change applies.
         base: Revision,
-        /// The changes in order.
+        /// Changes in the order of their revisions.
         documents: Vec<ConfigurationDocument>,
     },
-    /// Everything.
+    /// The full configuration.
     Full {
-        /// Its revision.
+        /// Revision of the configuration.
         revision: Revision,
-        /// The configuration.
+        /// All objects of the configuration.
         configuration: Configuration,
     },
 }
 
-/// The configuration that a node has in force.
+/// The configuration that is in force on a node.
 #[derive(Clone, Debug, Default)]
 pub struct AppliedConfiguration {
     revision: Option<Revision>,
@@ -31,18 +30,18 @@
 }
 
 impl AppliedConfiguration {
-    /// The revision in force; none before the first update.
+    /// Revision in force; `None` before the first update.
     pub fn revision(&self) -> Option<Revision> {
         self.revision
     }
 
-    /// The configuration in force.
+    /// Configuration in force; empty before the first update.
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
-    /// Applies an update; false when it is no newer than what is in force or
-    /// does not follow it.
+    /// Applies an update. Returns false if it is not newer than the revision in force or its base
+    /// is newer than that.
     pub fn apply(&mut self, update: ConfigurationUpdate) -> bool {
         match update {
             ConfigurationUpdate::Full {
@@ -61,14 +60,15 @@
     }
 
     fn apply_changes(&mut self, base: Revision, documents: Vec<ConfigurationDocument>) -> bool {
-        let Some(have) = self.revision.filter(|have| *have >= base) else {
+        let Some(held_revision) = self.revision.filter(|held_revision| *held_revision >= base)
+        else {
             return false;
         };
-        let known = (have - base) as usize;
-        if known >= documents.len() {
+        let applied_count = (held_revision - base) as usize;
+        if applied_count >= documents.len() {
             return false;
         }
-        for document in &documents[known..] {
+        for document in &documents[applied_count..] {
             self.configuration.apply(document);
         }
         self.revision = Some(base + documents.len() as Revision);
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -1,4 +1,4 @@
-//! The view of the cluster that flows from the leader to every node.
+//! The cluster view, which the leader distributes to all nodes.
 
 use crate::batch_owners::BatchOwners;
 use crate::evacuation::EvacuationRevision;
@@ -8,114 +8,114 @@
 use silversail_quarantine::{CrashSighting, QuarantineRevision};
 use silversail_rollout::Evidence;
 
-/// What a machine's state is, by some version of the platform's list.
+/// State of a machine according to one version of the platform's machine list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineState {
-    /// IP address and port of the back end on the machine.
+    /// Address and port of the back end on the machine.
     pub address: String,
-    /// Whether the machine is leaving.
+    /// Whether the machine is about to be removed.
     pub leaving: bool,
-    /// Version of the platform's list that said so.
+    /// Version of the machine list that contained this state.
     pub list_version: u64,
 }
 
-/// What a node tells of itself with each heartbeat.
+/// Status report that a node sends with each heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeReport {
-    /// Its name.
+    /// Name of the node.
     pub node: NodeName,
-    /// Drawn anew at each start of the process.
+    /// Identity of the process; increases with each start.
     pub incarnation: u64,
-    /// Zone from its settings.
+    /// Zone from the node's settings.
     pub zone: String,
-    /// Address at which callers reach it.
+    /// Address at which callers connect to the node.
     pub caller_address: String,
-    /// Share of a core that it may use, in hundredths.
+    /// Share of a processor core that the node may use, in percent.
     pub processor_percent: u16,
-    /// Whether it is stopping.
+    /// Whether the node is shutting down.
     pub stopping: bool,
-    /// Whether its own configuration is current enough to serve.
+    /// Whether the node's configuration is current enough to serve callers.
     pub serving: bool,
-    /// Revision in force on it.
+    /// Configuration revision in force on the node.
     pub revision: Option<Revision>,
-    /// Version of the traffic configuration in force on it.
+    /// Version of the traffic configuration in force on the node.
     pub traffic: Option<TrafficVersion>,
-    /// Revision of the evacuated zones in force on it.
+    /// Revision of the evacuated zones in force on the node.
     pub evacuations: Option<EvacuationRevision>,
-    /// Revision of the rollouts in force on it.
+    /// Revision of the rollouts in force on the node.
     pub rollouts: Option<RolloutsRevision>,
-    /// What its process saw of each rollout in progress.
+    /// Evidence that the process collected about each rollout in progress.
     pub evidence: Vec<Evidence>,
-    /// Revision of the list of refused requests in force on it.
+    /// Revision of the quarantine list in force on the node.
     pub quarantine: Option<QuarantineRevision>,
-    /// Crashes of back ends that its process saw lately.
+    /// Back-end crashes that the process observed recently.
     pub crashes: Vec<CrashSighting>,
-    /// Requests on that list that got a whole answer all the same.
+    /// Quarantined requests that were nevertheless completed.
     pub completed_requests: Vec<RequestFingerprint>,
-    /// Machines whose state the view lacks or has from an older list.
+    /// Machine states that are missing in the view or newer than there.
     pub machines: Vec<MachineState>,
 }
 
-/// A node as the leader sees it.
+/// Status of a live node in the cluster view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// Its name.
+    /// Name of the node.
     pub node: NodeName,
-    /// Its current process.
+    /// Identity of the current process of the node.
     pub incarnation: u64,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Address at which callers reach it.
+    /// Address at which callers connect to the node.
     pub caller_address: String,
-    /// Share of a core that it may use, in hundredths.
+    /// Share of a processor core that the node may use, in percent.
     pub processor_percent: u16,
-    /// Whether callers may be sent to it.
+    /// Whether the node may serve callers.
     pub usable: bool,
 }
 
-/// Orders views: a later leader's view is newer.
+/// Version of a view; views of a later leader are newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ViewVersion {
-    /// The leader's term.
+    /// Term of the leader that created the view.
     pub term: u64,
-    /// Counts up in that term.
+    /// Number of the view within the term.
     pub sequence: u64,
 }
 
-/// Live nodes and machine states.
+/// Live nodes, machine states and shard owners.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClusterView {
-    /// Its version.
+    /// Version of the view.
     pub version: ViewVersion,
-    /// Nodes with a lease.
+    /// Nodes with an unexpired lease.
     pub nodes: Vec<NodeStatus>,
-    /// Machines that are, or were, leaving.
+    /// Machines that are or were about to be removed.
     pub machines: Vec<MachineState>,
-    /// Which node batches which shard of a service.
+    /// Owning node of each service shard.
     pub batch_owners: BatchOwners,
 }
 
 impl ClusterView {
-    /// Whether the process `incarnation` of `node` holds a lease.
+    /// Whether the process `incarnation` of `node` has a lease.
     pub fn is_live(&self, node: &NodeName, incarnation: u64) -> bool {
         self.nodes
             .iter()
-            .any(|one| one.node == *node && one.incarnation == incarnation)
+            .any(|status| status.node == *node && status.incarnation == incarnation)
     }
 
-    /// Whether callers may be sent to `node`.
+    /// Whether `node` may serve callers.
     pub fn is_usable(&self, node: &NodeName) -> bool {
-        self.usable_nodes().any(|one| one.node == *node)
+        self.usable_nodes().any(|status| status.node == *node)
     }
 
-    /// Addresses that callers may use.
+    /// Status of the nodes that may serve callers.
     pub fn usable_nodes(&self) -> impl Iterator<Item = &NodeStatus> {
-        self.nodes.iter().filter(|one| one.usable)
+        self.nodes.iter().filter(|status| status.usable)
     }
 }
 
-/// Merges a machine's state into `machines`: a newer list wins, an older one
-/// never undoes a mark. True when something changed.
+/// Merges a machine's state into `machines`; a state from an older list is ignored. Returns whether
+/// the view changed.
 pub fn merge_machine(machines: &mut Vec<MachineState>, state: &MachineState) -> bool {
     let known = machines
         .iter_mut()
