--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas in virtual time, with a network between them.
+//! A group of replicas with virtual time and a simulated network.
 #![allow(dead_code)]
 
 use silversail_consensus::{
@@ -7,9 +7,9 @@
 };
 use std::collections::BTreeMap;
 
-pub const STEP: u64 = 10;
+pub const STEP_MS: u64 = 10;
 
-/// What a replica finds on its disk: a log of `length` entries of term 1.
+/// Stored state of a replica: a log with `length` entries of term 1 after a snapshot.
 pub fn stored(voters: &[u64], length: u64) -> StoredState {
     let entries = (2..2 + length).map(|index| Entry {
         index,
@@ -40,29 +40,29 @@
     }
 }
 
-/// Replicas whose messages arrive one step after they are sent, but for those to and
-/// from the ones that are cut off.
+/// Replicas whose messages arrive one step after they are sent, except for messages from and to
+/// partitioned replicas, which are lost.
 pub struct Group {
     pub replicas: BTreeMap<u64, Replica>,
-    pub under_way: Vec<Message>,
-    pub cut_off: Vec<u64>,
-    pub votes_asked_by: Vec<u64>,
+    pub in_flight: Vec<Message>,
+    pub partitioned: Vec<u64>,
+    pub candidates_seen: Vec<u64>,
     pub now: u64,
-    /// When the first leader of each term was seen.
-    pub terms_begun_at: BTreeMap<u64, u64>,
+    /// Time at which the first leader of each term was observed, in milliseconds.
+    pub term_starts: BTreeMap<u64, u64>,
 }
 
 impl Group {
-    /// Starts a replica of each identity, with so many entries, at once.
+    /// Starts one replica for each pair of identity and log length.
     pub fn start(logs: &[(u64, u64)]) -> Self {
         let voters: Vec<u64> = logs.iter().map(|(id, _)| *id).collect();
         let mut group = Self {
             replicas: BTreeMap::new(),
-            under_way: Vec::new(),
-            cut_off: Vec::new(),
-            votes_asked_by: Vec::new(),
+            in_flight: Vec::new(),
+            partitioned: Vec::new(),
+            candidates_seen: Vec::new(),
             now: 0,
-            terms_begun_at: BTreeMap::new(),
+            term_starts: BTreeMap::new(),
         };
         for (id, length) in logs {
             group.restart(*id, stored(&voters, *length));
@@ -76,15 +76,15 @@
         self.replicas.insert(id, replica);
     }
 
-    fn is_cut_off(&self, message: &Message) -> bool {
+    fn crosses_partition(&self, message: &Message) -> bool {
         [message.from, message.to]
             .iter()
-            .any(|one| self.cut_off.contains(&one.0))
+            .any(|id| self.partitioned.contains(&id.0))
     }
 
     pub fn step(&mut self) {
-        self.now += STEP;
-        for message in std::mem::take(&mut self.under_way) {
+        self.now += STEP_MS;
+        for message in std::mem::take(&mut self.in_flight) {
             if let Some(replica) = self.replicas.get_mut(&message.to.0) {
                 replica.step(message, self.now);
             }
@@ -93,39 +93,39 @@
             replica.tick(self.now);
             while replica.has_output() {
                 let output = replica.take_output();
-                self.under_way.extend(output.messages);
+                self.in_flight.extend(output.messages);
                 if !output.writes.is_empty() || !output.messages_after_sync.is_empty() {
-                    self.under_way.extend(output.messages_after_sync);
+                    self.in_flight.extend(output.messages_after_sync);
                     replica.on_synced(self.now);
                 }
             }
         }
-        let mut under_way = std::mem::take(&mut self.under_way);
-        under_way.retain(|message| !self.is_cut_off(message));
-        for message in &under_way {
-            let asks = matches!(message.body, MessageBody::Vote { .. });
-            if asks && !self.votes_asked_by.contains(&message.from.0) {
-                self.votes_asked_by.push(message.from.0);
+        let mut in_flight = std::mem::take(&mut self.in_flight);
+        in_flight.retain(|message| !self.crosses_partition(message));
+        for message in &in_flight {
+            let is_vote_request = matches!(message.body, MessageBody::Vote { .. });
+            if is_vote_request && !self.candidates_seen.contains(&message.from.0) {
+                self.candidates_seen.push(message.from.0);
             }
         }
-        self.under_way = under_way;
+        self.in_flight = in_flight;
         if let Some(leader) = self.leader() {
             let term = self.replicas[&leader].term();
-            self.terms_begun_at.entry(term).or_insert(self.now);
+            self.term_starts.entry(term).or_insert(self.now);
         }
     }
 
     pub fn leader(&self) -> Option<u64> {
-        let mut leaders = self
-            .replicas
-            .iter()
-            .filter(|(id, replica)| replica.role() == Role::Leader && !self.cut_off.contains(id));
+        let mut leaders = self.replicas.iter().filter(|(id, replica)| {
+            replica.role() == Role::Leader && !self.partitioned.contains(id)
+        });
         leaders.next().map(|(id, _)| *id)
     }
 
-    /// The leader and when there was one, if within `span` milliseconds.
-    pub fn wait_for_leader(&mut self, span: u64) -> Option<(u64, u64)> {
-        let end = self.now + span;
+    /// Steps until there is a leader. Returns it with the time, or `None` after `timeout_ms`
+    /// milliseconds.
+    pub fn wait_for_leader(&mut self, timeout_ms: u64) -> Option<(u64, u64)> {
+        let end = self.now + timeout_ms;
         while self.now < end {
             self.step();
             if let Some(leader) = self.leader() {
--- a/crates/consensus/tests/hand_over.rs
+++ b/crates/consensus/tests/hand_over.rs
@@ -1,47 +1,52 @@
-//! A leader that is stopped hands over while entries are under way.
+//! Leadership transfer while entries are being replicated.
 
 mod common;
 
 use common::Group;
 use rstest::rstest;
 
-/// Longest time without a leader after a hand-over, in milliseconds: a request to take over and
-/// an election, of ten each way here.
-const WITHOUT_LEADER: u64 = 100;
+/// Maximum time from the start of a transfer to the new leader, in milliseconds: some round trips
+/// of 20 ms for the takeover request and the election.
+const MAX_TRANSFER_DURATION_MS: u64 = 100;
 
-/// One entry at each step, so that no follower ever holds the whole log.
-fn step_with_entry(group: &mut Group) {
+/// Proposes an entry in each step, so that no follower ever has the whole log.
+fn propose_and_step(group: &mut Group) {
     let now = group.now;
     if let Some(leader) = group.leader() {
-        let leader = group.replicas.get_mut(&leader).expect("it is there");
-        // One that hands over takes none.
+        let leader = group.replicas.get_mut(&leader).expect("the leader exists");
+        // A leader that transfers leadership rejects proposals.
         let _ = leader.propose(b"entry".to_vec(), now);
     }
     group.step();
 }
 
 #[rstest]
-fn a_leader_that_is_stopped_under_load_has_a_successor_at_once(
+fn a_leader_that_transfers_leadership_under_load_has_a_successor_at_once(
     #[values(3, 4, 5)] voters: u64,
-    #[values(0, 1, 2, 7)] steps_after_exit: u64,
+    #[values(0, 1, 2, 7)] steps_before_exit: u64,
 ) {
     let logs: Vec<(u64, u64)> = (1..=voters).map(|id| (id, 0)).collect();
     let mut group = Group::start(&logs);
     let (leader, _) = group.wait_for_leader(200).expect("a leader");
     for _ in 0..50 {
-        step_with_entry(&mut group);
+        propose_and_step(&mut group);
     }
-    let replica = group.replicas.get_mut(&leader).expect("it is there");
+    let replica = group.replicas.get_mut(&leader).expect("the leader exists");
     replica.transfer_leadership();
-    let handed_over_at = group.now;
-    // The process exits a little later; what it sent until then arrives.
-    for _ in 0..30 + steps_after_exit {
-        step_with_entry(&mut group);
+    let transfer_started_at = group.now;
+    // The process exits a little later; messages that it sent before are delivered.
+    for _ in 0..30 + steps_before_exit {
+        propose_and_step(&mut group);
     }
     group.replicas.remove(&leader);
     let successor = group.leader();
-    assert!(successor.is_some_and(|one| one != leader), "{successor:?}");
-    let took = group.terms_begun_at.values().max().copied();
-    let took = took.unwrap_or_default().saturating_sub(handed_over_at);
-    assert!(took <= WITHOUT_LEADER, "{took} ms");
+    assert!(successor.is_some_and(|id| id != leader), "{successor:?}");
+    let last_term_start = group.term_starts.values().max().copied();
+    let transfer_duration = last_term_start
+        .unwrap_or_default()
+        .saturating_sub(transfer_started_at);
+    assert!(
+        transfer_duration <= MAX_TRANSFER_DURATION_MS,
+        "{transfer_duration} ms"
+    );
 }
--- a/crates/consensus/tests/replica.rs
+++ b/crates/consensus/tests/replica.rs
@@ -1,5 +1,5 @@
-//! Traps of the consensus state machine, one by one. Whole clusters under
-//! faults are simulated in `silversail-simulation`.
+//! Safety and liveness properties of a single replica. `silversail-simulation` tests clusters with
+//! faults.
 
 use silversail_consensus::{
     next_membership, without_unreachable_voter, ConsensusConfig, Entry, HardState, JoinRequest,
@@ -7,7 +7,7 @@
     SnapshotMeta, StoredState,
 };
 
-const CLUSTER: u64 = 9;
+const CLUSTER_ID: u64 = 9;
 
 fn membership(voters: &[u64]) -> Membership {
     Membership {
@@ -27,7 +27,7 @@
         },
         snapshot: Snapshot {
             meta: SnapshotMeta {
-                cluster_id: CLUSTER,
+                cluster_id: CLUSTER_ID,
                 index: 1,
                 term: 1,
                 membership: membership(voters),
@@ -66,12 +66,12 @@
     }
 }
 
-/// Makes replica 1 of three a leader at `now` by the votes of replica 2.
+/// Returns replica 1 of three, elected leader at `now` with the vote of replica 2.
 fn leader(now: u64) -> Replica {
-    let mut one = replica(1, &[1, 2, 3]);
-    one.tick(now);
-    one.take_output();
-    one.step(
+    let mut leader = replica(1, &[1, 2, 3]);
+    leader.tick(now);
+    leader.take_output();
+    leader.step(
         message(
             2,
             1,
@@ -83,18 +83,18 @@
         ),
         now,
     );
-    one.take_output();
-    one.on_synced(now);
-    one.step(
+    leader.take_output();
+    leader.on_synced(now);
+    leader.step(
         message(2, 1, 2, MessageBody::VoteReply { granted: true }),
         now,
     );
-    assert_eq!(one.role(), Role::Leader);
-    one
+    assert_eq!(leader.role(), Role::Leader);
+    leader
 }
 
 #[test]
-fn a_vote_leaves_only_after_it_is_synced() {
+fn a_vote_is_sent_only_after_it_is_synced() {
     let mut replica = replica(2, &[1, 2, 3]);
     replica.step(message(1, 2, 2, vote(1, 1)), 0);
     let output = replica.take_output();
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn one_vote_a_term() {
+fn a_replica_votes_once_per_term() {
     let mut replica = replica(2, &[1, 2, 3]);
     replica.step(message(1, 2, 2, vote(1, 1)), 0);
     replica.take_output();
@@ -126,11 +126,11 @@
 }
 
 #[test]
-fn a_replica_that_holds_nothing_never_votes() {
+fn a_replica_without_stored_state_never_votes() {
     let empty = StoredState {
         snapshot: Snapshot {
             meta: SnapshotMeta {
-                cluster_id: CLUSTER,
+                cluster_id: CLUSTER_ID,
                 ..SnapshotMeta::default()
             },
             data: Vec::new(),
@@ -149,52 +149,52 @@
 }
 
 #[test]
-fn a_former_identity_gets_no_answer() {
+fn a_message_to_a_former_identity_gets_no_reply() {
     let mut replica = replica(4, &[1, 2, 3]);
     replica.step(message(1, 3, 2, vote(1, 1)), 0);
     assert!(!replica.has_output());
 }
 
 #[test]
-fn a_leader_counts_itself_only_once_its_own_write_is_synced() {
-    let mut one = leader(2_000);
-    let noop = one.last_index();
-    one.take_output();
-    one.step(message(2, 1, 2, accepted(noop)), 2_000);
+fn a_leader_counts_its_own_entry_only_after_it_is_synced() {
+    let mut leader = leader(2_000);
+    let noop = leader.last_index();
+    leader.take_output();
+    leader.step(message(2, 1, 2, append_accepted(noop)), 2_000);
     assert_eq!(
-        one.commit_index(),
+        leader.commit_index(),
         1,
         "one synced copy of three is no quorum"
     );
-    one.on_synced(2_001);
-    assert_eq!(one.commit_index(), noop);
+    leader.on_synced(2_001);
+    assert_eq!(leader.commit_index(), noop);
 }
 
 #[test]
 fn a_leader_without_a_quorum_answers_no_reads_and_steps_down() {
     let config = ConsensusConfig::default();
-    let mut one = leader(2_000);
-    one.take_output();
-    one.on_synced(2_000);
+    let mut leader = leader(2_000);
+    leader.take_output();
+    leader.on_synced(2_000);
     let reply = MessageBody::AppendReply {
         accepted: true,
-        match_index: one.last_index(),
+        match_index: leader.last_index(),
         round: 1,
         sent_at: silversail_consensus::ProcessTimestamp {
             incarnation: 1,
             at: 0,
         },
     };
-    one.step(message(2, 1, 2, reply), 2_010);
-    assert!(one.may_serve_reads(2_010));
-    assert!(!one.may_serve_reads(2_000 + config.lease_duration));
-    one.tick(2_000 + config.election_timeout);
-    assert_eq!(one.role(), Role::Follower);
+    leader.step(message(2, 1, 2, reply), 2_010);
+    assert!(leader.may_serve_reads(2_010));
+    assert!(!leader.may_serve_reads(2_000 + config.lease_duration));
+    leader.tick(2_000 + config.election_timeout);
+    assert_eq!(leader.role(), Role::Follower);
 }
 
 #[test]
-fn a_vote_is_refused_while_a_leader_is_alive_unless_it_asked_for_it() {
-    let mut two = replica(2, &[1, 2, 3]);
+fn a_vote_request_is_ignored_while_a_leader_is_live_unless_forced() {
+    let mut follower = replica(2, &[1, 2, 3]);
     let heartbeat = MessageBody::Append {
         previous_index: 1,
         previous_term: 1,
@@ -202,22 +202,22 @@
         commit_index: 1,
         freshness: Default::default(),
     };
-    two.step(message(1, 2, 2, heartbeat), 10);
-    two.take_output();
-    two.step(message(3, 2, 3, vote(1, 1)), 20);
-    assert_eq!(two.term(), 2);
+    follower.step(message(1, 2, 2, heartbeat), 10);
+    follower.take_output();
+    follower.step(message(3, 2, 3, vote(1, 1)), 20);
+    assert_eq!(follower.term(), 2);
     let forced = MessageBody::Vote {
         last_index: 1,
         last_term: 1,
         forced: true,
     };
-    two.step(message(3, 2, 3, forced), 30);
-    assert_eq!(two.term(), 3);
+    follower.step(message(3, 2, 3, forced), 30);
+    assert_eq!(follower.term(), 3);
 }
 
 #[test]
-fn the_echo_of_a_former_process_proves_nothing() {
-    let mut two = replica(2, &[1, 2, 3]);
+fn an_echoed_timestamp_of_a_former_process_is_ignored() {
+    let mut follower = replica(2, &[1, 2, 3]);
     let append = |incarnation| MessageBody::Append {
         previous_index: 1,
         previous_term: 1,
@@ -232,21 +232,21 @@
             }),
         },
     };
-    two.step(message(1, 2, 2, append(0)), 1_000);
-    assert_eq!(two.freshness().as_of, None);
-    two.step(message(1, 2, 2, append(1)), 1_000);
-    assert_eq!(two.freshness().as_of, Some(880));
+    follower.step(message(1, 2, 2, append(0)), 1_000);
+    assert_eq!(follower.freshness().as_of, None);
+    follower.step(message(1, 2, 2, append(1)), 1_000);
+    assert_eq!(follower.freshness().as_of, Some(880));
 }
 
 #[test]
-fn a_new_replica_of_a_node_comes_in_one_step_at_a_time() {
+fn a_new_replica_of_a_node_replaces_the_former_one_by_single_changes() {
     let mut current = membership(&[1, 2, 3]);
     let join = JoinRequest {
         replica: ReplicaId(9),
         node: "n3".into(),
     };
     let mut sizes = Vec::new();
-    // A learner that lags does not replace a voter.
+    // A learner that lags does not replace a voter yet.
     let learner = next_membership(&current, &join, None, |_| false).expect("a learner");
     assert_eq!(next_membership(&learner, &join, None, |_| false), None);
     assert_eq!(
@@ -264,10 +264,10 @@
 }
 
 #[test]
-fn a_follower_that_lost_what_it_acknowledged_is_not_asked_without_end() {
-    let mut one = leader(2_000);
-    one.take_output();
-    one.on_synced(2_000);
+fn a_follower_that_lost_acknowledged_entries_is_not_probed_in_a_loop() {
+    let mut leader = leader(2_000);
+    leader.take_output();
+    leader.on_synced(2_000);
     let reply = |accepted, match_index| MessageBody::AppendReply {
         accepted,
         match_index,
@@ -277,11 +277,11 @@
             at: 0,
         },
     };
-    let noop = one.last_index();
-    one.step(message(2, 1, 2, reply(true, noop)), 2_001);
-    one.take_output();
-    one.step(message(2, 1, 2, reply(false, 1)), 2_002);
-    let resent = one.take_output().messages;
+    let noop = leader.last_index();
+    leader.step(message(2, 1, 2, reply(true, noop)), 2_001);
+    leader.take_output();
+    leader.step(message(2, 1, 2, reply(false, 1)), 2_002);
+    let resent = leader.take_output().messages;
     assert!(
         resent.iter().all(|sent| sent.to != ReplicaId(2)),
         "{resent:?}"
@@ -289,8 +289,8 @@
 }
 
 #[test]
-fn a_late_snapshot_takes_no_acknowledged_entries_away() {
-    let mut two = replica(2, &[1, 2, 3]);
+fn a_delayed_snapshot_removes_no_acknowledged_entries() {
+    let mut follower = replica(2, &[1, 2, 3]);
     let entries: Vec<Entry> = (2..=6)
         .map(|index| Entry {
             index,
@@ -305,23 +305,23 @@
         commit_index: 1,
         freshness: Default::default(),
     };
-    two.step(message(1, 2, 2, append), 10);
-    two.take_output();
-    two.on_synced(11);
+    follower.step(message(1, 2, 2, append), 10);
+    follower.take_output();
+    follower.on_synced(11);
     let snapshot = Snapshot {
         meta: SnapshotMeta {
-            cluster_id: CLUSTER,
+            cluster_id: CLUSTER_ID,
             index: 4,
             term: 2,
             membership: membership(&[1, 2, 3]),
         },
         data: Vec::new(),
     };
-    let late = MessageBody::InstallSnapshot { snapshot, round: 1 };
-    two.step(message(1, 2, 2, late), 20);
-    let output = two.take_output();
+    let delayed = MessageBody::InstallSnapshot { snapshot, round: 1 };
+    follower.step(message(1, 2, 2, delayed), 20);
+    let output = follower.take_output();
     assert!(output.restore.is_none());
-    assert_eq!((two.last_index(), two.commit_index()), (6, 4));
+    assert_eq!((follower.last_index(), follower.commit_index()), (6, 4));
 }
 
 fn members(voters: &[(u64, &str)]) -> Membership {
@@ -335,18 +335,18 @@
 }
 
 #[test]
-fn a_silent_voter_of_an_even_group_goes_and_of_an_odd_or_small_one_stays() {
-    let is_silent = |node: &str| node == "b";
+fn an_unreachable_voter_is_removed_only_from_a_large_enough_even_group() {
+    let is_unreachable = |node: &str| node == "b";
     let four = members(&[(1, "a"), (2, "b"), (3, "c"), (4, "d")]);
-    let three = without_unreachable_voter(&four, ReplicaId(1), is_silent).expect("smaller");
+    let three = without_unreachable_voter(&four, ReplicaId(1), is_unreachable).expect("smaller");
     assert_eq!(three, members(&[(1, "a"), (3, "c"), (4, "d")]));
     assert_eq!(
         without_unreachable_voter(&four, ReplicaId(1), |_| false),
         None
     );
-    // A leader never takes itself out.
+    // A leader never removes itself.
     assert_eq!(
-        without_unreachable_voter(&four, ReplicaId(2), is_silent),
+        without_unreachable_voter(&four, ReplicaId(2), is_unreachable),
         None
     );
     for group in [
@@ -355,13 +355,13 @@
         members(&[(1, "a"), (2, "b"), (3, "c"), (4, "d"), (5, "e")]),
     ] {
         assert_eq!(
-            without_unreachable_voter(&group, ReplicaId(1), is_silent),
+            without_unreachable_voter(&group, ReplicaId(1), is_unreachable),
             None
         );
     }
 }
 
-fn accepted(index: u64) -> MessageBody {
+fn append_accepted(index: u64) -> MessageBody {
     MessageBody::AppendReply {
         accepted: true,
         match_index: index,
@@ -373,71 +373,89 @@
     }
 }
 
-/// Who is asked to take over by what a replica sends now.
-fn asked_to_take_over(replica: &mut Replica) -> Vec<u64> {
+/// Receivers of the takeover requests in the current output of a replica.
+fn takeover_requests(replica: &mut Replica) -> Vec<u64> {
     let messages = replica.take_output().messages;
-    let asks = messages
+    let requests = messages
         .iter()
         .filter(|message| message.body == MessageBody::TimeoutNow);
-    asks.map(|message| message.to.0).collect()
+    requests.map(|message| message.to.0).collect()
 }
 
-/// A leader at 2,000 ms with an entry that no follower has acknowledged.
-fn leader_with_entry_under_way() -> Replica {
-    let mut one = leader(2_000);
-    one.step(message(2, 1, 2, accepted(one.last_index())), 2_000);
-    one.step(message(3, 1, 2, accepted(one.last_index())), 2_000);
-    one.propose(b"entry".to_vec(), 2_000).expect("it leads");
-    one.take_output();
-    one
+/// Returns a leader at 2,000 ms with an entry that no follower has acknowledged.
+fn leader_with_unreplicated_entry() -> Replica {
+    let mut leader = leader(2_000);
+    leader.step(
+        message(2, 1, 2, append_accepted(leader.last_index())),
+        2_000,
+    );
+    leader.step(
+        message(3, 1, 2, append_accepted(leader.last_index())),
+        2_000,
+    );
+    leader.propose(b"entry".to_vec(), 2_000).expect("it leads");
+    leader.take_output();
+    leader
 }
 
 #[test]
-fn a_leader_with_entries_under_way_hands_over_once_a_follower_holds_them() {
-    let mut one = leader_with_entry_under_way();
-    assert!(one.transfer_leadership());
-    assert_eq!(asked_to_take_over(&mut one), [0; 0]);
-    let refused = one.propose(b"later".to_vec(), 2_001);
+fn a_leader_transfers_leadership_once_a_follower_has_all_entries() {
+    let mut leader = leader_with_unreplicated_entry();
+    assert!(leader.transfer_leadership());
+    assert_eq!(takeover_requests(&mut leader), [0; 0]);
+    let refused = leader.propose(b"later".to_vec(), 2_001);
     assert_eq!(refused, Err(ProposeError::LeadershipTransferInProgress));
-    one.step(message(3, 1, 2, accepted(one.last_index())), 2_002);
-    assert_eq!(asked_to_take_over(&mut one), [3]);
-    one.step(message(2, 1, 2, accepted(one.last_index())), 2_003);
-    assert_eq!(asked_to_take_over(&mut one), [0; 0], "one successor only");
+    leader.step(
+        message(3, 1, 2, append_accepted(leader.last_index())),
+        2_002,
+    );
+    assert_eq!(takeover_requests(&mut leader), [3]);
+    leader.step(
+        message(2, 1, 2, append_accepted(leader.last_index())),
+        2_003,
+    );
+    assert_eq!(takeover_requests(&mut leader), [0; 0], "one successor only");
 }
 
 #[test]
-fn a_request_to_take_over_that_was_lost_is_sent_again_to_the_same_voter() {
-    let mut one = leader_with_entry_under_way();
-    one.transfer_leadership();
-    one.step(message(3, 1, 2, accepted(one.last_index())), 2_002);
-    one.step(message(2, 1, 2, accepted(one.last_index())), 2_003);
-    one.take_output();
-    one.tick(2_200);
-    assert_eq!(asked_to_take_over(&mut one), [3]);
+fn a_lost_takeover_request_is_sent_again_to_the_same_voter() {
+    let mut leader = leader_with_unreplicated_entry();
+    leader.transfer_leadership();
+    leader.step(
+        message(3, 1, 2, append_accepted(leader.last_index())),
+        2_002,
+    );
+    leader.step(
+        message(2, 1, 2, append_accepted(leader.last_index())),
+        2_003,
+    );
+    leader.take_output();
+    leader.tick(2_200);
+    assert_eq!(takeover_requests(&mut leader), [3]);
 }
 
 #[test]
-fn a_leader_from_which_nobody_takes_over_steps_down_and_answers_no_reads_until_then() {
-    let mut one = leader_with_entry_under_way();
-    one.transfer_leadership();
+fn a_leader_steps_down_after_a_failed_transfer_and_answers_no_reads_until_then() {
+    let mut leader = leader_with_unreplicated_entry();
+    leader.transfer_leadership();
     let timeout = ConsensusConfig::default().election_timeout;
     for now in [2_001, 2_200, 2_000 + timeout - 1] {
-        one.step(message(3, 1, 2, accepted(1)), now);
-        one.tick(now);
-        assert_eq!(one.role(), Role::Leader);
-        assert!(!one.may_serve_reads(now));
+        leader.step(message(3, 1, 2, append_accepted(1)), now);
+        leader.tick(now);
+        assert_eq!(leader.role(), Role::Leader);
+        assert!(!leader.may_serve_reads(now));
     }
-    one.tick(2_000 + timeout);
-    assert_eq!(one.role(), Role::Follower);
+    leader.tick(2_000 + timeout);
+    assert_eq!(leader.role(), Role::Follower);
 }
 
 #[test]
-fn a_leader_alone_in_its_group_keeps_it() {
-    let mut one = replica(1, &[1]);
-    one.tick(5_000);
-    one.take_output();
-    one.on_synced(5_000);
-    assert_eq!(one.role(), Role::Leader);
-    assert!(!one.transfer_leadership());
-    assert!(one.propose(b"entry".to_vec(), 5_001).is_ok());
+fn the_only_voter_of_a_group_does_not_transfer_leadership() {
+    let mut leader = replica(1, &[1]);
+    leader.tick(5_000);
+    leader.take_output();
+    leader.on_synced(5_000);
+    assert_eq!(leader.role(), Role::Leader);
+    assert!(!leader.transfer_leadership());
+    assert!(leader.propose(b"entry".to_vec(), 5_001).is_ok());
 }
--- a/crates/consensus/tests/starts.rs
+++ b/crates/consensus/tests/starts.rs
@@ -1,4 +1,4 @@
-//! Elections after starts: all replicas at once, one of them, all but the leader.
+//! Elections after replica restarts.
 
 mod common;
 
@@ -22,23 +22,26 @@
     let (leader, at) = group.wait_for_leader(200).expect("a leader");
     assert_eq!(leader, expected);
     assert!(at <= 100, "after {at} ms");
-    // No other stood, so votes can't be split.
-    assert!(group.votes_asked_by.iter().all(|one| *one == expected));
+    // There was no other candidate, so votes cannot be split.
+    assert!(group
+        .candidates_seen
+        .iter()
+        .all(|candidate| *candidate == expected));
 }
 
 #[test]
-fn one_that_starts_late_is_waited_for_not_overtaken() {
+fn a_startup_election_waits_for_a_voter_that_starts_late() {
     let mut group = Group::start(&[(1, 0), (2, 0), (3, 0)]);
-    let late = group.replicas.remove(&3);
+    let late_replica = group.replicas.remove(&3);
     assert_eq!(group.wait_for_leader(400), None);
-    assert!(late.is_some());
+    assert!(late_replica.is_some());
     group.restart(3, stored(&[1, 2, 3], 0));
     let (leader, at) = group.wait_for_leader(200).expect("a leader");
     assert_eq!((leader, at <= 500), (3, true), "after {at} ms");
 }
 
 #[test]
-fn without_one_of_them_a_leader_is_elected_when_no_lease_can_be_left() {
+fn without_one_voter_a_leader_is_elected_once_no_lease_can_be_active() {
     let mut group = Group::start(&[(1, 0), (2, 0), (3, 0)]);
     group.replicas.remove(&3);
     let (leader, at) = group.wait_for_leader(2_000).expect("a leader");
@@ -49,7 +52,7 @@
 }
 
 #[test]
-fn a_voter_whose_disk_was_emptied_is_not_waited_for() {
+fn a_startup_election_does_not_wait_for_a_voter_that_lost_its_storage() {
     let mut group = Group::start(&[(1, 0), (2, 0), (3, 0)]);
     group.replicas.remove(&3);
     for replica in group.replicas.values_mut() {
@@ -60,7 +63,7 @@
 }
 
 #[test]
-fn two_emptied_of_three_leave_no_quorum() {
+fn two_of_three_voters_without_storage_leave_no_quorum() {
     let mut group = Group::start(&[(1, 0), (2, 0), (3, 0)]);
     for id in [2, 3] {
         group.replicas.remove(&id);
@@ -72,9 +75,10 @@
     assert_eq!(group.wait_for_leader(3_000), None);
 }
 
-/// The leader goes on alone, within its lease: its followers forgot it.
+/// The partitioned leader may still answer reads under its lease, which its restarted followers no
+/// longer know of.
 #[test]
-fn followers_that_restart_wait_out_the_lease_of_a_leader_that_is_cut_off() {
+fn restarted_followers_elect_no_leader_during_the_lease_of_a_partitioned_leader() {
     let mut group = Group::start(&[(1, 0), (2, 0), (3, 0)]);
     let (leader, _) = group.wait_for_leader(200).expect("a leader");
     assert_eq!(leader, 3);
@@ -82,7 +86,7 @@
         group.step();
     }
     let restarted_at = group.now;
-    group.cut_off.push(3);
+    group.partitioned.push(3);
     for id in [1, 2] {
         group.restart(id, stored(&[1, 2, 3], 1));
     }
@@ -92,24 +96,24 @@
     assert!(!group.replicas[&3].may_serve_reads(group.now));
 }
 
-/// A vote for a candidate that failed leaves a replica in a later term than the leader's:
-/// it drops what the leader sends, and nobody would vote for it while the leader lives.
+/// After a failed election a replica may have a later term than the leader. It then rejects the
+/// leader's messages but cannot win an election while the leader is live.
 #[test]
-fn a_replica_in_a_later_term_than_the_leaders_is_not_left_behind() {
+fn a_replica_with_a_later_term_than_the_leader_rejoins_the_group() {
     let mut group = Group::start(&[(1, 0), (2, 0), (3, 0)]);
     group.wait_for_leader(200).expect("a leader");
     for _ in 0..50 {
         group.step();
     }
     let (now, term) = (group.now, group.replicas[&1].term() + 1);
-    let stray = Message {
+    let message = Message {
         from: ReplicaId(2),
         to: ReplicaId(1),
         term,
         body: MessageBody::VoteReply { granted: false },
     };
-    let ahead = group.replicas.get_mut(&1).expect("the replica");
-    ahead.step(stray, now);
+    let replica = group.replicas.get_mut(&1).expect("the replica");
+    replica.step(message, now);
     for _ in 0..300 {
         group.step();
     }
@@ -120,7 +124,7 @@
 }
 
 #[test]
-fn one_that_restarts_alone_does_not_disturb_the_leader() {
+fn a_single_restarted_replica_does_not_disrupt_the_leader() {
     let mut group = Group::start(&[(1, 0), (2, 0), (3, 0)]);
     let (leader, _) = group.wait_for_leader(200).expect("a leader");
     for _ in 0..50 {
