--- a/crates/control/tests/rollouts.rs
+++ b/crates/control/tests/rollouts.rs
@@ -126,7 +126,10 @@
         assert_eq!(reply, in_force(position as u64 + 1));
     }
     end(&mut state, 2, rolled_back(500), 500);
-    let in_progress = state.rollouts.all().filter(|rollout| rollout.is_in_progress());
+    let in_progress = state
+        .rollouts
+        .all()
+        .filter(|rollout| rollout.is_in_progress());
     assert_eq!(in_progress.count(), 2);
 }
 
