--- a/crates/control/src/rollouts.rs
+++ b/crates/control/src/rollouts.rs
@@ -234,7 +234,7 @@
     }
 
     /// Removes old ended rollouts of services that the configuration no longer contains, retaining
-    /// the latest [`MAX_ROLLOUTS_OF_REMOVED_SERVICES`].
+    /// the latest `MAX_ROLLOUTS_OF_REMOVED_SERVICES`.
     pub fn prune_removed_services(&mut self, is_configured: impl Fn(&str) -> bool) {
         let ended = self.all().filter(|rollout| !rollout.is_in_progress());
         let mut of_removed_services: Vec<RolloutNumber> = ended
