--- a/crates/peer/src/backend_list_update.rs
+++ b/crates/peer/src/backend_list_update.rs
@@ -6,7 +6,7 @@
 use crate::backend_list::{BackendList, BackendListEntry, BackendListVersion, SharedBackendList};
 use crate::backend_list_entries::BackendListEntries;
 use serde::{Deserialize, Serialize};
-use silversail_control::packing;
+use silversail_control::compression;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -59,7 +59,8 @@
         content: &Content,
     ) -> Self {
         let encoded = postcard::to_stdvec(content).expect("encoding into memory does not fail");
-        let compressed = packing::pack(&encoded).expect("compression into memory does not fail");
+        let compressed =
+            compression::compress(&encoded).expect("compression into memory does not fail");
         Self {
             base,
             version,
@@ -85,8 +86,8 @@
             (Some(base), Some(current)) if current.version == base => current.entries.clone(),
             (Some(base), _) => return Err(BackendListUpdateError::BaseMismatch(base)),
         };
-        let encoded =
-            packing::unpack(&self.compressed).map_err(|_| BackendListUpdateError::Malformed)?;
+        let encoded = compression::decompress(&self.compressed)
+            .map_err(|_| BackendListUpdateError::Malformed)?;
         let content: Content =
             postcard::from_bytes(&encoded).map_err(|_| BackendListUpdateError::Malformed)?;
         for id in &content.removed {
