--- a/crates/daemon/src/requests/actor.rs
+++ b/crates/daemon/src/requests/actor.rs
@@ -12,7 +12,9 @@
 use silversail_backend::{CallFailure, EngineLoad, StageOutput};
 use silversail_consensus::Millis;
 use silversail_model::{BackendName, NodeName, ResultCode};
-use silversail_routing::{Admission, FairQueue, Placer, RetryBudget, TenantLimiter};
+use silversail_routing::{
+    AdmissionController, BackendSelector, FairQueue, RetryBudget, TenantLimiter,
+};
 use silversail_serving::notices::BackendNotices;
 use silversail_serving::quarantine::RequestQuarantine;
 use stakker::{after, Actor, CX};
@@ -63,9 +65,9 @@
     pub(crate) next_attempt: u64,
     pub(crate) queue: FairQueue,
     pub(crate) pools: Pools,
-    pub(crate) admission: Admission,
+    pub(crate) admission: AdmissionController,
     pub(crate) limiter: TenantLimiter,
-    pub(crate) placer: Placer,
+    pub(crate) placer: BackendSelector,
     pub(crate) budgets: BTreeMap<BackendName, RetryBudget>,
     /// Requests that crash back ends.
     pub(crate) quarantine: RequestQuarantine,
@@ -79,7 +81,7 @@
     pub fn init(_: CX![], setup: RequestSetup) -> Option<Self> {
         let routing = &setup.settings.routing;
         let queue = FairQueue::new(routing.queue);
-        let placer = Placer::new(routing.placement, setup.seed);
+        let placer = BackendSelector::new(routing.placement, setup.seed);
         let quarantine = RequestQuarantine::new(setup.settings.quarantine);
         let crashes = CrashReporter::new(setup.state.clone(), setup.metrics.clone());
         Some(Self {
@@ -90,7 +92,7 @@
             next_attempt: 0,
             queue,
             pools: Pools::default(),
-            admission: Admission::default(),
+            admission: AdmissionController::default(),
             limiter: TenantLimiter::default(),
             placer,
             budgets: BTreeMap::new(),
@@ -141,7 +143,7 @@
         let now = self.now_millis(cx);
         self.pools
             .load(&backend)
-            .report(load.running + load.waiting, now);
+            .record_report(load.running + load.waiting, now);
         if self.pools.note_holdings(&backend, load.models) {
             self.deal_slots();
         }
--- a/crates/daemon/src/requests/admit.rs
+++ b/crates/daemon/src/requests/admit.rs
@@ -111,7 +111,7 @@
                 let message = "no back end may serve a stage";
                 return Err(Refusal::soon(ResultCode::NoBackend, message));
             }
-            AdmissionDecision::Refuse { retry_after_ms }
+            AdmissionDecision::Reject { retry_after_ms }
                 if self.setup.settings.routing.admission =>
             {
                 return Err(Refusal {
@@ -120,7 +120,7 @@
                     retry_after_ms: Some(retry_after_ms),
                 });
             }
-            AdmissionDecision::Refuse { .. } | AdmissionDecision::Admit => {}
+            AdmissionDecision::Reject { .. } | AdmissionDecision::Admit => {}
         }
         for estimate in &estimates {
             self.admission.add(tenant, weight, *estimate);
--- a/crates/daemon/src/requests/dispatch.rs
+++ b/crates/daemon/src/requests/dispatch.rs
@@ -12,7 +12,7 @@
 use silversail_consensus::Millis;
 use silversail_ledger::{Claim, LedgerCommand, LedgerReply};
 use silversail_model::{Backend, BackendName, ResultCode, StageKind};
-use silversail_routing::{Candidate, PoolId, QueuedStage, RetryBudget};
+use silversail_routing::{EligibleBackend, PoolId, QueuedStage, RetryBudget};
 use stakker::{ret_some_to, CX};
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
@@ -130,18 +130,18 @@
             // Makes sure that each has a load to compare.
             self.pools.load(&backend.name);
         }
-        let compared: Vec<Candidate<'_>> = candidates
+        let compared: Vec<EligibleBackend<'_>> = candidates
             .iter()
             .filter_map(|backend| {
-                Some(Candidate {
+                Some(EligibleBackend {
                     name: &backend.name,
                     slots: backend.slots,
-                    holds_prefix: false,
+                    has_cached_prefix: false,
                     load: self.pools.known_load(&backend.name)?,
                 })
             })
             .collect();
-        let chosen = self.placer.choose(&compared, now)?;
+        let chosen = self.placer.select(&compared, now)?;
         candidates.get(chosen).cloned()
     }
 
@@ -348,7 +348,7 @@
             self.budgets
                 .entry(backend)
                 .or_insert_with(|| RetryBudget::new(retry_share))
-                .first_attempt();
+                .record_first_attempt();
         }
         log::debug!(event = "call", request = request.request_id.as_str(), stage = stage.name.as_str(), attempt = attempt; "stage sent");
         let is_generation = stage.kind == StageKind::Generation;
--- a/crates/daemon/src/requests/outcome.rs
+++ b/crates/daemon/src/requests/outcome.rs
@@ -29,9 +29,9 @@
         let now = self.now_millis(cx);
         let load = self.pools.load(&outstanding.backend);
         match &result {
-            Ok(_) => load.succeeded(service.as_secs_f64() * 1_000.0, now),
+            Ok(_) => load.record_success(service.as_secs_f64() * 1_000.0, now),
             Err(CallFailure::Cancelled | CallFailure::Deadline | CallFailure::Withheld) => {}
-            Err(_) => load.failed(now),
+            Err(_) => load.record_failure(now),
         }
         let number = outstanding.request;
         if matches!(result, Err(CallFailure::Lost(_))) {
@@ -186,7 +186,7 @@
         self.budgets
             .entry(call.backend.clone())
             .or_insert_with(|| RetryBudget::new(share))
-            .try_retry()
+            .try_take_retry()
     }
 
     /// Passes a token on. When another engine runs the stream again, its first
--- a/crates/daemon/src/requests/pools.rs
+++ b/crates/daemon/src/requests/pools.rs
@@ -193,7 +193,7 @@
         if backend.kind != BackendKind::Engine || share.policy == SlotPolicy::Share {
             return false;
         }
-        let free = load.and_then(|load| load.reported_free(backend.slots, now));
+        let free = load.and_then(|load| load.reported_free_slots(backend.slots, now));
         let borrowed = free.map_or(0, |free| {
             borrowed_slots(free, share.nodes, share.rank, &backend.name, now)
         });
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -69,7 +69,7 @@
     /// Expected to end in time.
     Admit,
     /// Not expected to end in time.
-    Refuse {
+    Reject {
         /// When to come back: after the excess has been worked off.
         retry_after_ms: u64,
     },
@@ -79,11 +79,11 @@
 
 /// Admitted work by pool.
 #[derive(Default)]
-pub struct Admission {
+pub struct AdmissionController {
     pools: HashMap<PoolId, PoolLoad>,
 }
 
-impl Admission {
+impl AdmissionController {
     /// Sets how many calls this node may have at a pool.
     pub fn set_capacity(&mut self, pool: PoolId, capacity: u32) {
         self.pools.entry(pool).or_default().capacity = capacity;
@@ -112,7 +112,7 @@
         if expected <= remaining_ms {
             return AdmissionDecision::Admit;
         }
-        AdmissionDecision::Refuse {
+        AdmissionDecision::Reject {
             retry_after_ms: (expected - remaining_ms).ceil().max(1.0) as u64,
         }
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -10,10 +10,10 @@
 pub mod retry;
 pub mod slots;
 
-pub use admission::{Admission, AdmissionDecision, StageEstimate};
+pub use admission::{AdmissionController, AdmissionDecision, StageEstimate};
 pub use average::MovingAverage;
 pub use limits::{node_share, LimitViolation, TenantLimiter};
-pub use placement::{BackendLoad, Candidate, PlacementPolicy, Placer};
+pub use placement::{BackendLoad, BackendSelector, EligibleBackend, PlacementPolicy};
 pub use queue::{FairQueue, PoolId, QueueOrder, QueuedStage};
 pub use retry::RetryBudget;
 pub use slots::{borrowed_slots, SlotPolicy, SlotTable};
--- a/crates/routing/src/placement.rs
+++ b/crates/routing/src/placement.rs
@@ -75,20 +75,20 @@
     }
 
     /// Takes in a report of all calls at the back end, others' included.
-    pub fn report(&mut self, load: u32, now: Millis) {
+    pub fn record_report(&mut self, load: u32, now: Millis) {
         self.reported = Some((load, now));
         self.own_at_report = self.in_flight;
     }
 
     /// Notes that a call ended well.
-    pub fn succeeded(&mut self, service_ms: f64, now: Millis) {
+    pub fn record_success(&mut self, service_ms: f64, now: Millis) {
         self.service_ms.add(service_ms);
         self.measured_at = Some(now);
         self.failures = 0;
     }
 
     /// Notes that a call failed.
-    pub fn failed(&mut self, now: Millis) {
+    pub fn record_failure(&mut self, now: Millis) {
         self.failures += 1;
         if self.failures >= EJECT_AFTER_FAILURES {
             self.ejected_until = now + EJECT_FOR;
@@ -109,15 +109,15 @@
 
     /// Free slots of `slots` by the last report, where it is recent, less the
     /// own calls since.
-    pub fn reported_free(&self, slots: u32, now: Millis) -> Option<u32> {
+    pub fn reported_free_slots(&self, slots: u32, now: Millis) -> Option<u32> {
         let (_, at) = self.reported?;
         let is_recent = now.saturating_sub(at) < FREE_SLOTS_VALID_FOR;
-        is_recent.then(|| slots.saturating_sub(self.believed_load(now)))
+        is_recent.then(|| slots.saturating_sub(self.estimated_load(now)))
     }
 
     /// Calls believed to be at the back end: the last report with the own calls
     /// since then put right, and never less than the own ones.
-    pub fn believed_load(&self, now: Millis) -> u32 {
+    pub fn estimated_load(&self, now: Millis) -> u32 {
         let own = self.in_flight;
         match self.reported {
             Some((load, at)) if now.saturating_sub(at) < REPORT_VALID_FOR => {
@@ -131,25 +131,25 @@
 
 /// A back end that may run a stage now.
 #[derive(Clone, Debug)]
-pub struct Candidate<'a> {
+pub struct EligibleBackend<'a> {
     /// Its name.
     pub name: &'a BackendName,
     /// Calls that it runs side by side.
     pub slots: u32,
     /// Whether it is believed to hold the prompt's prefix.
-    pub holds_prefix: bool,
+    pub has_cached_prefix: bool,
     /// Its load.
     pub load: &'a BackendLoad,
 }
 
 /// Chooses back ends by a policy.
-pub struct Placer {
+pub struct BackendSelector {
     policy: PlacementPolicy,
     random: ChaCha8Rng,
     turn: usize,
 }
 
-impl Placer {
+impl BackendSelector {
     /// A placer; `seed` breaks ties differently on each node.
     pub fn new(policy: PlacementPolicy, seed: u64) -> Self {
         Self {
@@ -160,7 +160,7 @@
     }
 
     /// The position of the chosen candidate.
-    pub fn choose(&mut self, candidates: &[Candidate<'_>], now: Millis) -> Option<usize> {
+    pub fn select(&mut self, candidates: &[EligibleBackend<'_>], now: Millis) -> Option<usize> {
         if candidates.is_empty() {
             return None;
         }
@@ -176,11 +176,11 @@
 
     fn choose_first_to_finish(
         &mut self,
-        candidates: &[Candidate<'_>],
+        candidates: &[EligibleBackend<'_>],
         now: Millis,
     ) -> Option<usize> {
         let has_reports = candidates.iter().any(|one| one.load.reported.is_some());
-        let has_prefix = candidates.iter().any(|one| one.holds_prefix);
+        let has_prefix = candidates.iter().any(|one| one.has_cached_prefix);
         let compared: Vec<usize> = if has_reports || has_prefix || candidates.len() <= SAMPLES {
             (0..candidates.len()).collect()
         } else {
@@ -203,7 +203,7 @@
 /// The shortest recently measured service time, in milliseconds; what a back
 /// end is taken for until it was measured itself, so that new and recovered
 /// ones get calls.
-fn fastest_service_ms(candidates: &[Candidate<'_>], now: Millis) -> f64 {
+fn fastest_service_ms(candidates: &[EligibleBackend<'_>], now: Millis) -> f64 {
     candidates
         .iter()
         .filter_map(|candidate| candidate.load.recent_service_ms(now))
@@ -213,14 +213,14 @@
 
 /// Expected time until a call started now would finish, in milliseconds.
 /// `fastest_ms` stands for a service time that was not measured lately.
-pub fn expected_finish_ms(candidate: &Candidate<'_>, fastest_ms: f64, now: Millis) -> f64 {
+pub fn expected_finish_ms(candidate: &EligibleBackend<'_>, fastest_ms: f64, now: Millis) -> f64 {
     let service = candidate.load.recent_service_ms(now).unwrap_or(fastest_ms);
-    let load = f64::from(candidate.load.believed_load(now));
+    let load = f64::from(candidate.load.estimated_load(now));
     let slots = f64::from(candidate.slots.max(1));
     let waiting = (load + 1.0 - slots).max(0.0) / slots * service;
     // A fuller batch makes each step a little longer, long before it is full.
     let crowding = 1.0 + 0.25 * (load / slots).min(1.0);
-    let own = if candidate.holds_prefix {
+    let own = if candidate.has_cached_prefix {
         service * crowding * PREFIX_SAVING
     } else {
         service * crowding
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -21,12 +21,12 @@
     }
 
     /// Notes a first attempt.
-    pub fn first_attempt(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.tokens = (self.tokens + self.share).min(BURST);
     }
 
     /// Takes one retry out of the budget, if there is one.
-    pub fn try_retry(&mut self) -> bool {
+    pub fn try_take_retry(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
         }
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -3,9 +3,9 @@
 use silversail_model::{BackendName, TenantLimits, TenantName};
 use silversail_routing::placement::BackendLoad;
 use silversail_routing::{
-    borrowed_slots, node_share, Admission, AdmissionDecision, Candidate, FairQueue, LimitViolation,
-    PlacementPolicy, Placer, PoolId, QueueOrder, QueuedStage, RetryBudget, SlotTable,
-    StageEstimate, TenantLimiter,
+    borrowed_slots, node_share, AdmissionController, AdmissionDecision, BackendSelector,
+    EligibleBackend, FairQueue, LimitViolation, PlacementPolicy, PoolId, QueueOrder, QueuedStage,
+    RetryBudget, SlotTable, StageEstimate, TenantLimiter,
 };
 
 const POOL: PoolId = PoolId(0);
@@ -88,7 +88,7 @@
 
 #[test]
 fn a_request_is_refused_when_the_fullest_pool_would_make_it_late() {
-    let mut admission = Admission::default();
+    let mut admission = AdmissionController::default();
     admission.set_capacity(POOL, 4);
     admission.set_capacity(PoolId(1), 100);
     let stages = [
@@ -114,7 +114,7 @@
     assert!((16..=20).contains(&admitted), "{admitted}");
     assert!(matches!(
         admission.decide(&tenant, 1, &stages, 1_000.0),
-        AdmissionDecision::Refuse { retry_after_ms } if retry_after_ms <= 100
+        AdmissionDecision::Reject { retry_after_ms } if retry_after_ms <= 100
     ));
     stages
         .iter()
@@ -128,7 +128,7 @@
 
 #[test]
 fn a_flooding_tenant_does_not_get_others_refused() {
-    let mut admission = Admission::default();
+    let mut admission = AdmissionController::default();
     admission.set_capacity(POOL, 4);
     let stage = StageEstimate {
         pool: POOL,
@@ -152,30 +152,30 @@
     assert!((6..=9).contains(&admitted), "{admitted}");
 }
 
-fn choose(placer: &mut Placer, loads: &[BackendLoad], now: u64) -> Vec<usize> {
+fn choose(placer: &mut BackendSelector, loads: &[BackendLoad], now: u64) -> Vec<usize> {
     let names: Vec<BackendName> = (0..loads.len())
         .map(|at| BackendName(format!("b{at}")))
         .collect();
-    let candidates: Vec<Candidate<'_>> = loads
+    let candidates: Vec<EligibleBackend<'_>> = loads
         .iter()
         .zip(&names)
-        .map(|(load, name)| Candidate {
+        .map(|(load, name)| EligibleBackend {
             name,
             slots: 4,
-            holds_prefix: false,
+            has_cached_prefix: false,
             load,
         })
         .collect();
     (0..50)
-        .filter_map(|_| placer.choose(&candidates, now))
+        .filter_map(|_| placer.select(&candidates, now))
         .collect()
 }
 
 #[test]
 fn a_back_end_that_was_never_measured_gets_calls() {
     let mut fast = BackendLoad::new();
-    fast.succeeded(5.0, 1_000);
-    let mut placer = Placer::new(PlacementPolicy::ExpectedFinish, 1);
+    fast.record_success(5.0, 1_000);
+    let mut placer = BackendSelector::new(PlacementPolicy::ExpectedFinish, 1);
     let chosen = choose(&mut placer, &[fast, BackendLoad::new()], 1_000);
     assert!(chosen.contains(&1));
 }
@@ -183,16 +183,16 @@
 #[test]
 fn own_calls_since_a_report_count_and_old_reports_do_not() {
     let mut busy = BackendLoad::new();
-    busy.report(4, 1_000);
+    busy.record_report(4, 1_000);
     let mut dispatched = BackendLoad::new();
-    dispatched.report(0, 1_000);
+    dispatched.record_report(0, 1_000);
     dispatched.in_flight = 2;
     assert_eq!(
-        (busy.believed_load(1_100), dispatched.believed_load(1_100)),
+        (busy.estimated_load(1_100), dispatched.estimated_load(1_100)),
         (4, 2)
     );
-    assert_eq!(busy.believed_load(60_000), 0);
-    let mut placer = Placer::new(PlacementPolicy::ExpectedFinish, 1);
+    assert_eq!(busy.estimated_load(60_000), 0);
+    let mut placer = BackendSelector::new(PlacementPolicy::ExpectedFinish, 1);
     let chosen = choose(&mut placer, &[busy, dispatched], 1_100);
     assert!(chosen.iter().all(|position| *position == 1));
 }
@@ -200,9 +200,9 @@
 #[test]
 fn failures_in_a_row_leave_a_back_end_out_for_a_while() {
     let mut load = BackendLoad::new();
-    (0..2).for_each(|_| load.failed(1_000));
+    (0..2).for_each(|_| load.record_failure(1_000));
     assert!(!load.is_ejected(1_000));
-    load.failed(1_000);
+    load.record_failure(1_000);
     assert!(load.is_ejected(1_000) && !load.is_ejected(10_000));
 }
 
@@ -259,12 +259,12 @@
 #[test]
 fn retries_are_a_share_of_first_attempts() {
     let mut budget = RetryBudget::new(0.1);
-    let burst = (0..100).filter(|_| budget.try_retry()).count();
+    let burst = (0..100).filter(|_| budget.try_take_retry()).count();
     assert_eq!(burst, 10);
     for _ in 0..100 {
-        budget.first_attempt();
+        budget.record_first_attempt();
     }
-    let later = (0..100).filter(|_| budget.try_retry()).count();
+    let later = (0..100).filter(|_| budget.try_take_retry()).count();
     assert!((9..=10).contains(&later), "{later}");
 }
 
