--- a/crates/control/src/evidence_table.rs
+++ b/crates/control/src/evidence_table.rs
@@ -45,7 +45,7 @@
         .routes
         .values()
         .flat_map(|seen| [&seen.baseline, &seen.candidate]);
-    let counted = versions.map(|answers| answers.sent + answers.good + answers.bad);
+    let counted = versions.map(|answers| answers.sent + answers.succeeded + answers.failed);
     (evidence.step, counted.sum())
 }
 
--- a/crates/control/src/rollouts.rs
+++ b/crates/control/src/rollouts.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 use silversail_rollout::{
-    Directive, OrderError, Rollout, RolloutNumber, RolloutOrder, RolloutState,
+    Directive, Rollout, RolloutNumber, RolloutOrder, RolloutOrderError, RolloutState,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -80,7 +80,7 @@
         number: RolloutNumber,
     },
     /// The order is refused; nothing was done.
-    Refused(OrderError),
+    Refused(RolloutOrderError),
     /// The service had another rollout since the order's `seen`: nothing was done. An operator
     /// who still waits gets the order proposed again on this number.
     Outdated {
@@ -140,7 +140,7 @@
                 return RolloutReply::InForce { number };
             }
             if latest.is_in_progress() {
-                return RolloutReply::Refused(OrderError::Underway {
+                return RolloutReply::Refused(RolloutOrderError::Underway {
                     service: order.service,
                     target_version: latest.order.target_version.clone(),
                 });
--- a/crates/control/tests/evidence_table.rs
+++ b/crates/control/tests/evidence_table.rs
@@ -19,7 +19,7 @@
 fn evidence(step: u32, bad: u64, in_flight: u64) -> Evidence {
     let mut seen = RouteEvidence::default();
     seen.candidate.sent = bad;
-    seen.candidate.bad = bad;
+    seen.candidate.failed = bad;
     Evidence {
         rollout: 1,
         step,
@@ -68,7 +68,7 @@
 }
 
 fn bad(sum: &Evidence) -> u64 {
-    sum.routes.get("r").map_or(0, |seen| seen.candidate.bad)
+    sum.routes.get("r").map_or(0, |seen| seen.candidate.failed)
 }
 
 #[test]
--- a/crates/control/tests/rollouts.rs
+++ b/crates/control/tests/rollouts.rs
@@ -7,7 +7,9 @@
 use silversail_control::{RolloutCommand, RolloutReply};
 use silversail_model::traffic::{CallerLimits, ServiceSpec};
 use silversail_model::TrafficConfiguration;
-use silversail_rollout::{Directive, OrderError, Rollout, RolloutOrder, RolloutState, Verdict};
+use silversail_rollout::{
+    Directive, Rollout, RolloutOrder, RolloutOrderError, RolloutState, Verdict,
+};
 use std::collections::BTreeSet;
 
 const SERVICE: &str = "chat";
@@ -93,7 +95,7 @@
 fn another_version_is_refused_while_a_rollout_is_in_progress() {
     let mut state = ControlState::default();
     begin(&mut state, "v2", 0);
-    let refused = RolloutReply::Refused(OrderError::Underway {
+    let refused = RolloutReply::Refused(RolloutOrderError::Underway {
         service: SERVICE.to_owned(),
         target_version: "v2".to_owned(),
     });
--- a/crates/daemon/src/rollout/leader.rs
+++ b/crates/daemon/src/rollout/leader.rs
@@ -12,7 +12,9 @@
 use silversail_control::rollouts::counts_time;
 use silversail_control::{ControlCommand, ControlState, RolloutCommand, RolloutReply};
 use silversail_decisions::DecisionLog;
-use silversail_rollout::{Controller, Decision, Limits, Rollout, RolloutNumber, RolloutState};
+use silversail_rollout::{
+    Rollout, RolloutController, RolloutDecision, RolloutLimits, RolloutNumber, RolloutState,
+};
 use stakker::{after, call, ret_nop, ret_some_to, Actor, CX};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -46,7 +48,7 @@
     /// Commits decisions.
     pub proposer: Actor<ProposerActor>,
     /// What a bad version may do at most.
-    pub limits: Limits,
+    pub limits: RolloutLimits,
     /// Longest time for which a leader that is cut off acts as one, in milliseconds.
     pub leader_lease: Millis,
     /// Decisions.
@@ -62,7 +64,7 @@
     term: u64,
     decides_from: Millis,
     /// One for each rollout in progress; none while a decision of it is being committed.
-    controllers: BTreeMap<RolloutNumber, Controller>,
+    controllers: BTreeMap<RolloutNumber, RolloutController>,
     /// Rollouts of which a decision is being committed.
     committing: BTreeSet<RolloutNumber>,
     /// None at first: a voter that starts again goes on from what is committed, and the time of
@@ -224,9 +226,9 @@
         let controller = leadership
             .controllers
             .entry(number)
-            .or_insert_with(|| Controller::new(rollout, limits));
+            .or_insert_with(|| RolloutController::new(rollout, limits));
         let decision = match only_version {
-            Some(verdict) => Some(Decision::Complete {
+            Some(verdict) => Some(RolloutDecision::Complete {
                 former_versions: BTreeSet::new(),
                 verdict,
             }),
@@ -265,25 +267,25 @@
     }
 }
 
-fn command_of(number: RolloutNumber, decision: Decision, elapsed_ms: u64) -> RolloutCommand {
+fn command_of(number: RolloutNumber, decision: RolloutDecision, elapsed_ms: u64) -> RolloutCommand {
     let end = |state| RolloutCommand::End {
         number,
         state,
         elapsed_ms,
     };
     match decision {
-        Decision::Direct(directive) => RolloutCommand::Advance {
+        RolloutDecision::Issue(directive) => RolloutCommand::Advance {
             number,
             directive,
             elapsed_ms,
         },
-        Decision::Complete {
+        RolloutDecision::Complete {
             former_versions,
             verdict,
         } => end(RolloutState::Completed {
             former_versions,
             verdict,
         }),
-        Decision::RollBack(verdict) => end(RolloutState::RolledBack { verdict }),
+        RolloutDecision::RollBack(verdict) => end(RolloutState::RolledBack { verdict }),
     }
 }
--- a/crates/daemon/src/rollout/orders.rs
+++ b/crates/daemon/src/rollout/orders.rs
@@ -9,7 +9,7 @@
 use silversail_control::{ControlCommand, RolloutCommand, RolloutReply, RolloutsRevision};
 use silversail_decisions::{DecisionLog, Event as LogEvent};
 use silversail_model::ResultCode;
-use silversail_rollout::{OrderError, RolloutNumber, RolloutOrder, RolloutState, Verdict};
+use silversail_rollout::{RolloutNumber, RolloutOrder, RolloutOrderError, RolloutState, Verdict};
 use stakker::{call, ret_some_to, Actor, CX};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -50,13 +50,13 @@
     }
 }
 
-impl From<OrderError> for RolloutRefused {
-    fn from(error: OrderError) -> Self {
+impl From<RolloutOrderError> for RolloutRefused {
+    fn from(error: RolloutOrderError) -> Self {
         let code = match &error {
-            OrderError::Underway { .. } => ResultCode::RolloutUnderway,
-            OrderError::UnknownService(_) => ResultCode::UnknownService,
-            OrderError::Duration => ResultCode::InvalidDuration,
-            OrderError::Name => ResultCode::InvalidName,
+            RolloutOrderError::Underway { .. } => ResultCode::RolloutUnderway,
+            RolloutOrderError::UnknownService(_) => ResultCode::UnknownService,
+            RolloutOrderError::Duration => ResultCode::InvalidDuration,
+            RolloutOrderError::Name => ResultCode::InvalidName,
         };
         Self::new(code, error.to_string())
     }
@@ -175,7 +175,7 @@
         }
         // The service may stand in a configuration that has not come here yet.
         match state.is_current(self.setup.clock.millis(now), ROLLOUT_PERMIT) {
-            true => Err(OrderError::UnknownService(order.service.clone()).into()),
+            true => Err(RolloutOrderError::UnknownService(order.service.clone()).into()),
             false => Err(not_current()),
         }
     }
@@ -272,13 +272,13 @@
     }
 }
 
-fn check_order(order: &RolloutOrder) -> Result<(), OrderError> {
+fn check_order(order: &RolloutOrder) -> Result<(), RolloutOrderError> {
     let is_name = |name: &str| (1..=LONGEST_NAME).contains(&name.len());
     if !is_name(&order.service) || !is_name(&order.target_version) {
-        return Err(OrderError::Name);
+        return Err(RolloutOrderError::Name);
     }
     if !(1..=LONGEST_DURATION_MS).contains(&order.duration_ms) {
-        return Err(OrderError::Duration);
+        return Err(RolloutOrderError::Duration);
     }
     Ok(())
 }
--- a/crates/daemon/src/rollout/progress.rs
+++ b/crates/daemon/src/rollout/progress.rs
@@ -3,28 +3,28 @@
 use crate::session::NodeState;
 use silversail_consensus::Millis;
 use silversail_peer::Listing;
-use silversail_rollout::{Directive, Progress, RolloutOrder, Verdict};
+use silversail_rollout::{Directive, RolloutOrder, RolloutProgress, Verdict};
 
 /// How far the back ends of both versions are. Cold ones of the candidate count: they take few
 /// requests, within a limit that all nodes keep.
 pub(super) fn progress_of(
     order: &RolloutOrder,
     listing: Option<&Listing>,
-    is_in_force_everywhere: bool,
-) -> Progress {
+    is_applied_everywhere: bool,
+) -> RolloutProgress {
     let entries = listing
         .into_iter()
         .flat_map(|listing| listing.entries.iter());
     let of_service = entries.filter(|one| one.service == order.service);
-    let mut progress = Progress {
-        is_in_force_everywhere,
-        ..Progress::default()
+    let mut progress = RolloutProgress {
+        is_applied_everywhere,
+        ..RolloutProgress::default()
     };
     for instance in of_service {
         if instance.version != order.target_version {
             progress.baseline_versions.insert(instance.version.clone());
         } else if !instance.draining {
-            progress.candidates_ready += 1;
+            progress.ready_candidate_backends += 1;
         }
     }
     progress
@@ -39,13 +39,13 @@
 pub(super) fn verdict_without_baseline(
     state: &NodeState,
     directive: &Directive,
-    progress: &Progress,
+    progress: &RolloutProgress,
     now: Millis,
     elapsed_ms: u64,
 ) -> Option<Verdict> {
     let is_untouched = *directive == Directive::default();
     let has_only_candidates =
-        progress.candidates_ready > 0 && progress.baseline_versions.is_empty();
+        progress.ready_candidate_backends > 0 && progress.baseline_versions.is_empty();
     let is_current = state.has_current_listing(now);
     (is_untouched && has_only_candidates && is_current).then(|| Verdict {
         reason: NO_OTHER_VERSION.to_owned(),
--- a/crates/daemon/src/rollout/recording.rs
+++ b/crates/daemon/src/rollout/recording.rs
@@ -28,10 +28,10 @@
     fn of(evidence: &Evidence) -> Self {
         let mut totals = Self::default();
         for seen in evidence.routes.values() {
-            totals.candidate_good += seen.candidate.good;
-            totals.candidate_bad += seen.candidate.bad;
-            totals.baseline_good += seen.baseline.good;
-            totals.baseline_bad += seen.baseline.bad;
+            totals.candidate_good += seen.candidate.succeeded;
+            totals.candidate_bad += seen.candidate.failed;
+            totals.baseline_good += seen.baseline.succeeded;
+            totals.baseline_bad += seen.baseline.failed;
         }
         totals
     }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -76,7 +76,7 @@
     pub routing: RoutingSettings,
     /// What a bad version may do at most while it is rolled out.
     #[serde(default)]
-    pub rollout: silversail_rollout::Limits,
+    pub rollout: silversail_rollout::RolloutLimits,
     /// When requests that crash back ends are refused.
     #[serde(default)]
     pub quarantine: silversail_quarantine::Limits,
--- a/crates/rollout/examples/rollout_trials.rs
+++ b/crates/rollout/examples/rollout_trials.rs
@@ -7,7 +7,7 @@
 mod fake;
 
 use fake::{play, Fault, Outcome, Setting, Upset, BATCHED, GOOD, PLAIN, STREAMS};
-use silversail_rollout::Decision;
+use silversail_rollout::RolloutDecision;
 
 const THREADS: u64 = 3;
 
@@ -74,7 +74,7 @@
 }
 
 fn is_rolled_back(outcome: &Outcome) -> bool {
-    matches!(outcome.decision, Some(Decision::RollBack(_)))
+    matches!(outcome.decision, Some(RolloutDecision::RollBack(_)))
 }
 
 /// Requests in 100 of the bound.
--- a/crates/rollout/src/controller.rs
+++ b/crates/rollout/src/controller.rs
@@ -1,7 +1,7 @@
 //! Decides on the leader how a rollout goes on: the next directive, or its end.
 
 use crate::evidence::Evidence;
-use crate::order::{Directive, Limits, Rollout, RolloutState, Verdict};
+use crate::order::{Directive, Rollout, RolloutLimits, RolloutState, Verdict};
 use crate::plan::{Plan, Situation};
 use crate::verdict::{assess, assess_strictly, is_proved, Comparison, Finding, FEWEST_BASELINE};
 use crate::watch::{proof_ms, Watch, JUDGED_ALONE_PER_MS};
@@ -52,20 +52,20 @@
 
 /// What the leader knows of a rollout beside the counts of its answers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Progress {
+pub struct RolloutProgress {
     /// Back ends of the candidate that can take requests.
-    pub candidates_ready: usize,
+    pub ready_candidate_backends: usize,
     /// Versions of the other back ends of the service.
     pub baseline_versions: BTreeSet<String>,
     /// Whether every node in touch obeys the newest directive.
-    pub is_in_force_everywhere: bool,
+    pub is_applied_everywhere: bool,
 }
 
 /// What is to be committed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Decision {
+pub enum RolloutDecision {
     /// Nodes are to obey this directive.
-    Direct(Directive),
+    Issue(Directive),
     /// All traffic goes to the candidate and stays there.
     Complete {
         /// Versions that had the traffic before.
@@ -80,17 +80,17 @@
 /// Judges one rollout and plans its course. A new leader makes one from the committed state; it
 /// judges by the totals at once, and by the last seconds as soon as it has seen some.
 #[derive(Clone, Debug)]
-pub struct Controller {
+pub struct RolloutController {
     duration_ms: u64,
-    limits: Limits,
+    limits: RolloutLimits,
     directive: Directive,
     is_in_progress: bool,
     watch: Watch,
 }
 
-impl Controller {
+impl RolloutController {
     /// Goes on with a rollout from where it was committed.
-    pub fn new(rollout: &Rollout, limits: Limits) -> Self {
+    pub fn new(rollout: &Rollout, limits: RolloutLimits) -> Self {
         let directive = match &rollout.state {
             RolloutState::InProgress(directive) => directive.clone(),
             _ => Directive::default(),
@@ -117,15 +117,15 @@
     pub fn decide(
         &mut self,
         evidence: &Evidence,
-        progress: &Progress,
+        progress: &RolloutProgress,
         elapsed_ms: u64,
-    ) -> Option<Decision> {
+    ) -> Option<RolloutDecision> {
         if !self.is_in_progress {
             return None;
         }
         self.watch.see(evidence, progress, elapsed_ms);
         let decision = self.next(evidence, progress, elapsed_ms)?;
-        if let Decision::Direct(directive) = &decision {
+        if let RolloutDecision::Issue(directive) = &decision {
             self.watch.directed(directive, elapsed_ms);
             self.directive = directive.clone();
         } else {
@@ -141,7 +141,7 @@
             elapsed_ms,
             duration_ms: self.duration_ms,
             limits: self.limits,
-            sent_in_all: evidence.sent_in_all(),
+            sent_in_all: evidence.total_sent(),
             sent_to_candidate: evidence.sent_to_candidate(),
             canary_share: f64::from(self.directive.canary_permille) / 1_000.0,
             proof_ms: proof_ms(&routes),
@@ -151,20 +151,25 @@
         })
     }
 
-    fn next(&self, evidence: &Evidence, progress: &Progress, elapsed_ms: u64) -> Option<Decision> {
+    fn next(
+        &self,
+        evidence: &Evidence,
+        progress: &RolloutProgress,
+        elapsed_ms: u64,
+    ) -> Option<RolloutDecision> {
         let finding = assess(evidence, self.watch.history(), elapsed_ms);
         if let Finding::Bad(comparison) = &finding {
-            return Some(Decision::RollBack(comparison.verdict(elapsed_ms)));
+            return Some(RolloutDecision::RollBack(comparison.verdict(elapsed_ms)));
         }
         if self.is_beyond_comparison(evidence, elapsed_ms) {
-            return Some(Decision::RollBack(
+            return Some(RolloutDecision::RollBack(
                 evidence.verdict("no_evidence", elapsed_ms),
             ));
         }
         if let Some(verdict) = self.overdue(&finding, evidence, progress, elapsed_ms) {
             return Some(verdict);
         }
-        if progress.candidates_ready == 0 {
+        if progress.ready_candidate_backends == 0 {
             return None;
         }
         let plan = self.plan(evidence, elapsed_ms);
@@ -191,7 +196,8 @@
             self.watch.per_ms(route, evidence, elapsed_ms) >= JUDGED_ALONE_PER_MS
         });
         frequent.any(|(_, seen)| {
-            seen.candidate.ended() >= FEWEST_ANSWERS && seen.baseline.ended() < FEWEST_BASELINE
+            seen.candidate.completed() >= FEWEST_ANSWERS
+                && seen.baseline.completed() < FEWEST_BASELINE
         })
     }
 
@@ -200,9 +206,9 @@
         &self,
         finding: &Finding,
         evidence: &Evidence,
-        progress: &Progress,
+        progress: &RolloutProgress,
         elapsed_ms: u64,
-    ) -> Option<Decision> {
+    ) -> Option<RolloutDecision> {
         if elapsed_ms + END_BEFORE_MS < self.duration_ms {
             return None;
         }
@@ -212,23 +218,27 @@
                 && elapsed_ms < self.watch.directed_at_ms() + DOUBT_MS
                 && comparison.probability > CONDEMNED
                 && plan.expected_exposure < plan.bound;
-            return (!is_doubted).then(|| Decision::RollBack(comparison.verdict(elapsed_ms)));
+            return (!is_doubted)
+                .then(|| RolloutDecision::RollBack(comparison.verdict(elapsed_ms)));
         }
         if elapsed_ms < self.duration_ms {
             return None;
         }
         if let Some(comparison) = self.doubt_at_the_bound(evidence, elapsed_ms) {
-            return Some(Decision::RollBack(comparison.verdict(elapsed_ms)));
+            return Some(RolloutDecision::RollBack(comparison.verdict(elapsed_ms)));
         }
-        let roll_back =
-            |reason: &str| Some(Decision::RollBack(evidence.verdict(reason, elapsed_ms)));
+        let roll_back = |reason: &str| {
+            Some(RolloutDecision::RollBack(
+                evidence.verdict(reason, elapsed_ms),
+            ))
+        };
         let is_given_up = elapsed_ms >= self.duration_ms + GRACE_MS;
-        let is_waited_for = progress.candidates_ready == 0 && !is_given_up;
-        if evidence.candidate_ended() < FEWEST_ANSWERS && !is_waited_for {
+        let is_waited_for = progress.ready_candidate_backends == 0 && !is_given_up;
+        if evidence.candidate_completed() < FEWEST_ANSWERS && !is_waited_for {
             return roll_back("no_evidence");
         }
-        let is_ready =
-            progress.candidates_ready > 0 && self.is_ready_to_end(evidence, progress, elapsed_ms);
+        let is_ready = progress.ready_candidate_backends > 0
+            && self.is_ready_to_end(evidence, progress, elapsed_ms);
         if is_given_up && !is_ready {
             return roll_back("overdue");
         }
@@ -254,7 +264,7 @@
         }
     }
 
-    fn set_share(&self, wanted: u16, elapsed_ms: u64) -> Option<Decision> {
+    fn set_share(&self, wanted: u16, elapsed_ms: u64) -> Option<RolloutDecision> {
         let now = self.directive.canary_permille;
         let is_new_leader = now > 0 && !self.watch.has_directed();
         if is_new_leader && self.directive.moved_routes.is_empty() {
@@ -276,9 +286,14 @@
         is_off.then(|| self.direct(wanted, BTreeSet::new()))
     }
 
-    fn move_routes(&self, plan: &Plan, evidence: &Evidence, elapsed_ms: u64) -> Option<Decision> {
+    fn move_routes(
+        &self,
+        plan: &Plan,
+        evidence: &Evidence,
+        elapsed_ms: u64,
+    ) -> Option<RolloutDecision> {
         let is_proved = self.proves("", evidence, evidence, elapsed_ms, WRONG_MOVE);
-        let is_enough = evidence.candidate_ended() >= FEWEST_ANSWERS;
+        let is_enough = evidence.candidate_completed() >= FEWEST_ANSWERS;
         if !self.watch.is_long_enough() || !is_enough || !is_proved {
             return None;
         }
@@ -307,7 +322,7 @@
         let has_answers = evidence
             .routes
             .get(route)
-            .is_some_and(|seen| seen.candidate.ended() >= FEWEST_ROUTE_ANSWERS);
+            .is_some_and(|seen| seen.candidate.completed() >= FEWEST_ROUTE_ANSWERS);
         let rare = RARE_SLACK_PART * self.limits.exposure_slack;
         has_answers
             || elapsed_ms >= self.duration_ms
@@ -317,26 +332,31 @@
     fn complete(
         &self,
         evidence: &Evidence,
-        progress: &Progress,
+        progress: &RolloutProgress,
         elapsed_ms: u64,
-    ) -> Option<Decision> {
+    ) -> Option<RolloutDecision> {
         if !self.is_ready_to_end(evidence, progress, elapsed_ms) {
             return None;
         }
         let left = evidence.baseline_in_flight as f64;
-        let is_few = left <= CUT_SHARE * evidence.sent_in_all() as f64;
+        let is_few = left <= CUT_SHARE * evidence.total_sent() as f64;
         let is_end = elapsed_ms + END_BEFORE_MS >= self.duration_ms;
         let is_late = elapsed_ms >= self.duration_ms + GRACE_MS;
-        (left == 0.0 || is_end && is_few || is_late).then(|| Decision::Complete {
+        (left == 0.0 || is_end && is_few || is_late).then(|| RolloutDecision::Complete {
             former_versions: progress.baseline_versions.clone(),
             verdict: evidence.verdict("no_difference", elapsed_ms),
         })
     }
 
     /// Whether only the baseline's last answers are waited for.
-    fn is_ready_to_end(&self, evidence: &Evidence, progress: &Progress, elapsed_ms: u64) -> bool {
+    fn is_ready_to_end(
+        &self,
+        evidence: &Evidence,
+        progress: &RolloutProgress,
+        elapsed_ms: u64,
+    ) -> bool {
         self.is_all_moved(evidence)
-            && progress.is_in_force_everywhere
+            && progress.is_applied_everywhere
             && self.is_proved(evidence, elapsed_ms)
     }
 
@@ -384,8 +404,8 @@
         )
     }
 
-    fn direct(&self, canary_permille: u16, moved: BTreeSet<String>) -> Decision {
-        Decision::Direct(Directive {
+    fn direct(&self, canary_permille: u16, moved: BTreeSet<String>) -> RolloutDecision {
+        RolloutDecision::Issue(Directive {
             step: self.directive.step + 1,
             canary_permille,
             moved_routes: &self.directive.moved_routes | &moved,
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -2,30 +2,30 @@
 //! rollout began there, summed by the leader. Counts of a process only grow, so a message that
 //! is lost or comes twice changes nothing.
 
-use crate::latency::LatencyCounts;
+use crate::latency::LatencyHistogram;
 use crate::order::{RolloutNumber, Verdict};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Answers of one version on one route.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answers {
+pub struct ResponseCounts {
     /// Requests sent, those that were sent again included.
     pub sent: u64,
     /// Whole answers that are no failure.
-    pub good: u64,
+    pub succeeded: u64,
     /// Failures: error statuses, answers that broke off, garbled ones, none in time.
-    pub bad: u64,
+    pub failed: u64,
     /// Milliseconds until the first part of good answers.
-    pub first_part: LatencyCounts,
+    pub time_to_first_byte: LatencyHistogram,
     /// Milliseconds until the end of good answers.
-    pub whole: LatencyCounts,
+    pub response_time: LatencyHistogram,
 }
 
-impl Answers {
+impl ResponseCounts {
     /// Requests that have an answer, good or bad.
-    pub fn ended(&self) -> u64 {
-        self.good + self.bad
+    pub fn completed(&self) -> u64 {
+        self.succeeded + self.failed
     }
 
     /// What came after an earlier count of the same answers. A count that fell, as processes
@@ -33,20 +33,20 @@
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
             sent: self.sent.saturating_sub(earlier.sent),
-            good: self.good.saturating_sub(earlier.good),
-            bad: self.bad.saturating_sub(earlier.bad),
-            first_part: self.first_part.since(&earlier.first_part),
-            whole: self.whole.since(&earlier.whole),
+            succeeded: self.succeeded.saturating_sub(earlier.succeeded),
+            failed: self.failed.saturating_sub(earlier.failed),
+            time_to_first_byte: self.time_to_first_byte.since(&earlier.time_to_first_byte),
+            response_time: self.response_time.since(&earlier.response_time),
         }
     }
 
     /// Adds the counts of another process.
     pub fn merge(&mut self, other: &Self) {
         self.sent += other.sent;
-        self.good += other.good;
-        self.bad += other.bad;
-        self.first_part.merge(&other.first_part);
-        self.whole.merge(&other.whole);
+        self.succeeded += other.succeeded;
+        self.failed += other.failed;
+        self.time_to_first_byte.merge(&other.time_to_first_byte);
+        self.response_time.merge(&other.response_time);
     }
 }
 
@@ -54,9 +54,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteEvidence {
     /// Of the baseline.
-    pub baseline: Answers,
+    pub baseline: ResponseCounts,
     /// Of the candidate.
-    pub candidate: Answers,
+    pub candidate: ResponseCounts,
 }
 
 impl RouteEvidence {
@@ -98,7 +98,7 @@
     }
 
     /// Requests sent to either version, on all routes.
-    pub fn sent_in_all(&self) -> u64 {
+    pub fn total_sent(&self) -> u64 {
         self.routes.values().map(RouteEvidence::sent).sum()
     }
 
@@ -107,10 +107,10 @@
         let mut candidate = (0, 0);
         let mut baseline = (0, 0);
         for seen in self.routes.values() {
-            candidate.0 += seen.candidate.ended();
-            candidate.1 += seen.candidate.bad;
-            baseline.0 += seen.baseline.ended();
-            baseline.1 += seen.baseline.bad;
+            candidate.0 += seen.candidate.completed();
+            candidate.1 += seen.candidate.failed;
+            baseline.0 += seen.baseline.completed();
+            baseline.1 += seen.baseline.failed;
         }
         Verdict {
             reason: reason.to_owned(),
@@ -122,10 +122,10 @@
     }
 
     /// Answers of the candidate, on all routes.
-    pub fn candidate_ended(&self) -> u64 {
+    pub fn candidate_completed(&self) -> u64 {
         self.routes
             .values()
-            .map(|seen| seen.candidate.ended())
+            .map(|seen| seen.candidate.completed())
             .sum()
     }
 
--- a/crates/rollout/src/exposure.rs
+++ b/crates/rollout/src/exposure.rs
@@ -31,7 +31,7 @@
     /// Whether the next request of a route may go to the candidate. `lot` is a hash of the
     /// request's identifier and may use all 64 bits or fewer. Requests of moved routes count
     /// too: after a move a node first falls back to the share before other routes get more.
-    pub fn may_expose(&self, directive: &Directive, route: &str, lot: u64) -> bool {
+    pub fn may_send_to_candidate(&self, directive: &Directive, route: &str, lot: u64) -> bool {
         if directive.moved_routes.contains(route) {
             return true;
         }
@@ -40,7 +40,7 @@
     }
 
     /// Counts a request that was sent.
-    pub fn sent(&mut self, to_candidate: bool) {
+    pub fn record_sent(&mut self, to_candidate: bool) {
         self.sent_in_all += 1;
         self.sent_to_candidate += u64::from(to_candidate);
     }
--- a/crates/rollout/src/latency.rs
+++ b/crates/rollout/src/latency.rs
@@ -6,7 +6,7 @@
 /// Times counted in buckets whose bounds grow by a quarter of an octave: bucket `i` holds times
 /// below `2^((i + 1) / 4)` ms that no bucket before it holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LatencyCounts {
+pub struct LatencyHistogram {
     /// Counts by bucket; buckets that hold nothing are left out.
     pub buckets: BTreeMap<u8, u32>,
 }
@@ -14,9 +14,9 @@
 /// Buckets in which a time doubles.
 const BUCKETS_PER_OCTAVE: f64 = 4.0;
 
-impl LatencyCounts {
+impl LatencyHistogram {
     /// Counts a time in milliseconds.
-    pub fn add(&mut self, ms: u64) {
+    pub fn record(&mut self, ms: u64) {
         let count = self.buckets.entry(bucket_of(ms)).or_default();
         *count = count.saturating_add(1);
     }
@@ -47,7 +47,7 @@
     }
 
     /// Times that lie in buckets wholly above `ms` milliseconds.
-    pub fn above(&self, ms: f64) -> u64 {
+    pub fn count_above(&self, ms: f64) -> u64 {
         self.buckets
             .iter()
             .filter(|(bucket, _)| lower_bound_ms(**bucket) >= ms)
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -16,11 +16,11 @@
 pub mod verdict;
 mod watch;
 
-pub use controller::{Controller, Decision, Progress};
-pub use evidence::{Answers, Evidence, RouteEvidence};
+pub use controller::{RolloutController, RolloutDecision, RolloutProgress};
+pub use evidence::{Evidence, ResponseCounts, RouteEvidence};
 pub use exposure::ExposureBudget;
-pub use latency::LatencyCounts;
+pub use latency::LatencyHistogram;
 pub use order::{
-    Directive, Limits, OrderError, Rollout, RolloutNumber, RolloutOrder, RolloutState, Verdict,
-    BATCH_ROUTE,
+    Directive, Rollout, RolloutLimits, RolloutNumber, RolloutOrder, RolloutOrderError,
+    RolloutState, Verdict, BATCH_ROUTE,
 };
--- a/crates/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -23,7 +23,7 @@
 
 /// Why an order is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
-pub enum OrderError {
+pub enum RolloutOrderError {
     /// Another rollout of the service is under way, to another version.
     #[error("a rollout of service '{service}' to version '{target_version}' is under way")]
     Underway {
@@ -115,7 +115,7 @@
 /// What a bad version may do at most; settings of the deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Limits {
+pub struct RolloutLimits {
     /// Share of all requests that reach the service between the order and its deadline which
     /// may reach a bad version.
     pub exposure_share: f64,
@@ -125,7 +125,7 @@
     pub rollback_ms: u64,
 }
 
-impl Default for Limits {
+impl Default for RolloutLimits {
     fn default() -> Self {
         Self {
             exposure_share: 0.1,
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -6,7 +6,7 @@
 //! the deadline stays under the bound of [`Limits`]. Where both don't fit, the bound wins: all
 //! routes move later by one limit on the time that is left for answers to end.
 
-use crate::order::Limits;
+use crate::order::RolloutLimits;
 use std::collections::BTreeMap;
 
 /// Deviations that are kept free of the bound: arrivals are random, and counts lag.
@@ -58,7 +58,7 @@
     /// Time from the order to the deadline, in milliseconds.
     pub duration_ms: u64,
     /// What a bad version may do.
-    pub limits: Limits,
+    pub limits: RolloutLimits,
     /// Requests sent to both versions.
     pub sent_in_all: u64,
     /// Requests sent to the candidate.
--- a/crates/rollout/src/verdict.rs
+++ b/crates/rollout/src/verdict.rs
@@ -11,9 +11,9 @@
 //! bad where each is with the upper bound of the baseline's share and a tolerance more (exact
 //! binomial tail). Trouble that hits both sides raises both shares.
 
-use crate::evidence::{Answers, Evidence, RouteEvidence};
+use crate::evidence::{Evidence, ResponseCounts, RouteEvidence};
 use crate::history::History;
-use crate::latency::LatencyCounts;
+use crate::latency::LatencyHistogram;
 use crate::order::Verdict;
 use crate::statistics::{binomial_tail, upper_share};
 
@@ -250,7 +250,7 @@
 
 impl Overdue {
     fn of(route: &str, total: &RouteEvidence, history: &History, elapsed_ms: u64) -> Self {
-        let Some(limit_ms) = slow_from_ms(&total.baseline.whole, WHOLE_ALLOWANCE_MS) else {
+        let Some(limit_ms) = slow_from_ms(&total.baseline.response_time, WHOLE_ALLOWANCE_MS) else {
             return Self::default();
         };
         let Some(then) = history
@@ -259,7 +259,8 @@
         else {
             return Self::default();
         };
-        let open = |sent: &Answers, now: &Answers| sent.sent.saturating_sub(now.ended());
+        let open =
+            |sent: &ResponseCounts, now: &ResponseCounts| sent.sent.saturating_sub(now.completed());
         Self {
             candidate: open(&then.candidate, &total.candidate),
             baseline: open(&then.baseline, &total.baseline),
@@ -282,17 +283,18 @@
         total: &RouteEvidence,
         overdue: Overdue,
     ) -> Option<Self> {
-        let is_same_time = period.baseline.ended() >= ENOUGH_BASELINE;
+        let is_same_time = period.baseline.completed() >= ENOUGH_BASELINE;
         let reference = if is_same_time { period } else { total };
-        if reference.baseline.ended() < FEWEST_BASELINE {
+        if reference.baseline.completed() < FEWEST_BASELINE {
             return None;
         }
         let limit_ms = match measure {
             Measure::Failures => 0.0,
-            Measure::FirstPart => {
-                slow_from_ms(&reference.baseline.first_part, FIRST_PART_ALLOWANCE_MS)?
-            }
-            Measure::Whole => slow_from_ms(&reference.baseline.whole, WHOLE_ALLOWANCE_MS)?,
+            Measure::FirstPart => slow_from_ms(
+                &reference.baseline.time_to_first_byte,
+                FIRST_PART_ALLOWANCE_MS,
+            )?,
+            Measure::Whole => slow_from_ms(&reference.baseline.response_time, WHOLE_ALLOWANCE_MS)?,
         };
         let mut candidate = tally(measure, &period.candidate, limit_ms);
         let mut baseline = tally(measure, &reference.baseline, limit_ms);
@@ -360,21 +362,21 @@
     binomial_tail(candidate.answers, candidate.bad, allowed_share)
 }
 
-fn tally(measure: Measure, answers: &Answers, limit_ms: f64) -> Tally {
+fn tally(measure: Measure, answers: &ResponseCounts, limit_ms: f64) -> Tally {
     match measure {
         Measure::Failures => Tally {
-            answers: answers.ended(),
-            bad: answers.bad,
+            answers: answers.completed(),
+            bad: answers.failed,
         },
-        Measure::FirstPart => slow_tally(&answers.first_part, limit_ms),
-        Measure::Whole => slow_tally(&answers.whole, limit_ms),
+        Measure::FirstPart => slow_tally(&answers.time_to_first_byte, limit_ms),
+        Measure::Whole => slow_tally(&answers.response_time, limit_ms),
     }
 }
 
-fn slow_tally(times: &LatencyCounts, limit_ms: f64) -> Tally {
+fn slow_tally(times: &LatencyHistogram, limit_ms: f64) -> Tally {
     Tally {
         answers: times.count(),
-        bad: times.above(limit_ms),
+        bad: times.count_above(limit_ms),
     }
 }
 
@@ -386,7 +388,7 @@
 }
 
 /// Time from which an answer is slow, in milliseconds.
-fn slow_from_ms(baseline: &LatencyCounts, allowance_ms: f64) -> Option<f64> {
+fn slow_from_ms(baseline: &LatencyHistogram, allowance_ms: f64) -> Option<f64> {
     baseline
         .quantile_ms(0.75)
         .map(|quartile| SLOW_FACTOR * quartile + allowance_ms)
--- a/crates/rollout/src/watch.rs
+++ b/crates/rollout/src/watch.rs
@@ -1,6 +1,6 @@
 //! What a leader sees of a rollout while it goes on: rates, and how long directives take.
 
-use crate::controller::Progress;
+use crate::controller::RolloutProgress;
 use crate::evidence::Evidence;
 use crate::history::History;
 use crate::order::Directive;
@@ -88,9 +88,9 @@
         self.spread_ms.unwrap_or(PRESUMED_SPREAD_MS)
     }
 
-    pub(crate) fn see(&mut self, evidence: &Evidence, progress: &Progress, elapsed_ms: u64) {
+    pub(crate) fn see(&mut self, evidence: &Evidence, progress: &RolloutProgress, elapsed_ms: u64) {
         self.history.keep(evidence, elapsed_ms);
-        if !self.is_spreading || !progress.is_in_force_everywhere {
+        if !self.is_spreading || !progress.is_applied_everywhere {
             return;
         }
         self.is_spreading = false;
@@ -124,8 +124,8 @@
             .map(|(route, seen)| RouteLoad {
                 route: route.clone(),
                 per_ms: self.per_ms(route, evidence, elapsed_ms),
-                usual_ms: seen.baseline.whole.quantile_ms(0.5).unwrap_or(0.0),
-                longest_ms: seen.baseline.whole.quantile_ms(0.99).unwrap_or(0.0),
+                usual_ms: seen.baseline.response_time.quantile_ms(0.5).unwrap_or(0.0),
+                longest_ms: seen.baseline.response_time.quantile_ms(0.99).unwrap_or(0.0),
                 moved_at_ms: self.moved_at(directive, route),
             })
             .collect()
--- a/crates/rollout/tests/controller.rs
+++ b/crates/rollout/tests/controller.rs
@@ -2,8 +2,8 @@
 
 use rstest::rstest;
 use silversail_rollout::{
-    Answers, Controller, Decision, Directive, Evidence, Limits, Progress, Rollout, RolloutOrder,
-    RolloutState, RouteEvidence, Verdict,
+    Directive, Evidence, ResponseCounts, Rollout, RolloutController, RolloutDecision,
+    RolloutLimits, RolloutOrder, RolloutProgress, RolloutState, RouteEvidence, Verdict,
 };
 
 const DURATION_MS: u64 = 12_000;
@@ -26,15 +26,16 @@
     }
 }
 
-fn leader(directive: Directive, elapsed_ms: u64) -> Controller {
-    Controller::new(&rollout(directive, elapsed_ms), Limits::default()).with_report_lag_ms(200)
+fn leader(directive: Directive, elapsed_ms: u64) -> RolloutController {
+    RolloutController::new(&rollout(directive, elapsed_ms), RolloutLimits::default())
+        .with_report_lag_ms(200)
 }
 
-fn ready() -> Progress {
-    Progress {
-        candidates_ready: 3,
+fn ready() -> RolloutProgress {
+    RolloutProgress {
+        ready_candidate_backends: 3,
         baseline_versions: ["last".to_owned()].into(),
-        is_in_force_everywhere: true,
+        is_applied_everywhere: true,
     }
 }
 
@@ -89,15 +90,15 @@
     /// Runs until the rollout ends.
     fn run(
         &mut self,
-        controller: &mut Controller,
-        progress: &Progress,
+        controller: &mut RolloutController,
+        progress: &RolloutProgress,
         from_ms: u64,
         to_ms: u64,
-    ) -> Option<(u64, Decision)> {
+    ) -> Option<(u64, RolloutDecision)> {
         for now in (from_ms..to_ms).step_by(STEP_MS as usize) {
             self.step();
             match controller.decide(&self.evidence, progress, now) {
-                Some(Decision::Direct(next)) => self.directive = next,
+                Some(RolloutDecision::Issue(next)) => self.directive = next,
                 Some(end) => return Some((now, end)),
                 None => {}
             }
@@ -106,20 +107,22 @@
     }
 }
 
-fn answer(answers: &mut Answers, count: u64, bad: u64) {
+fn answer(answers: &mut ResponseCounts, count: u64, bad: u64) {
     answers.sent += count;
-    answers.bad += bad;
-    answers.good += count - bad;
+    answers.failed += bad;
+    answers.succeeded += count - bad;
     for _ in bad..count {
-        answers.first_part.add(30);
-        answers.whole.add(30);
+        answers.time_to_first_byte.record(30);
+        answers.response_time.record(30);
     }
 }
 
-fn reason(decision: &Decision) -> &str {
+fn reason(decision: &RolloutDecision) -> &str {
     match decision {
-        Decision::Direct(_) => "",
-        Decision::Complete { verdict, .. } | Decision::RollBack(verdict) => &verdict.reason,
+        RolloutDecision::Issue(_) => "",
+        RolloutDecision::Complete { verdict, .. } | RolloutDecision::RollBack(verdict) => {
+            &verdict.reason
+        }
     }
 }
 
@@ -135,7 +138,7 @@
         )
         .unwrap();
     assert!(at <= DURATION_MS, "{at}");
-    let Decision::Complete {
+    let RolloutDecision::Complete {
         former_versions,
         verdict,
     } = end
@@ -155,7 +158,9 @@
     let mut last = Directive::default();
     for now in (0..DURATION_MS).step_by(STEP_MS as usize) {
         service.step();
-        if let Some(Decision::Direct(next)) = controller.decide(&service.evidence, &ready(), now) {
+        if let Some(RolloutDecision::Issue(next)) =
+            controller.decide(&service.evidence, &ready(), now)
+        {
             assert_eq!(next.step, last.step + 1);
             assert!(last.moved_routes.is_subset(&next.moved_routes));
             service.directive = next.clone();
@@ -178,7 +183,7 @@
     assert!(
         matches!(
             end,
-            Decision::RollBack(Verdict {
+            RolloutDecision::RollBack(Verdict {
                 candidate: (_, 5..=15),
                 ..
             })
@@ -194,8 +199,8 @@
 #[test]
 fn nothing_goes_to_candidates_that_are_not_ready_and_it_ends_without_evidence() {
     let mut service = Service::new();
-    let progress = Progress {
-        candidates_ready: 0,
+    let progress = RolloutProgress {
+        ready_candidate_backends: 0,
         ..ready()
     };
     let (at, end) = service
@@ -224,14 +229,14 @@
         )
         .unwrap();
     assert_eq!((at, reason(&end)), (DURATION_MS, "no_evidence"));
-    assert!(matches!(end, Decision::RollBack(_)));
+    assert!(matches!(end, RolloutDecision::RollBack(_)));
 }
 
 #[test]
 fn it_is_not_complete_before_each_node_obeys() {
     let mut service = Service::new();
-    let progress = Progress {
-        is_in_force_everywhere: false,
+    let progress = RolloutProgress {
+        is_applied_everywhere: false,
         ..ready()
     };
     let (at, end) = service
@@ -244,7 +249,7 @@
         .unwrap();
     assert!(at >= DURATION_MS + 5_000);
     assert_eq!(reason(&end), "overdue");
-    assert!(matches!(end, Decision::RollBack(_)));
+    assert!(matches!(end, RolloutDecision::RollBack(_)));
 }
 
 #[rstest]
@@ -262,7 +267,10 @@
             GIVEN_UP_MS,
         )
         .unwrap();
-    assert!(matches!(end, Decision::Complete { .. }), "{at}: {end:?}");
+    assert!(
+        matches!(end, RolloutDecision::Complete { .. }),
+        "{at}: {end:?}"
+    );
     assert_eq!(at <= DURATION_MS, is_cut, "{at}");
     assert_eq!(at < DURATION_MS - 200, left == 0, "{at}");
 }
@@ -278,23 +286,26 @@
         .run(&mut second, &ready(), 6_500, GIVEN_UP_MS)
         .unwrap();
     assert!(at <= DURATION_MS, "{at}");
-    assert!(matches!(end, Decision::Complete { .. }), "{at}: {end:?}");
+    assert!(
+        matches!(end, RolloutDecision::Complete { .. }),
+        "{at}: {end:?}"
+    );
     assert!(service.directive.step > committed.step);
 }
 
 #[test]
 fn a_new_leader_condemns_by_the_totals_at_once() {
     let bad = RouteEvidence {
-        baseline: Answers {
+        baseline: ResponseCounts {
             sent: 1_000,
-            good: 1_000,
-            ..Answers::default()
+            succeeded: 1_000,
+            ..ResponseCounts::default()
         },
-        candidate: Answers {
+        candidate: ResponseCounts {
             sent: 40,
-            good: 20,
-            bad: 20,
-            ..Answers::default()
+            succeeded: 20,
+            failed: 20,
+            ..ResponseCounts::default()
         },
     };
     let evidence = Evidence {
@@ -320,7 +331,10 @@
         .run(&mut controller, &ready(), 5_200, GIVEN_UP_MS)
         .unwrap();
     assert!(at <= DURATION_MS, "{at}");
-    assert!(matches!(end, Decision::Complete { .. }), "{at}: {end:?}");
+    assert!(
+        matches!(end, RolloutDecision::Complete { .. }),
+        "{at}: {end:?}"
+    );
 }
 
 #[test]
@@ -341,7 +355,7 @@
     let (at, end) = service.run(&mut next, &ready(), now, GIVEN_UP_MS).unwrap();
     assert!(at <= now + 1_000, "{at}");
     assert_eq!(reason(&end), "no_evidence");
-    assert!(matches!(end, Decision::RollBack(_)));
+    assert!(matches!(end, RolloutDecision::RollBack(_)));
 }
 
 #[test]
@@ -349,8 +363,8 @@
     let mut service = Service::new();
     let mut controller = leader(Directive::default(), 0);
     assert_eq!(service.run(&mut controller, &ready(), 0, 11_000), None);
-    let gone = Progress {
-        candidates_ready: 0,
+    let gone = RolloutProgress {
+        ready_candidate_backends: 0,
         ..ready()
     };
     let (_, end) = service
@@ -371,7 +385,7 @@
         .unwrap();
     assert!(service.directive.moved_routes.is_empty());
     assert!(at <= DURATION_MS, "{at}");
-    assert!(matches!(end, Decision::RollBack(_)), "{end:?}");
+    assert!(matches!(end, RolloutDecision::RollBack(_)), "{end:?}");
 }
 
 #[rstest]
@@ -382,7 +396,7 @@
         state,
         ..rollout(Directive::default(), DURATION_MS)
     };
-    let mut controller = Controller::new(&ended, Limits::default());
+    let mut controller = RolloutController::new(&ended, RolloutLimits::default());
     let decision = controller.decide(&Evidence::default(), &ready(), DURATION_MS);
     assert_eq!(decision, None);
 }
--- a/crates/rollout/tests/evidence.rs
+++ b/crates/rollout/tests/evidence.rs
@@ -1,11 +1,11 @@
 //! Counts of answers: buckets of times, sums, differences.
 
 use rstest::rstest;
-use silversail_rollout::{Answers, Evidence, LatencyCounts, RouteEvidence};
+use silversail_rollout::{Evidence, LatencyHistogram, ResponseCounts, RouteEvidence};
 
-fn times(each: &[u64]) -> LatencyCounts {
-    let mut counts = LatencyCounts::default();
-    each.iter().for_each(|ms| counts.add(*ms));
+fn times(each: &[u64]) -> LatencyHistogram {
+    let mut counts = LatencyHistogram::default();
+    each.iter().for_each(|ms| counts.record(*ms));
     counts
 }
 
@@ -27,33 +27,33 @@
         let found = counts.quantile_ms(share).unwrap();
         assert!((found / wanted).log2().abs() < 0.25, "{share}: {found}");
     }
-    assert_eq!(LatencyCounts::default().quantile_ms(0.5), None);
+    assert_eq!(LatencyHistogram::default().quantile_ms(0.5), None);
 }
 
 #[test]
 fn above_counts_only_what_is_surely_above() {
     let counts = times(&[10, 100, 100, 1_000]);
-    assert_eq!(counts.above(110.0), 1);
-    assert_eq!(counts.above(20.0), 3);
-    assert_eq!(counts.above(2_000.0), 0);
+    assert_eq!(counts.count_above(110.0), 1);
+    assert_eq!(counts.count_above(20.0), 3);
+    assert_eq!(counts.count_above(2_000.0), 0);
 }
 
 #[test]
 fn a_later_count_less_an_earlier_one_is_what_came_between() {
     let earlier = times(&[10, 100]);
     let mut later = earlier.clone();
-    later.add(100);
+    later.record(100);
     assert_eq!(later.since(&earlier), times(&[100]));
-    assert_eq!(earlier.since(&later), LatencyCounts::default());
+    assert_eq!(earlier.since(&later), LatencyHistogram::default());
 }
 
 fn evidence(step: u32, sent: u64, bad: u64) -> Evidence {
-    let answers = Answers {
+    let answers = ResponseCounts {
         sent,
-        bad,
-        good: sent - bad,
-        whole: times(&[10]),
-        ..Answers::default()
+        failed: bad,
+        succeeded: sent - bad,
+        response_time: times(&[10]),
+        ..ResponseCounts::default()
     };
     let route = RouteEvidence {
         baseline: answers.clone(),
@@ -77,14 +77,17 @@
     });
     assert_eq!((sum.step, sum.baseline_in_flight), (3, 30));
     let candidate = &sum.routes["route"].candidate;
-    assert_eq!((candidate.sent, candidate.good, candidate.bad), (30, 27, 3));
-    assert_eq!(candidate.whole.count(), 2);
-    assert_eq!(sum.sent_in_all(), 60);
+    assert_eq!(
+        (candidate.sent, candidate.succeeded, candidate.failed),
+        (30, 27, 3)
+    );
+    assert_eq!(candidate.response_time.count(), 2);
+    assert_eq!(sum.total_sent(), 60);
 }
 
 #[test]
 fn counts_that_fell_with_a_process_give_nothing_rather_than_less() {
     let since = evidence(1, 10, 1).since(&evidence(1, 50, 20));
-    assert_eq!(since.sent_in_all(), 0);
-    assert_eq!(since.candidate_ended(), 0);
+    assert_eq!(since.total_sent(), 0);
+    assert_eq!(since.candidate_completed(), 0);
 }
--- a/crates/rollout/tests/exposure.rs
+++ b/crates/rollout/tests/exposure.rs
@@ -21,8 +21,8 @@
 }
 
 fn send(budget: &mut ExposureBudget, directive: &Directive, lot: u64, sent: &mut Sent) {
-    let is_candidate = budget.may_expose(directive, "route", lot);
-    budget.sent(is_candidate);
+    let is_candidate = budget.may_send_to_candidate(directive, "route", lot);
+    budget.record_sent(is_candidate);
     sent.in_all += 1;
     sent.to_candidate += u64::from(is_candidate);
 }
@@ -103,9 +103,9 @@
     let mut directive = share(100);
     directive.moved_routes.insert("moved".into());
     for lot in 0..100 {
-        assert!(budget.may_expose(&directive, "moved", lot));
-        budget.sent(true);
-        assert!(!budget.may_expose(&directive, "other", lot));
+        assert!(budget.may_send_to_candidate(&directive, "moved", lot));
+        budget.record_sent(true);
+        assert!(!budget.may_send_to_candidate(&directive, "other", lot));
     }
 }
 
@@ -116,8 +116,8 @@
     let mut budget = ExposureBudget::new();
     let to_candidate = (0..500)
         .filter(|lot| {
-            let is_candidate = budget.may_expose(&share(permille), "route", *lot);
-            budget.sent(is_candidate);
+            let is_candidate = budget.may_send_to_candidate(&share(permille), "route", *lot);
+            budget.record_sent(is_candidate);
             is_candidate
         })
         .count();
--- a/crates/rollout/tests/fake/mod.rs
+++ b/crates/rollout/tests/fake/mod.rs
@@ -5,8 +5,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use silversail_rollout::{
-    Controller, Decision, Directive, Evidence, ExposureBudget, Limits, Progress, Rollout,
-    RolloutOrder, RolloutState,
+    Directive, Evidence, ExposureBudget, Rollout, RolloutController, RolloutDecision,
+    RolloutLimits, RolloutOrder, RolloutProgress, RolloutState,
 };
 use std::collections::{BTreeMap, VecDeque};
 
@@ -88,7 +88,7 @@
 /// What came of it.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    pub decision: Option<Decision>,
+    pub decision: Option<RolloutDecision>,
     pub decided_at_ms: u64,
     /// Requests in all, and those of the candidate, until the deadline.
     pub until_deadline: (u64, u64),
@@ -105,12 +105,12 @@
 
 impl Outcome {
     pub fn is_completed(&self) -> bool {
-        matches!(self.decision, Some(Decision::Complete { .. }))
+        matches!(self.decision, Some(RolloutDecision::Complete { .. }))
     }
 
     /// Bound of the settings, by the requests until the deadline.
     pub fn bound(&self) -> f64 {
-        let limits = Limits::default();
+        let limits = RolloutLimits::default();
         limits.exposure_share * self.until_deadline.0 as f64 + limits.exposure_slack
     }
 }
@@ -152,8 +152,11 @@
 pub fn play(setting: Setting, seed: u64) -> Outcome {
     let mut fake = Fake::new(setting, seed);
     let leader = |fake: &Fake, directive: &Directive, elapsed_ms: u64| {
-        Controller::new(&fake.rollout(directive, elapsed_ms), Limits::default())
-            .with_report_lag_ms(setting.report_delay_ms)
+        RolloutController::new(
+            &fake.rollout(directive, elapsed_ms),
+            RolloutLimits::default(),
+        )
+        .with_report_lag_ms(setting.report_delay_ms)
     };
     let mut controller = leader(&fake, &Directive::default(), 0);
     let mut directive = Directive::default();
@@ -174,7 +177,7 @@
         if is_asked && fake.outcome.decision.is_none() {
             let (evidence, progress) = fake.heard();
             match controller.decide(&evidence, &progress, now) {
-                Some(Decision::Direct(next)) => {
+                Some(RolloutDecision::Issue(next)) => {
                     directive = next.clone();
                     fake.outcome.directives.push((now, next.clone()));
                     fake.direct(now, next);
@@ -281,7 +284,7 @@
         }
     }
 
-    fn heard(&self) -> (Evidence, Progress) {
+    fn heard(&self) -> (Evidence, RolloutProgress) {
         let evidence = self.reports[0].1.clone();
         let newest = self
             .nodes
@@ -289,10 +292,10 @@
             .filter_map(|node| node.coming.back().map(|(_, directive)| directive.step))
             .chain(self.nodes.iter().map(|node| node.directive.step))
             .max();
-        let progress = Progress {
-            candidates_ready: 60,
+        let progress = RolloutProgress {
+            ready_candidate_backends: 60,
             baseline_versions: ["last".to_owned()].into(),
-            is_in_force_everywhere: Some(evidence.step) == newest,
+            is_applied_everywhere: Some(evidence.step) == newest,
         };
         (evidence, progress)
     }
@@ -312,8 +315,8 @@
         }
     }
 
-    fn end(&mut self, now: u64, decision: Decision) {
-        if matches!(decision, Decision::RollBack(_)) {
+    fn end(&mut self, now: u64, decision: RolloutDecision) {
+        if matches!(decision, RolloutDecision::RollBack(_)) {
             self.direct(
                 now,
                 Directive {
@@ -333,9 +336,11 @@
         let lot = self.random.gen();
         let node = self.random.gen_range(0..NODES);
         let node = &mut self.nodes[node];
-        let is_candidate =
-            self.outcome.is_completed() || node.budget.may_expose(&node.directive, name, lot);
-        node.budget.sent(is_candidate);
+        let is_candidate = self.outcome.is_completed()
+            || node
+                .budget
+                .may_send_to_candidate(&node.directive, name, lot);
+        node.budget.record_sent(is_candidate);
         self.count_send(now, route, is_candidate);
         let call = self.call(now, route, is_candidate, is_repeat);
         let ends = now + (call.whole_ms / STEP_MS).max(1) * STEP_MS;
@@ -414,11 +419,11 @@
             &mut seen.baseline
         };
         if call.is_bad {
-            answers.bad += 1;
+            answers.failed += 1;
         } else {
-            answers.good += 1;
-            answers.first_part.add(call.first_ms);
-            answers.whole.add(call.whole_ms);
+            answers.succeeded += 1;
+            answers.time_to_first_byte.record(call.first_ms);
+            answers.response_time.record(call.whole_ms);
         }
         if call.is_candidate && (call.is_bad || call.is_slower) {
             self.outcome.bad_answers += 1;
@@ -435,7 +440,7 @@
     }
 
     fn finish(mut self) -> Outcome {
-        if matches!(self.outcome.decision, Some(Decision::RollBack(_))) {
+        if matches!(self.outcome.decision, Some(RolloutDecision::RollBack(_))) {
             self.outcome.last_after_50th_ms = self
                 .fiftieth_bad_ms
                 .map(|at| self.last_to_candidate_ms.saturating_sub(at));
--- a/crates/rollout/tests/plan.rs
+++ b/crates/rollout/tests/plan.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use silversail_rollout::plan::{Plan, RouteLoad, Shortfall, Situation};
-use silversail_rollout::Limits;
+use silversail_rollout::RolloutLimits;
 
 fn load(route: &str, a_second: f64, usual_ms: f64, longest_ms: f64) -> RouteLoad {
     RouteLoad {
@@ -27,7 +27,7 @@
     Situation {
         elapsed_ms: 0,
         duration_ms,
-        limits: Limits::default(),
+        limits: RolloutLimits::default(),
         sent_in_all: 0,
         sent_to_candidate: 0,
         canary_share: 0.02,
--- a/crates/rollout/tests/trials.rs
+++ b/crates/rollout/tests/trials.rs
@@ -4,7 +4,7 @@
 
 use fake::{play, Fault, Outcome, Route, Setting, Upset, BATCHED, GOOD, PLAIN, STREAMS};
 use rstest::rstest;
-use silversail_rollout::Decision;
+use silversail_rollout::RolloutDecision;
 
 /// Half of the default bound on the time from the 50th bad answer to the last request.
 const LAST_AFTER_50TH_MS: u64 = 2_500;
@@ -60,7 +60,7 @@
 }
 
 fn is_rolled_back(outcome: &Outcome) -> bool {
-    matches!(outcome.decision, Some(Decision::RollBack(_)))
+    matches!(outcome.decision, Some(RolloutDecision::RollBack(_)))
 }
 
 fn is_in_time(outcome: &Outcome, setting: &Setting) -> bool {
--- a/crates/rollout/tests/verdict.rs
+++ b/crates/rollout/tests/verdict.rs
@@ -6,7 +6,7 @@
 use silversail_rollout::history::History;
 use silversail_rollout::statistics::{binomial_tail, upper_share};
 use silversail_rollout::verdict::{assess, Finding, Measure};
-use silversail_rollout::{Answers, Evidence};
+use silversail_rollout::{Evidence, ResponseCounts};
 
 const STEP_MS: u64 = 100;
 
@@ -18,17 +18,17 @@
     ms: u64,
 }
 
-fn give(answers: &mut Answers, manner: Manner, random: &mut ChaCha8Rng) {
+fn give(answers: &mut ResponseCounts, manner: Manner, random: &mut ChaCha8Rng) {
     for _ in 0..manner.a_step {
         answers.sent += 1;
         if random.gen_bool(manner.failing) {
-            answers.bad += 1;
+            answers.failed += 1;
             continue;
         }
         let ms = (manner.ms as f64 * random.gen_range(0.7..1.4)) as u64;
-        answers.good += 1;
-        answers.first_part.add(ms);
-        answers.whole.add(ms);
+        answers.succeeded += 1;
+        answers.time_to_first_byte.record(ms);
+        answers.response_time.record(ms);
     }
 }
 
@@ -61,7 +61,7 @@
 
     fn bad_answers(&self) -> u64 {
         let routes = self.evidence.routes.values();
-        routes.map(|seen| seen.candidate.bad).sum()
+        routes.map(|seen| seen.candidate.failed).sum()
     }
 }
 
@@ -127,7 +127,7 @@
         let finding = play.step("route", SOUND, candidate(0.0, 100));
         let answers = &mut play.evidence.routes.get_mut("route").unwrap().candidate;
         let sent = answers.sent;
-        *answers = Answers::default();
+        *answers = ResponseCounts::default();
         answers.sent = sent;
         matches!(finding, Finding::Bad(_)).then_some(finding)
     });
--- a/crates/serving/src/rollouts.rs
+++ b/crates/serving/src/rollouts.rs
@@ -8,7 +8,7 @@
 use crate::Millis;
 use silversail_rollout::exposure::ExposureBudget;
 use silversail_rollout::{
-    Answers, Directive, Evidence, Rollout, RolloutNumber, RolloutState, RouteEvidence,
+    Directive, Evidence, ResponseCounts, Rollout, RolloutNumber, RolloutState, RouteEvidence,
 };
 use std::collections::BTreeMap;
 
@@ -65,7 +65,7 @@
         self.directive = directive.clone();
     }
 
-    fn answers(&mut self, route: &str, to_candidate: bool) -> &mut Answers {
+    fn answers(&mut self, route: &str, to_candidate: bool) -> &mut ResponseCounts {
         // Looked up first, as a new route is rare and its name must be copied.
         if !self.evidence.routes.contains_key(route) {
             let routes = &mut self.evidence.routes;
@@ -145,7 +145,7 @@
             return VersionChoice::Any;
         };
         let budget = &followed.budget;
-        if self.is_permitted && budget.may_expose(&followed.directive, route, lot()) {
+        if self.is_permitted && budget.may_send_to_candidate(&followed.directive, route, lot()) {
             VersionChoice::Candidate
         } else {
             VersionChoice::Baseline
@@ -163,7 +163,7 @@
     pub fn sent(&mut self, service: &str, route: &str, role: VersionRole) -> Option<CountedSend> {
         let followed = self.followed.get_mut(service)?;
         let to_candidate = role == VersionRole::Candidate;
-        followed.budget.sent(to_candidate);
+        followed.budget.record_sent(to_candidate);
         followed.answers(route, to_candidate).sent += 1;
         Some(CountedSend {
             rollout: followed.evidence.rollout,
@@ -185,14 +185,14 @@
         };
         let answers = followed.answers(route, send.to_candidate);
         match answer {
-            CountedAnswer::Bad => answers.bad += 1,
+            CountedAnswer::Bad => answers.failed += 1,
             CountedAnswer::Good {
                 first_part_ms,
                 whole_ms,
             } => {
-                answers.good += 1;
-                answers.first_part.add(first_part_ms);
-                answers.whole.add(whole_ms);
+                answers.succeeded += 1;
+                answers.time_to_first_byte.record(first_part_ms);
+                answers.response_time.record(whole_ms);
             }
         }
     }
--- a/crates/serving/tests/batcher_rollouts.rs
+++ b/crates/serving/tests/batcher_rollouts.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use silversail_decisions::DecisionLog;
 use silversail_peer::{PieceFailure, ResultHandle};
-use silversail_rollout::{Answers, Directive, Rollout, RolloutState, BATCH_ROUTE};
+use silversail_rollout::{Directive, ResponseCounts, Rollout, RolloutState, BATCH_ROUTE};
 use silversail_serving::batcher::{BatchCall, Batcher, CallOutcome};
 use silversail_serving::instances::InstanceTable;
 
@@ -63,7 +63,7 @@
     }
 
     /// Answers of the baseline and of the candidate.
-    fn answers(&self) -> (Answers, Answers) {
+    fn answers(&self) -> (ResponseCounts, ResponseCounts) {
         let told = self.batcher.rollouts.evidence(|_| 0);
         let seen = told[0].routes.get(BATCH_ROUTE).cloned().unwrap_or_default();
         (seen.baseline, seen.candidate)
@@ -100,7 +100,7 @@
     let (baseline, candidate) = owner.answers();
     assert_eq!(candidate.sent, to_candidate);
     assert_eq!(baseline.sent, 500 - to_candidate);
-    assert_eq!((candidate.good, candidate.bad), (to_candidate, 0));
+    assert_eq!((candidate.succeeded, candidate.failed), (to_candidate, 0));
 }
 
 #[test]
@@ -215,7 +215,7 @@
         .batcher
         .call_ended(call.call, CallOutcome::Answered(results), 260);
     let (_, candidate) = owner.answers();
-    assert_eq!((candidate.good, candidate.bad), expected);
+    assert_eq!((candidate.succeeded, candidate.failed), expected);
 }
 
 #[rstest]
@@ -232,7 +232,10 @@
     let call = owner.calls(0).remove(0);
     owner.batcher.call_ended(call.call, outcome, 10);
     let (_, candidate) = owner.answers();
-    assert_eq!((candidate.sent, candidate.good, candidate.bad), (1, 0, bad));
+    assert_eq!(
+        (candidate.sent, candidate.succeeded, candidate.failed),
+        (1, 0, bad)
+    );
 }
 
 /// A call of 240 ms and 10 ms a piece: one of eight pieces is no slower than one of two.
@@ -246,7 +249,7 @@
     let call = owner.calls(0).remove(0);
     owner.batcher.call_ended(call.call, made(&call), took);
     let (_, candidate) = owner.answers();
-    let seen = candidate.whole.quantile_ms(0.5).expect("one time");
+    let seen = candidate.response_time.quantile_ms(0.5).expect("one time");
     assert!((200.0..=290.0).contains(&seen), "{seen} ms");
 }
 
--- a/crates/serving/tests/rollouts.rs
+++ b/crates/serving/tests/rollouts.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use silversail_model::traffic::ColdSpec;
 use silversail_model::ResultCode;
-use silversail_rollout::{Answers, Directive, Evidence, RolloutState, RouteEvidence};
+use silversail_rollout::{Directive, Evidence, ResponseCounts, RolloutState, RouteEvidence};
 use silversail_serving::dispatcher::{
     Action, Dispatcher, NotRunReason, Refusal, SendOutcome, SendPlan, UnknownReason,
 };
@@ -110,7 +110,7 @@
 }
 
 /// Answers by route, baseline and candidate.
-fn answers(dispatcher: &Dispatcher, route: &str) -> (Answers, Answers) {
+fn answers(dispatcher: &Dispatcher, route: &str) -> (ResponseCounts, ResponseCounts) {
     let evidence = evidence_of(dispatcher);
     let RouteEvidence {
         baseline,
@@ -357,8 +357,11 @@
         dispatcher.send_ended(1, outcome, None, 130);
         let (baseline, candidate) = answers(&dispatcher, "gate");
         let seen = if is_candidate { candidate } else { baseline };
-        assert_eq!((seen.good, seen.bad), (good, bad));
-        assert_eq!((seen.first_part.count(), seen.whole.count()), (good, good));
+        assert_eq!((seen.succeeded, seen.failed), (good, bad));
+        assert_eq!(
+            (seen.time_to_first_byte.count(), seen.response_time.count()),
+            (good, good)
+        );
     }
 }
 
@@ -373,10 +376,13 @@
         seen.is_some_and(|seen| (ms * 0.8..=ms * 1.25).contains(&seen))
     };
     assert!(within_a_bucket(
-        candidate.first_part.quantile_ms(0.5),
+        candidate.time_to_first_byte.quantile_ms(0.5),
         100.0
     ));
-    assert!(within_a_bucket(candidate.whole.quantile_ms(0.5), 1_600.0));
+    assert!(within_a_bucket(
+        candidate.response_time.quantile_ms(0.5),
+        1_600.0
+    ));
 }
 
 #[test]
@@ -387,7 +393,7 @@
     dispatcher.take_rollouts(&[rollout(2, "gate", "v2", next)]);
     dispatcher.send_ended(1, SendOutcome::Failed { status: 500 }, None, 10);
     let evidence = evidence_of(&dispatcher);
-    assert_eq!((evidence.rollout, evidence.candidate_ended()), (2, 0));
+    assert_eq!((evidence.rollout, evidence.candidate_completed()), (2, 0));
 }
 
 /// They may have been sent before this node knew of the rollout: the old back ends stop at its
--- a/crates/simulation/tests/rollouts/traffic.rs
+++ b/crates/simulation/tests/rollouts/traffic.rs
@@ -2,7 +2,7 @@
 
 use crate::harness::Candidate;
 use silversail_daemon::session::NodeState;
-use silversail_rollout::{Answers, Directive, Evidence, RolloutNumber};
+use silversail_rollout::{Directive, Evidence, ResponseCounts, RolloutNumber};
 
 const ROUTE: &str = "route";
 /// Share of the requests above which a candidate is under load, in thousandths.
@@ -43,7 +43,7 @@
     is_loaded: bool,
 ) -> bool {
     let seen = evidence.routes.entry(ROUTE.to_owned()).or_default();
-    let answers: &mut Answers = match to_candidate {
+    let answers: &mut ResponseCounts = match to_candidate {
         true => &mut seen.candidate,
         false => &mut seen.baseline,
     };
@@ -54,11 +54,11 @@
         Candidate::BadUnderLoad => is_loaded && answers.sent % 5 < 3,
     };
     if to_candidate && fails {
-        answers.bad += 1;
+        answers.failed += 1;
         return false;
     }
-    answers.good += 1;
-    answers.first_part.add(20);
-    answers.whole.add(40);
+    answers.succeeded += 1;
+    answers.time_to_first_byte.record(20);
+    answers.response_time.record(40);
     true
 }
