--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -5,7 +5,7 @@
 use crate::rollouts::RolloutsRevision;
 use serde::{Deserialize, Serialize};
 use silversail_model::{NodeName, RequestFingerprint, Revision, TrafficVersion};
-use silversail_quarantine::{CrashSighting, QuarantineRevision};
+use silversail_quarantine::{CrashReport, QuarantineRevision};
 use silversail_rollout::Evidence;
 
 /// What a machine's state is, by some version of the platform's list.
@@ -49,7 +49,7 @@
     /// Revision of the list of refused requests in force on it.
     pub quarantine: Option<QuarantineRevision>,
     /// Crashes of back ends that its process saw lately.
-    pub crashes: Vec<CrashSighting>,
+    pub crashes: Vec<CrashReport>,
     /// Requests on that list that got a whole answer all the same.
     pub ended_well: Vec<RequestFingerprint>,
     /// Machines whose state the view lacks or has from an older list.
--- a/crates/control/tests/quarantine.rs
+++ b/crates/control/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use silversail_consensus::StateMachine;
 use silversail_control::{ControlCommand, ControlState, NodeReport, SightingTable};
 use silversail_model::{ContentDigest, NodeName, RequestFingerprint};
-use silversail_quarantine::{CrashRecord, CrashSighting, Limits, QuarantineCommand};
+use silversail_quarantine::{CrashRecord, CrashReport, QuarantineCommand, QuarantineLimits};
 use std::collections::BTreeSet;
 
 fn request(name: &str) -> RequestFingerprint {
@@ -27,7 +27,7 @@
         evidence: Vec::new(),
         quarantine: None,
         crashes: crashes
-            .map(|(backend, age_ms, name)| CrashSighting {
+            .map(|(backend, age_ms, name)| CrashReport {
                 backend: (*backend).into(),
                 age_ms: *age_ms,
                 fingerprints: vec![request(name)],
@@ -75,9 +75,9 @@
             at_ms,
             fingerprints: names.iter().map(|name| request(name)).collect(),
         };
-        let command = QuarantineCommand::Crashed {
+        let command = QuarantineCommand::RecordCrashes {
             crashes: vec![record],
-            limits: Limits::default(),
+            limits: QuarantineLimits::default(),
         };
         ControlCommand::Quarantine(command).encode()
     };
--- a/crates/daemon/src/gateway/actor.rs
+++ b/crates/daemon/src/gateway/actor.rs
@@ -52,7 +52,7 @@
     /// Settings.
     pub settings: GatewaySettings,
     /// When requests that crash back ends are refused.
-    pub quarantine: silversail_quarantine::Limits,
+    pub quarantine: silversail_quarantine::QuarantineLimits,
     /// Where this node and all zones lie.
     pub topology: Arc<Topology>,
     /// What the node has in force.
--- a/crates/daemon/src/node/quarantine.rs
+++ b/crates/daemon/src/node/quarantine.rs
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 use silversail_control::ControlCommand;
 use silversail_model::{RequestFingerprint, ResultCode};
-use silversail_quarantine::{QuarantineCommand, QuarantineReply, Refused};
+use silversail_quarantine::{QuarantineCommand, QuarantineReply, RefusedRequest};
 use stakker::{call, ret_some_do};
 use std::sync::mpsc::SyncSender;
 use std::time::Duration;
@@ -59,7 +59,7 @@
     }
 }
 
-fn evidence_of(refused: &Refused) -> Value {
+fn evidence_of(refused: &RefusedRequest) -> Value {
     let crashes = refused.crashes.iter();
     let crashes = crashes.map(|one| json!({ "backend": one.backend, "at_ms": one.at_ms }));
     json!({
--- a/crates/daemon/src/quarantine/leader.rs
+++ b/crates/daemon/src/quarantine/leader.rs
@@ -10,7 +10,7 @@
 use silversail_decisions::{DecisionLog, Event as LogEvent};
 use silversail_model::RequestFingerprint;
 use silversail_quarantine::{
-    CrashEvidence, CrashRecord, Limits, QuarantineCommand, QuarantineReply,
+    CrashEvidence, CrashRecord, QuarantineCommand, QuarantineLimits, QuarantineReply,
 };
 use stakker::{after, call, ret_some_to, Actor, CX};
 use std::cell::RefCell;
@@ -36,7 +36,7 @@
     /// Commits.
     pub proposer: Actor<ProposerActor>,
     /// What holds.
-    pub limits: Limits,
+    pub limits: QuarantineLimits,
     /// Decisions.
     pub log: DecisionLog,
     /// Counters.
@@ -77,7 +77,7 @@
         let now = self.setup.clock.millis(cx.now());
         let ended_well = self.setup.sightings.borrow_mut().take_ended_well();
         if !ended_well.is_empty() {
-            let command = QuarantineCommand::EndedWell {
+            let command = QuarantineCommand::RecordSuccesses {
                 fingerprints: ended_well.into_iter().collect(),
                 limits: self.setup.limits,
             };
@@ -87,7 +87,7 @@
         let due = self.setup.sightings.borrow_mut().due(now);
         if !due.is_empty() {
             let crashes = due.iter().map(|crash| self.record_of(crash)).collect();
-            let command = QuarantineCommand::Crashed {
+            let command = QuarantineCommand::RecordCrashes {
                 crashes,
                 limits: self.setup.limits,
             };
@@ -113,7 +113,7 @@
         let now_ms = self.setup.clock.unix_millis(now);
         let limits = self.setup.limits;
         let machine = self.setup.machine.borrow();
-        let has_ended = machine.quarantine.has_ended(now_ms, &limits);
+        let has_ended = machine.quarantine.needs_expiry(now_ms, &limits);
         drop(machine);
         if has_ended {
             self.commit(cx, QuarantineCommand::Expire { now_ms, limits }, Vec::new());
@@ -173,7 +173,7 @@
     fn count(&self) {
         let machine = self.setup.machine.borrow();
         let gauge = &self.setup.metrics.quarantine;
-        let suspects = machine.quarantine.suspects();
+        let suspects = machine.quarantine.suspect_count();
         gauge.with_label_values(&["suspect"]).set(suspects as i64);
     }
 }
--- a/crates/daemon/src/session/crash_news.rs
+++ b/crates/daemon/src/session/crash_news.rs
@@ -3,7 +3,7 @@
 
 use silversail_consensus::Millis;
 use silversail_model::RequestFingerprint;
-use silversail_quarantine::{CrashSighting, QuarantineList};
+use silversail_quarantine::{CrashReport, QuarantineList};
 use std::collections::{BTreeSet, VecDeque};
 
 /// How long a crash is told, in milliseconds: an election takes two seconds at most, and three
@@ -65,13 +65,13 @@
 
     /// Another list is in force: what it names no more need not be told.
     pub fn follow(&mut self, list: &QuarantineList) {
-        self.ended_well.retain(|one| list.names(one));
+        self.ended_well.retain(|one| list.contains(one));
     }
 
     /// The crashes to be told at `now`.
-    pub fn sightings(&self, now: Millis) -> Vec<CrashSighting> {
+    pub fn sightings(&self, now: Millis) -> Vec<CrashReport> {
         let told = self.seen.iter();
-        told.map(|one| CrashSighting {
+        told.map(|one| CrashReport {
             backend: one.backend.clone(),
             age_ms: now.saturating_sub(one.at),
             fingerprints: one.fingerprints.iter().copied().collect(),
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -79,7 +79,7 @@
     pub rollout: silversail_rollout::RolloutLimits,
     /// When requests that crash back ends are refused.
     #[serde(default)]
-    pub quarantine: silversail_quarantine::Limits,
+    pub quarantine: silversail_quarantine::QuarantineLimits,
     /// Intervals.
     #[serde(default)]
     pub timing: TimingSettings,
--- a/crates/peer/tests/crash_messages.rs
+++ b/crates/peer/tests/crash_messages.rs
@@ -1,7 +1,7 @@
 //! What telling of crashes costs in bytes: the figures of `docs/CAPACITY.md`.
 
 use silversail_model::{ContentDigest, RequestFingerprint};
-use silversail_quarantine::{CrashSighting, QuarantineList};
+use silversail_quarantine::{CrashReport, QuarantineList};
 
 fn fingerprints(count: usize) -> impl Iterator<Item = RequestFingerprint> {
     (0..count).map(|number| {
@@ -19,7 +19,7 @@
 /// An engine with 32 streams ends, of which a node had all.
 #[test]
 fn a_crash_of_32_requests_takes_under_600_bytes() {
-    let sighting = CrashSighting {
+    let sighting = CrashReport {
         backend: "i-7f3a91c2@1700000000000".into(),
         age_ms: 6_000,
         fingerprints: fingerprints(32).collect(),
--- a/crates/quarantine/examples/judgement.rs
+++ b/crates/quarantine/examples/judgement.rs
@@ -10,7 +10,9 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use silversail_model::{ContentDigest, RequestFingerprint};
-use silversail_quarantine::{CrashRecord, Limits, OwnEvidence, Quarantine, QuarantineCommand};
+use silversail_quarantine::{
+    CrashRecord, LocalCrashEvidence, Quarantine, QuarantineCommand, QuarantineLimits,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 const ENGINES: usize = 18;
@@ -67,7 +69,7 @@
     counts: BTreeMap<u32, BTreeSet<u64>>,
     refused: BTreeSet<u32>,
     quarantine: Quarantine,
-    own: OwnEvidence,
+    own: LocalCrashEvidence,
     down_until: [u64; ENGINES],
     running: Vec<Attempt>,
     waiting: Vec<(u64, Attempt)>,
@@ -87,7 +89,7 @@
             counts: BTreeMap::new(),
             refused: BTreeSet::new(),
             quarantine: Quarantine::default(),
-            own: OwnEvidence::new(Limits::default()),
+            own: LocalCrashEvidence::new(QuarantineLimits::default()),
             down_until: [0; ENGINES],
             running: Vec::new(),
             waiting: Vec::new(),
@@ -155,7 +157,7 @@
                 for attempt in broken {
                     let crashes = self.counts.entry(attempt.request).or_default();
                     crashes.insert(self.crashes);
-                    if crashes.len() >= Limits::default().crashes as usize {
+                    if crashes.len() >= QuarantineLimits::default().crashes as usize {
                         self.refused.insert(attempt.request);
                     }
                 }
@@ -163,15 +165,15 @@
             Way::Cleared => {
                 let all = broken.iter().map(|attempt| fingerprint(attempt.request));
                 let backend = format!("e{engine}-{}", self.crashes);
-                let fingerprints = self.own.crashed(&backend, all, now);
+                let fingerprints = self.own.record_crash(&backend, all, now);
                 let record = CrashRecord {
                     backend,
                     at_ms: now,
                     fingerprints,
                 };
-                self.quarantine.apply(QuarantineCommand::Crashed {
+                self.quarantine.apply(QuarantineCommand::RecordCrashes {
                     crashes: vec![record],
-                    limits: Limits::default(),
+                    limits: QuarantineLimits::default(),
                 });
             }
         }
@@ -180,11 +182,11 @@
     fn end(&mut self, attempt: Attempt) {
         if self.way == Way::Cleared {
             let one = fingerprint(attempt.request);
-            self.own.ended_well(one);
-            if self.quarantine.list().names(&one) {
-                self.quarantine.apply(QuarantineCommand::EndedWell {
+            self.own.record_success(one);
+            if self.quarantine.list().contains(&one) {
+                self.quarantine.apply(QuarantineCommand::RecordSuccesses {
                     fingerprints: vec![one],
-                    limits: Limits::default(),
+                    limits: QuarantineLimits::default(),
                 });
             }
         }
@@ -217,7 +219,7 @@
         if way == Way::Cleared && now.is_multiple_of(LOOKS_EVERY_MS) {
             pool.quarantine.apply(QuarantineCommand::Expire {
                 now_ms: now,
-                limits: Limits::default(),
+                limits: QuarantineLimits::default(),
             });
         }
         if pool.random.gen_bool(ARRIVAL) {
--- a/crates/quarantine/src/sighting.rs
+++ b/crates/quarantine/src/crash_report.rs
@@ -5,7 +5,7 @@
 
 /// A back end that ended, and the requests of this node that broke off there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashSighting {
+pub struct CrashReport {
     /// The back end.
     pub backend: String,
     /// Milliseconds since the first of them broke off.
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -5,23 +5,23 @@
 //! request that crashes back ends never gets one. Pure: time is passed in.
 //!
 //! - [`limits`]: after how many crashes, and for how long
-//! - [`sighting`]: what a node tells of a crash
+//! - [`crash_report`]: what a node tells of a crash
 //! - [`quarantine`]: the replicated judgement over what all nodes told
 //! - [`list`]: what nodes have to know of it
-//! - [`own_evidence`]: what one node saw itself, which counts at once
+//! - [`local_evidence`]: what one node saw itself, which counts at once
 
+pub mod crash_report;
 pub mod limits;
 pub mod list;
-pub mod own_evidence;
+pub mod local_evidence;
 pub mod quarantine;
-pub mod sighting;
 mod suspects;
 
-pub use limits::Limits;
+pub use crash_report::CrashReport;
+pub use limits::QuarantineLimits;
 pub use list::{QuarantineList, QuarantineRevision, SharedQuarantineList};
-pub use own_evidence::OwnEvidence;
-pub use quarantine::{CrashRecord, Quarantine, QuarantineCommand, QuarantineReply, Refused};
-pub use sighting::CrashSighting;
+pub use local_evidence::LocalCrashEvidence;
+pub use quarantine::{CrashRecord, Quarantine, QuarantineCommand, QuarantineReply, RefusedRequest};
 pub use suspects::CrashEvidence;
 
 /// Milliseconds since the Unix epoch, by the clock of the leader that proposes.
--- a/crates/quarantine/src/limits.rs
+++ b/crates/quarantine/src/limits.rs
@@ -5,7 +5,7 @@
 /// Settings of the quarantine; the leader's hold for all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Limits {
+pub struct QuarantineLimits {
     /// Crashes of back ends until a request that ran at each of them is refused; at least 1. The
     /// users' rule on retries counts from the third crash on; fewer would refuse requests that
     /// two racks took with them.
@@ -23,7 +23,7 @@
     pub most_refused: usize,
 }
 
-impl Default for Limits {
+impl Default for QuarantineLimits {
     fn default() -> Self {
         Self {
             crashes: 3,
--- a/crates/quarantine/src/list.rs
+++ b/crates/quarantine/src/list.rs
@@ -24,7 +24,7 @@
 
 impl QuarantineList {
     /// Whether a whole answer to this request is news for the judgement.
-    pub fn names(&self, fingerprint: &RequestFingerprint) -> bool {
+    pub fn contains(&self, fingerprint: &RequestFingerprint) -> bool {
         self.refused.contains(fingerprint) || self.watched.contains(fingerprint)
     }
 }
--- a/crates/quarantine/src/own_evidence.rs
+++ b/crates/quarantine/src/local_evidence.rs
@@ -1,6 +1,6 @@
 //! What one node saw itself: it counts there at once, whatever the others know.
 
-use crate::limits::Limits;
+use crate::limits::QuarantineLimits;
 use silversail_model::RequestFingerprint;
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
@@ -22,16 +22,16 @@
 
 /// What one node saw of requests that break off and of those that end well.
 #[derive(Debug, Default)]
-pub struct OwnEvidence {
-    limits: Limits,
+pub struct LocalCrashEvidence {
+    limits: QuarantineLimits,
     crashes: BTreeMap<RequestFingerprint, SeenCrashes>,
     good: HashSet<RequestFingerprint>,
     good_in_order: VecDeque<RequestFingerprint>,
 }
 
-impl OwnEvidence {
+impl LocalCrashEvidence {
     /// No evidence yet.
-    pub fn new(limits: Limits) -> Self {
+    pub fn new(limits: QuarantineLimits) -> Self {
         Self {
             limits,
             ..Self::default()
@@ -40,7 +40,7 @@
 
     /// A back end ended with these requests. Returns those that are suspects: one that got a
     /// whole answer lately crashes nothing.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         backend: &str,
         fingerprints: impl IntoIterator<Item = RequestFingerprint>,
@@ -60,7 +60,7 @@
     }
 
     /// A request got a whole answer.
-    pub fn ended_well(&mut self, fingerprint: RequestFingerprint) {
+    pub fn record_success(&mut self, fingerprint: RequestFingerprint) {
         self.crashes.remove(&fingerprint);
         if !self.good.insert(fingerprint) {
             return;
@@ -74,12 +74,12 @@
     }
 
     /// An operator lifted the verdict on a request: what this node saw counts no more.
-    pub fn forgive(&mut self, fingerprint: &RequestFingerprint) {
+    pub fn clear(&mut self, fingerprint: &RequestFingerprint) {
         self.crashes.remove(fingerprint);
     }
 
     /// Whether this node alone saw enough crashes under a request.
-    pub fn refuses(&self, fingerprint: &RequestFingerprint) -> bool {
+    pub fn is_refused(&self, fingerprint: &RequestFingerprint) -> bool {
         let seen = self.crashes.get(fingerprint);
         seen.is_some_and(|seen| seen.backends.len() >= self.limits.crashes.max(1) as usize)
     }
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -1,7 +1,7 @@
 //! The judgement over what all nodes told: replicated, so that it outlives the loss of every
 //! process. Each replica applies the same commands; the leader's limits stand in them.
 
-use crate::limits::Limits;
+use crate::limits::QuarantineLimits;
 use crate::list::{QuarantineList, SharedQuarantineList};
 use crate::suspects::{CrashEvidence, CrashNumber, Suspects};
 use crate::UnixMillis;
@@ -35,18 +35,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineCommand {
     /// Back ends ended. A crash may be told again, with more requests.
-    Crashed {
+    RecordCrashes {
         /// The crashes.
         crashes: Vec<CrashRecord>,
         /// What holds.
-        limits: Limits,
+        limits: QuarantineLimits,
     },
     /// Requests got a whole answer: they crash nothing.
-    EndedWell {
+    RecordSuccesses {
         /// What they are.
         fingerprints: Vec<RequestFingerprint>,
         /// What holds.
-        limits: Limits,
+        limits: QuarantineLimits,
     },
     /// An operator lifts a verdict.
     Lift {
@@ -58,7 +58,7 @@
         /// Now.
         now_ms: UnixMillis,
         /// What holds.
-        limits: Limits,
+        limits: QuarantineLimits,
     },
 }
 
@@ -78,7 +78,7 @@
 
 /// A request that is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refused {
+pub struct RefusedRequest {
     /// The crashes that decided it.
     pub crashes: Vec<CrashEvidence>,
     /// Since when.
@@ -103,7 +103,7 @@
     last_number: CrashNumber,
     known: VecDeque<KnownCrash>,
     suspects: Suspects,
-    refused: BTreeMap<RequestFingerprint, Refused>,
+    refused: BTreeMap<RequestFingerprint, RefusedRequest>,
     list: SharedQuarantineList,
 }
 
@@ -114,17 +114,17 @@
     }
 
     /// The requests that are refused, with the evidence.
-    pub fn refused(&self) -> &BTreeMap<RequestFingerprint, Refused> {
+    pub fn refused(&self) -> &BTreeMap<RequestFingerprint, RefusedRequest> {
         &self.refused
     }
 
     /// How many requests are under suspicion.
-    pub fn suspects(&self) -> usize {
+    pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 
     /// Whether a suspicion or a verdict ends by now.
-    pub fn has_ended(&self, now_ms: UnixMillis, limits: &Limits) -> bool {
+    pub fn needs_expiry(&self, now_ms: UnixMillis, limits: &QuarantineLimits) -> bool {
         let verdicts = self.refused.values().map(|one| one.until_ms);
         let next_end = verdicts.chain(self.suspects.next_end(limits)).min();
         next_end.is_some_and(|end| end <= now_ms) || !self.explained(now_ms, limits).is_empty()
@@ -135,7 +135,7 @@
         let mut refused = Vec::new();
         let mut released = Vec::new();
         match command {
-            QuarantineCommand::Crashed { crashes, limits } => {
+            QuarantineCommand::RecordCrashes { crashes, limits } => {
                 let at_ms = crashes.iter().map(|crash| crash.at_ms).max();
                 for crash in crashes {
                     refused.extend(self.crashed(crash, &limits));
@@ -143,7 +143,7 @@
                 released = self.expire(at_ms.unwrap_or_default(), &limits);
                 self.publish(&limits);
             }
-            QuarantineCommand::EndedWell {
+            QuarantineCommand::RecordSuccesses {
                 fingerprints,
                 limits,
             } => {
@@ -175,7 +175,7 @@
     fn crashed(
         &mut self,
         crash: CrashRecord,
-        limits: &Limits,
+        limits: &QuarantineLimits,
     ) -> Vec<(RequestFingerprint, Vec<CrashEvidence>)> {
         let number = self.number_of(&crash);
         let evidence = CrashEvidence {
@@ -203,7 +203,7 @@
         &mut self,
         fingerprints: &BTreeSet<RequestFingerprint>,
         at_ms: UnixMillis,
-        limits: &Limits,
+        limits: &QuarantineLimits,
     ) -> Vec<(RequestFingerprint, Vec<CrashEvidence>)> {
         let mut refused = Vec::new();
         for fingerprint in fingerprints {
@@ -216,7 +216,7 @@
             for crash in &crashes {
                 self.explain(crash.number);
             }
-            let verdict = Refused {
+            let verdict = RefusedRequest {
                 crashes: crashes.clone(),
                 since_ms: at_ms,
                 until_ms: at_ms + limits.refuse_for_ms,
@@ -232,7 +232,7 @@
     fn release_explained(
         &mut self,
         now_ms: UnixMillis,
-        limits: &Limits,
+        limits: &QuarantineLimits,
     ) -> Vec<RequestFingerprint> {
         let released = self.explained(now_ms, limits);
         for fingerprint in &released {
@@ -246,7 +246,7 @@
     /// flight at crash after crash where several requests crash engines, and as it is refused no
     /// whole answer could clear it. Released at once, guilty ones that shared crashes ended up to
     /// 12 engines each in place of 6 (`examples/judgement`, ten at once).
-    fn explained(&self, now_ms: UnixMillis, limits: &Limits) -> Vec<RequestFingerprint> {
+    fn explained(&self, now_ms: UnixMillis, limits: &QuarantineLimits) -> Vec<RequestFingerprint> {
         let last = self.known.iter().map(|crash| crash.at_ms).max();
         if last.is_none_or(|at| at + CALM_AFTER_MS > now_ms) {
             return Vec::new();
@@ -262,7 +262,7 @@
         &self,
         crash: &CrashEvidence,
         fingerprint: &RequestFingerprint,
-        limits: &Limits,
+        limits: &QuarantineLimits,
     ) -> bool {
         let own = &self.refused[fingerprint].crashes;
         let is_own = |one: &&CrashEvidence| own.iter().any(|known| known.number == one.number);
@@ -313,7 +313,7 @@
     }
 
     /// Ends what is over. Who was refused stays a suspect whom one crash more has refused again.
-    fn expire(&mut self, now_ms: UnixMillis, limits: &Limits) -> Vec<RequestFingerprint> {
+    fn expire(&mut self, now_ms: UnixMillis, limits: &QuarantineLimits) -> Vec<RequestFingerprint> {
         let over = self
             .refused
             .iter()
@@ -343,7 +343,7 @@
         &mut self,
         fingerprint: RequestFingerprint,
         now_ms: UnixMillis,
-        limits: &Limits,
+        limits: &QuarantineLimits,
     ) {
         let Some(refused) = self.refused.remove(&fingerprint) else {
             return;
@@ -356,7 +356,7 @@
         }
     }
 
-    fn publish(&mut self, limits: &Limits) {
+    fn publish(&mut self, limits: &QuarantineLimits) {
         self.publish_refused(self.suspects.watched(limits));
     }
 
--- a/crates/quarantine/src/suspects.rs
+++ b/crates/quarantine/src/suspects.rs
@@ -1,6 +1,6 @@
 //! Suspects: requests that broke off at back ends which ended.
 
-use crate::limits::Limits;
+use crate::limits::QuarantineLimits;
 use crate::UnixMillis;
 use serde::{Deserialize, Serialize};
 use silversail_model::RequestFingerprint;
@@ -47,7 +47,7 @@
     }
 
     /// Those that one crash more would have refused.
-    pub(crate) fn watched(&self, limits: &Limits) -> BTreeSet<RequestFingerprint> {
+    pub(crate) fn watched(&self, limits: &QuarantineLimits) -> BTreeSet<RequestFingerprint> {
         let is_near = |crashes: &Crashes| crashes.len() + 1 >= limits.crashes as usize;
         let all = self.by_fingerprint.iter();
         all.filter(|(_, crashes)| is_near(crashes))
@@ -56,7 +56,7 @@
     }
 
     /// Forgets those whose last crash is long ago, and the weakest of too many.
-    pub(crate) fn forget(&mut self, now_ms: UnixMillis, limits: &Limits) {
+    pub(crate) fn forget(&mut self, now_ms: UnixMillis, limits: &QuarantineLimits) {
         let is_kept = |crashes: &Crashes| last_at(crashes) + limits.suspect_for_ms > now_ms;
         self.by_fingerprint.retain(|_, crashes| is_kept(crashes));
         let excess = self
@@ -77,7 +77,7 @@
     }
 
     /// When the next one is to be forgotten.
-    pub(crate) fn next_end(&self, limits: &Limits) -> Option<UnixMillis> {
+    pub(crate) fn next_end(&self, limits: &QuarantineLimits) -> Option<UnixMillis> {
         let ends = self.by_fingerprint.values();
         ends.map(|crashes| last_at(crashes) + limits.suspect_for_ms)
             .min()
--- a/crates/quarantine/tests/quarantine.rs
+++ b/crates/quarantine/tests/quarantine.rs
@@ -1,9 +1,11 @@
 //! The replicated judgement.
 
 use silversail_model::{ContentDigest, RequestFingerprint};
-use silversail_quarantine::{CrashRecord, Limits, Quarantine, QuarantineCommand, QuarantineReply};
+use silversail_quarantine::{
+    CrashRecord, Quarantine, QuarantineCommand, QuarantineLimits, QuarantineReply,
+};
 
-const LIMITS: Limits = Limits {
+const LIMITS: QuarantineLimits = QuarantineLimits {
     crashes: 3,
     suspect_for_ms: 60_000,
     refuse_for_ms: 100_000,
@@ -21,14 +23,14 @@
         at_ms,
         fingerprints: requests.iter().map(|name| request(name)).collect(),
     };
-    quarantine.apply(QuarantineCommand::Crashed {
+    quarantine.apply(QuarantineCommand::RecordCrashes {
         crashes: vec![record],
         limits: LIMITS,
     });
 }
 
 fn ended_well(quarantine: &mut Quarantine, name: &str) -> QuarantineReply {
-    quarantine.apply(QuarantineCommand::EndedWell {
+    quarantine.apply(QuarantineCommand::RecordSuccesses {
         fingerprints: vec![request(name)],
         limits: LIMITS,
     })
@@ -144,13 +146,13 @@
     for at in 1..=3 {
         crash(&mut quarantine, &format!("f{at}"), at * 10_000, &["bad"]);
     }
-    assert!(!quarantine.has_ended(69_999, &LIMITS) && quarantine.has_ended(70_000, &LIMITS));
+    assert!(!quarantine.needs_expiry(69_999, &LIMITS) && quarantine.needs_expiry(70_000, &LIMITS));
     let expire = |now_ms| QuarantineCommand::Expire {
         now_ms,
         limits: LIMITS,
     };
     quarantine.apply(expire(70_000));
-    assert_eq!(quarantine.suspects(), 0);
+    assert_eq!(quarantine.suspect_count(), 0);
     assert!(is_refused(&quarantine, "bad"));
     quarantine.apply(expire(130_000));
     assert!(!is_refused(&quarantine, "bad") && is_watched(&quarantine, "bad"));
@@ -170,7 +172,7 @@
         let name = format!("flood{number}");
         crash(&mut quarantine, &name, 20_000 + number, &[&name]);
     }
-    assert_eq!(quarantine.suspects(), LIMITS.most_suspects);
+    assert_eq!(quarantine.suspect_count(), LIMITS.most_suspects);
     assert!(is_refused(&quarantine, "bad") && is_watched(&quarantine, "heavy"));
     // Of too many verdicts the oldest ends first.
     for name in ["bad2", "bad3", "bad4", "bad5"] {
@@ -203,7 +205,7 @@
         limits: LIMITS,
     };
     quarantine.apply(expire(13_000));
-    assert!(!quarantine.has_ended(13_000, &LIMITS));
+    assert!(!quarantine.needs_expiry(13_000, &LIMITS));
     quarantine.apply(expire(13_300));
     assert!(!is_refused(&quarantine, "popular") && is_watched(&quarantine, "popular"));
     assert!(is_refused(&quarantine, "bad3"));
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -3,36 +3,36 @@
 
 use crate::Millis;
 use silversail_model::RequestFingerprint;
-use silversail_quarantine::{Limits, OwnEvidence, SharedQuarantineList};
+use silversail_quarantine::{LocalCrashEvidence, QuarantineLimits, SharedQuarantineList};
 use std::collections::BTreeSet;
 
 /// What the nodes together decided, and what this one saw itself.
 #[derive(Debug, Default)]
 pub struct RequestQuarantine {
     list: SharedQuarantineList,
-    own: OwnEvidence,
+    own: LocalCrashEvidence,
 }
 
 impl RequestQuarantine {
     /// Refuses nothing yet.
-    pub fn new(limits: Limits) -> Self {
+    pub fn new(limits: QuarantineLimits) -> Self {
         Self {
             list: SharedQuarantineList::default(),
-            own: OwnEvidence::new(limits),
+            own: LocalCrashEvidence::new(limits),
         }
     }
 
     /// Takes the list in force. What it refuses no more is sent again, whatever was seen here.
     pub fn take(&mut self, list: SharedQuarantineList) {
         for released in self.list.refused.difference(&list.refused) {
-            self.own.forgive(released);
+            self.own.clear(released);
         }
         self.list = list;
     }
 
     /// Whether a request is not to be sent.
     pub fn refuses(&self, fingerprint: &RequestFingerprint) -> bool {
-        self.list.refused.contains(fingerprint) || self.own.refuses(fingerprint)
+        self.list.refused.contains(fingerprint) || self.own.is_refused(fingerprint)
     }
 
     /// A back end ended with these requests; returns the suspects among them.
@@ -42,12 +42,12 @@
         fingerprints: impl IntoIterator<Item = RequestFingerprint>,
         now: Millis,
     ) -> BTreeSet<RequestFingerprint> {
-        self.own.crashed(backend, fingerprints, now)
+        self.own.record_crash(backend, fingerprints, now)
     }
 
     /// A request got a whole answer. True where the other nodes are to know.
     pub fn ended_well(&mut self, fingerprint: RequestFingerprint) -> bool {
-        self.own.ended_well(fingerprint);
-        self.list.names(&fingerprint)
+        self.own.record_success(fingerprint);
+        self.list.contains(&fingerprint)
     }
 }
--- a/crates/serving/tests/quarantine.rs
+++ b/crates/serving/tests/quarantine.rs
@@ -7,7 +7,7 @@
 use silversail_decisions::DecisionLog;
 use silversail_model::{ContentDigest, NodeName, RequestFingerprint, ResultCode};
 use silversail_peer::PieceFailure;
-use silversail_quarantine::{Limits, QuarantineList};
+use silversail_quarantine::{QuarantineLimits, QuarantineList};
 use silversail_serving::batcher::{Batcher, OrderKey};
 use silversail_serving::crashes::BrokenSend;
 use silversail_serving::dispatcher::{Action, Refusal, SendOutcome, UnknownReason};
@@ -130,7 +130,7 @@
 
 #[test]
 fn three_crashes_seen_here_count_here_until_the_verdict_is_lifted() {
-    let mut quarantine = RequestQuarantine::new(Limits::default());
+    let mut quarantine = RequestQuarantine::new(QuarantineLimits::default());
     for backend in ["e1", "e2", "e3"] {
         assert!(!quarantine.refuses(&bad("/x")));
         quarantine.crashed(backend, [bad("/x")], 10);
