--- a/crates/quarantine/examples/judgement.rs
+++ b/crates/quarantine/examples/judgement.rs
@@ -1,11 +1,10 @@
-//! Compares ways to tell which requests crash engines, on a made-up pool over seeds:
+//! Compares two methods to detect requests that crash engines, in simulations over many seeds:
 //! `cargo run --release -p silversail-quarantine --example judgement -- [SEEDS]`.
 //!
-//! 18 engines, 60 requests a second that last 2 s each; some requests crash the engine that runs
-//! them and come again each second. One in five of the others asks for one of 20 popular things. An
-//! engine is back after 2 s. Callers whose answer broke off
-//! try once more, one in ten four times more and at once. In half of the runs a third of the
-//! engines is lost together every 5 s.
+//! 18 engines serve 60 requests per second of about 2 s each. Some requests crash the engine that
+//! runs them and are retried every second. One in five of the others is one of 20 popular
+//! requests. An engine restarts within 2 s. Interrupted requests are retried once, one in ten of
+//! them up to four times. In half of the runs a rack of engines fails every 5 s.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -16,65 +15,66 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const ENGINES: usize = 18;
-/// Engines per rack.
-const RACK: usize = 6;
+/// Engines that fail together.
+const ENGINES_PER_RACK: usize = 6;
 const DURATION_MS: u64 = 40_000;
 const STEP_MS: u64 = 10;
-/// Chance of a new request in a step: 60 a second.
-const ARRIVAL: f64 = 0.6;
-/// Chance that a request asks for a popular thing.
-const POPULAR: f64 = 0.2;
-/// Number of the first popular request.
-const FIRST_POPULAR: u32 = 1_000_000;
-const LASTS_MS: u64 = 2_000;
-const CRASHES_AFTER_MS: u64 = 100;
-const COMES_AGAIN_AFTER_MS: u64 = 1_000;
-const DOWN_MS: u64 = 2_000;
-/// Between two looks of the leader for verdicts that end.
-const LOOKS_EVERY_MS: u64 = 10_000;
-const RACK_EVERY_MS: u64 = 5_000;
+/// Probability of a new request in a step: 60 requests per second.
+const ARRIVAL_PROBABILITY: f64 = 0.6;
+/// Probability that a request is one of the popular ones.
+const POPULAR_PROBABILITY: f64 = 0.2;
+/// Identifier of the first popular request.
+const FIRST_POPULAR_REQUEST: u32 = 1_000_000;
+const REQUEST_DURATION_MS: u64 = 2_000;
+const CRASH_DELAY_MS: u64 = 100;
+const CRASHING_REQUEST_RETRY_MS: u64 = 1_000;
+const RESTART_MS: u64 = 2_000;
+/// Interval at which the leader expires refusals and suspects.
+const EXPIRE_INTERVAL_MS: u64 = 10_000;
+const RACK_LOSS_INTERVAL_MS: u64 = 5_000;
 
-/// How suspects are told from bystanders.
+/// How requests that crash engines are told from those in flight by coincidence.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
-    /// Three crashes, whatever else is known.
-    BareCount,
-    /// The same, but a whole answer clears, and crashes under refused requests count no more.
-    Cleared,
+enum DetectionMethod {
+    /// Refuses a request after three crashes, without other evidence.
+    CrashCount,
+    /// Uses the quarantine: complete responses clear a request, and a crash that a refused request
+    /// explains does not count against others.
+    Quarantine,
 }
 
 #[derive(Clone, Copy)]
 struct Attempt {
     number: u64,
     request: u32,
-    is_guilty: bool,
-    tries_left: u32,
+    crashes_engine: bool,
+    retries_left: u32,
     engine: usize,
     ends_at: u64,
 }
 
 #[derive(Default)]
 struct Outcome {
-    /// Attempts of innocent requests.
-    falsely_refused: u32,
-    innocents: u32,
-    /// Crashes under each guilty request until it was refused.
+    /// Refused attempts of harmless requests.
+    harmless_refused: u32,
+    harmless_attempts: u32,
+    /// Crashes that each crashing request caused until it was refused.
     crashes: BTreeMap<u32, u32>,
-    never_refused: u32,
+    crashing_not_refused: u32,
 }
 
 struct Pool {
     random: ChaCha8Rng,
-    way: Way,
-    counts: BTreeMap<u32, BTreeSet<u64>>,
+    method: DetectionMethod,
+    crashes_by_request: BTreeMap<u32, BTreeSet<u64>>,
     refused: BTreeSet<u32>,
     quarantine: Quarantine,
-    own: LocalCrashEvidence,
+    local_evidence: LocalCrashEvidence,
     down_until: [u64; ENGINES],
     running: Vec<Attempt>,
     waiting: Vec<(u64, Attempt)>,
     crashes: u64,
-    begun: u64,
+    started_attempts: u64,
 }
 
 fn fingerprint(request: u32) -> RequestFingerprint {
@@ -82,68 +82,72 @@
 }
 
 impl Pool {
-    fn new(seed: u64, way: Way) -> Self {
+    fn new(seed: u64, method: DetectionMethod) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
-            way,
-            counts: BTreeMap::new(),
+            method,
+            crashes_by_request: BTreeMap::new(),
             refused: BTreeSet::new(),
             quarantine: Quarantine::default(),
-            own: LocalCrashEvidence::new(QuarantineLimits::default()),
+            local_evidence: LocalCrashEvidence::new(QuarantineLimits::default()),
             down_until: [0; ENGINES],
             running: Vec::new(),
             waiting: Vec::new(),
             crashes: 0,
-            begun: 0,
+            started_attempts: 0,
         }
     }
 
-    fn refuses(&self, request: u32) -> bool {
-        match self.way {
-            Way::BareCount => self.refused.contains(&request),
-            Way::Cleared => {
+    fn is_refused(&self, request: u32) -> bool {
+        match self.method {
+            DetectionMethod::CrashCount => self.refused.contains(&request),
+            DetectionMethod::Quarantine => {
                 let list = self.quarantine.list();
                 list.refused.contains(&fingerprint(request))
             }
         }
     }
 
-    fn begin(&mut self, mut attempt: Attempt, now: u64) {
-        let up: Vec<usize> = (0..ENGINES)
+    fn start_attempt(&mut self, mut attempt: Attempt, now: u64) {
+        let available: Vec<usize> = (0..ENGINES)
             .filter(|engine| self.down_until[*engine] <= now)
             .collect();
-        if up.is_empty() {
+        if available.is_empty() {
             self.waiting.push((now + 20, attempt));
             return;
         }
-        self.begun += 1;
-        attempt.number = self.begun;
-        attempt.engine = up[self.random.gen_range(0..up.len())];
-        let lasts = match attempt.is_guilty {
-            true => CRASHES_AFTER_MS,
-            false => self.random.gen_range(LASTS_MS / 2..LASTS_MS * 3 / 2),
+        self.started_attempts += 1;
+        attempt.number = self.started_attempts;
+        attempt.engine = available[self.random.gen_range(0..available.len())];
+        let duration_ms = match attempt.crashes_engine {
+            true => CRASH_DELAY_MS,
+            false => self
+                .random
+                .gen_range(REQUEST_DURATION_MS / 2..REQUEST_DURATION_MS * 3 / 2),
         };
-        attempt.ends_at = now + lasts;
+        attempt.ends_at = now + duration_ms;
         self.running.push(attempt);
     }
 
     fn crash(&mut self, engine: usize, now: u64) {
         self.crashes += 1;
-        self.down_until[engine] = now + DOWN_MS;
-        let (broken, rest): (Vec<Attempt>, Vec<Attempt>) = std::mem::take(&mut self.running)
-            .into_iter()
-            .partition(|attempt| attempt.engine == engine);
-        self.running = rest;
-        self.judge(engine, &broken, now);
-        for attempt in broken {
-            if attempt.is_guilty {
-                self.waiting.push((now + COMES_AGAIN_AFTER_MS, attempt));
-            } else if attempt.tries_left > 0 {
-                let tries_left = attempt.tries_left - 1;
+        self.down_until[engine] = now + RESTART_MS;
+        let (interrupted, still_running): (Vec<Attempt>, Vec<Attempt>) =
+            std::mem::take(&mut self.running)
+                .into_iter()
+                .partition(|attempt| attempt.engine == engine);
+        self.running = still_running;
+        self.record_crash_evidence(engine, &interrupted, now);
+        for attempt in interrupted {
+            if attempt.crashes_engine {
+                self.waiting
+                    .push((now + CRASHING_REQUEST_RETRY_MS, attempt));
+            } else if attempt.retries_left > 0 {
+                let retries_left = attempt.retries_left - 1;
                 self.waiting.push((
                     now + 20,
                     Attempt {
-                        tries_left,
+                        retries_left,
                         ..attempt
                     },
                 ));
@@ -151,21 +155,25 @@
         }
     }
 
-    fn judge(&mut self, engine: usize, broken: &[Attempt], now: u64) {
-        match self.way {
-            Way::BareCount => {
-                for attempt in broken {
-                    let crashes = self.counts.entry(attempt.request).or_default();
+    fn record_crash_evidence(&mut self, engine: usize, interrupted: &[Attempt], now: u64) {
+        match self.method {
+            DetectionMethod::CrashCount => {
+                for attempt in interrupted {
+                    let crashes = self.crashes_by_request.entry(attempt.request).or_default();
                     crashes.insert(self.crashes);
                     if crashes.len() >= QuarantineLimits::default().crashes as usize {
                         self.refused.insert(attempt.request);
                     }
                 }
             }
-            Way::Cleared => {
-                let all = broken.iter().map(|attempt| fingerprint(attempt.request));
+            DetectionMethod::Quarantine => {
+                let fingerprints = interrupted
+                    .iter()
+                    .map(|attempt| fingerprint(attempt.request));
                 let backend = format!("e{engine}-{}", self.crashes);
-                let fingerprints = self.own.record_crash(&backend, all, now);
+                let fingerprints = self
+                    .local_evidence
+                    .record_crash(&backend, fingerprints, now);
                 let record = CrashRecord {
                     backend,
                     at_ms: now,
@@ -179,13 +187,13 @@
         }
     }
 
-    fn end(&mut self, attempt: Attempt) {
-        if self.way == Way::Cleared {
-            let one = fingerprint(attempt.request);
-            self.own.record_success(one);
-            if self.quarantine.list().contains(&one) {
+    fn complete(&mut self, attempt: Attempt) {
+        if self.method == DetectionMethod::Quarantine {
+            let succeeded = fingerprint(attempt.request);
+            self.local_evidence.record_success(succeeded);
+            if self.quarantine.list().contains(&succeeded) {
                 self.quarantine.apply(QuarantineCommand::RecordSuccesses {
-                    fingerprints: vec![one],
+                    fingerprints: vec![succeeded],
                     limits: QuarantineLimits::default(),
                 });
             }
@@ -193,116 +201,139 @@
     }
 }
 
-fn play(seed: u64, guilty: u32, loses_racks: bool, way: Way) -> Outcome {
-    let mut pool = Pool::new(seed, way);
+fn simulate(
+    seed: u64,
+    crashing_requests: u32,
+    has_rack_losses: bool,
+    method: DetectionMethod,
+) -> Outcome {
+    let mut pool = Pool::new(seed, method);
     let mut outcome = Outcome::default();
-    for request in 0..guilty {
+    for request in 0..crashing_requests {
         let at = pool.random.gen_range(500..1_500);
         let attempt = Attempt {
             request,
             number: 0,
-            is_guilty: true,
-            tries_left: 0,
+            crashes_engine: true,
+            retries_left: 0,
             engine: 0,
             ends_at: 0,
         };
         pool.waiting.push((at, attempt));
     }
-    let mut next = guilty;
+    let mut next_request = crashing_requests;
     for now in (0..DURATION_MS).step_by(STEP_MS as usize) {
-        if loses_racks && now > 0 && now.is_multiple_of(RACK_EVERY_MS) {
-            let first = RACK * pool.random.gen_range(0..ENGINES / RACK);
-            for engine in first..first + RACK {
+        if has_rack_losses && now > 0 && now.is_multiple_of(RACK_LOSS_INTERVAL_MS) {
+            let first_engine =
+                ENGINES_PER_RACK * pool.random.gen_range(0..ENGINES / ENGINES_PER_RACK);
+            for engine in first_engine..first_engine + ENGINES_PER_RACK {
                 pool.crash(engine, now);
             }
         }
-        if way == Way::Cleared && now.is_multiple_of(LOOKS_EVERY_MS) {
+        if method == DetectionMethod::Quarantine && now.is_multiple_of(EXPIRE_INTERVAL_MS) {
             pool.quarantine.apply(QuarantineCommand::Expire {
                 now_ms: now,
                 limits: QuarantineLimits::default(),
             });
         }
-        if pool.random.gen_bool(ARRIVAL) {
-            let tries_left = if pool.random.gen_bool(0.1) { 4 } else { 1 };
-            let is_popular = pool.random.gen_bool(POPULAR);
+        if pool.random.gen_bool(ARRIVAL_PROBABILITY) {
+            let retries_left = if pool.random.gen_bool(0.1) { 4 } else { 1 };
+            let is_popular = pool.random.gen_bool(POPULAR_PROBABILITY);
             let request = match is_popular {
-                true => FIRST_POPULAR + pool.random.gen_range(0..20),
-                false => next,
+                true => FIRST_POPULAR_REQUEST + pool.random.gen_range(0..20),
+                false => next_request,
             };
             let attempt = Attempt {
                 number: 0,
                 request,
-                is_guilty: false,
-                tries_left,
+                crashes_engine: false,
+                retries_left,
                 engine: 0,
                 ends_at: 0,
             };
-            next += 1;
-            match pool.refuses(request) {
-                true => outcome.falsely_refused += 1,
-                false => pool.begin(attempt, now),
+            next_request += 1;
+            match pool.is_refused(request) {
+                true => outcome.harmless_refused += 1,
+                false => pool.start_attempt(attempt, now),
             }
         }
-        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut pool.waiting)
+        let (due, still_waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut pool.waiting)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        pool.waiting = later;
+        pool.waiting = still_waiting;
         for (_, attempt) in due {
-            match pool.refuses(attempt.request) {
-                false => pool.begin(attempt, now),
-                true if attempt.is_guilty => {
-                    pool.waiting.push((now + COMES_AGAIN_AFTER_MS, attempt));
+            match pool.is_refused(attempt.request) {
+                false => pool.start_attempt(attempt, now),
+                true if attempt.crashes_engine => {
+                    pool.waiting
+                        .push((now + CRASHING_REQUEST_RETRY_MS, attempt));
                 }
-                true => outcome.falsely_refused += 1,
+                true => outcome.harmless_refused += 1,
             }
         }
-        let ending: Vec<Attempt> = pool
+        let completed: Vec<Attempt> = pool
             .running
             .iter()
             .filter(|attempt| attempt.ends_at <= now)
             .copied()
             .collect();
-        for attempt in ending {
-            let is_running = |one: &Attempt| one.number == attempt.number;
+        for attempt in completed {
+            let is_running = |running: &Attempt| running.number == attempt.number;
             if !pool.running.iter().any(is_running) {
                 continue;
             }
-            if attempt.is_guilty {
+            if attempt.crashes_engine {
                 *outcome.crashes.entry(attempt.request).or_default() += 1;
                 pool.crash(attempt.engine, now);
             } else {
-                pool.running.retain(|one| !is_running(one));
-                pool.end(attempt);
+                pool.running.retain(|running| !is_running(running));
+                pool.complete(attempt);
             }
         }
     }
-    outcome.innocents = next - guilty;
-    outcome.never_refused = (0..guilty).filter(|one| !pool.refuses(*one)).count() as u32;
+    outcome.harmless_attempts = next_request - crashing_requests;
+    outcome.crashing_not_refused = (0..crashing_requests)
+        .filter(|request| !pool.is_refused(*request))
+        .count() as u32;
     outcome
 }
 
 fn main() {
     let seeds = std::env::args().nth(1);
-    let seeds: u64 = seeds.and_then(|text| text.parse().ok()).unwrap_or(200);
+    let seeds: u64 = seeds
+        .and_then(|argument| argument.parse().ok())
+        .unwrap_or(200);
     println!(
-        "guilty | racks lost | way | innocents refused | crashes until refused, mean, most | never"
+        "crashing requests | rack losses | method | harmless refused | crashes until refused: mean, maximum | not refused"
     );
-    for guilty in [1, 3, 10] {
-        for loses_racks in [false, true] {
-            for (name, way) in [("count", Way::BareCount), ("cleared", Way::Cleared)] {
-                let plays: Vec<Outcome> = (0..seeds)
-                    .map(|seed| play(seed, guilty, loses_racks, way))
+    for crashing_requests in [1, 3, 10] {
+        for has_rack_losses in [false, true] {
+            for (name, method) in [
+                ("crash count", DetectionMethod::CrashCount),
+                ("quarantine", DetectionMethod::Quarantine),
+            ] {
+                let outcomes: Vec<Outcome> = (0..seeds)
+                    .map(|seed| simulate(seed, crashing_requests, has_rack_losses, method))
                     .collect();
-                let false_ones: u32 = plays.iter().map(|one| one.falsely_refused).sum();
-                let innocents: u32 = plays.iter().map(|one| one.innocents).sum();
-                let crashes: Vec<u32> = plays
+                let harmless_refused: u32 = outcomes
+                    .iter()
+                    .map(|outcome| outcome.harmless_refused)
+                    .sum();
+                let harmless_attempts: u32 = outcomes
                     .iter()
-                    .flat_map(|one| one.crashes.values().copied())
+                    .map(|outcome| outcome.harmless_attempts)
+                    .sum();
+                let crashes: Vec<u32> = outcomes
+                    .iter()
+                    .flat_map(|outcome| outcome.crashes.values().copied())
                     .collect();
                 let mean = f64::from(crashes.iter().sum::<u32>()) / crashes.len().max(1) as f64;
-                let most = crashes.iter().max().copied().unwrap_or_default();
-                let never: u32 = plays.iter().map(|one| one.never_refused).sum();
-                println!("{guilty} | {loses_racks} | {name} | {false_ones} of {innocents} | {mean:.2}, {most} | {never}");
+                let maximum = crashes.iter().max().copied().unwrap_or_default();
+                let not_refused: u32 = outcomes
+                    .iter()
+                    .map(|outcome| outcome.crashing_not_refused)
+                    .sum();
+                println!("{crashing_requests} | {has_rack_losses} | {name} | {harmless_refused} of {harmless_attempts} | {mean:.2}, {maximum} | {not_refused}");
             }
         }
     }
--- a/crates/quarantine/src/crash_report.rs
+++ b/crates/quarantine/src/crash_report.rs
@@ -1,15 +1,15 @@
-//! What a node tells of a crash.
+//! The report that a node sends to the leader on a back end crash.
 
 use serde::{Deserialize, Serialize};
 use silversail_model::RequestFingerprint;
 
-/// A back end that ended, and the requests of this node that broke off there.
+/// A back end crash and the requests of the reporting node that it interrupted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The back end.
+    /// Name of the back end that crashed.
     pub backend: String,
-    /// Milliseconds since the first of them broke off.
+    /// Time since the first of the requests was interrupted, in milliseconds.
     pub age_ms: u64,
-    /// What they are.
+    /// Requests that the crash interrupted.
     pub fingerprints: Vec<RequestFingerprint>,
 }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,14 +1,16 @@
-//! Requests that crash the back ends which run them ("poison requests", "queries of death").
+//! Detects and refuses requests that crash the back ends which run them ("poison requests",
+//! "queries of death").
 //!
-//! A crash ends everything that a back end ran, so each request that broke off there is a
-//! suspect. Suspects of several crashes are refused; one whole answer clears a suspect, as a
-//! request that crashes back ends never gets one. Pure: time is passed in.
+//! A crash interrupts every request that the back end was running, so each of them is a suspect.
+//! A suspect that was interrupted by several crashes is refused. A complete response clears a
+//! suspect, as a request that crashes back ends never receives one. The crate does no I/O, and
+//! callers pass in the current time.
 //!
-//! - [`limits`]: after how many crashes, and for how long
-//! - [`crash_report`]: what a node tells of a crash
-//! - [`quarantine`]: the replicated judgement over what all nodes told
-//! - [`list`]: what nodes have to know of it
-//! - [`local_evidence`]: what one node saw itself, which counts at once
+//! - [`limits`]: how many crashes lead to a refusal, and how long it lasts
+//! - [`crash_report`]: the report that a node sends on a crash
+//! - [`quarantine`]: the replicated state, built from the reports of all nodes
+//! - [`list`]: the list of refused requests that nodes enforce
+//! - [`local_evidence`]: crashes that one node observed itself, applied there without delay
 
 pub mod crash_report;
 pub mod limits;
@@ -24,5 +26,5 @@
 pub use quarantine::{CrashRecord, Quarantine, QuarantineCommand, QuarantineReply, RefusedRequest};
 pub use suspects::CrashEvidence;
 
-/// Milliseconds since the Unix epoch, by the clock of the leader that proposes.
+/// Milliseconds since the Unix epoch, by the clock of the leader that proposes a command.
 pub type UnixMillis = u64;
--- a/crates/quarantine/src/limits.rs
+++ b/crates/quarantine/src/limits.rs
@@ -1,25 +1,24 @@
-//! After how many crashes a request is refused, and what is remembered for how long.
+//! Settings that decide when a request is refused, and how much is remembered for how long.
 
 use serde::{Deserialize, Serialize};
 
-/// Settings of the quarantine; the leader's hold for all nodes.
+/// Settings of the quarantine. Those of the leader apply to the replicated decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct QuarantineLimits {
-    /// Crashes of back ends until a request that ran at each of them is refused; at least 1. The
-    /// users' rule on retries counts from the third crash on; fewer would refuse requests that
-    /// two racks took with them.
+    /// Number of back end crashes that a request may be interrupted by before it is refused, at
+    /// least 1. Values below 3 refuse requests interrupted by two independent hardware failures.
     pub crashes: u32,
-    /// How long a suspect is remembered after its last crash, in milliseconds.
+    /// Time after its last crash for which a suspect is remembered, in milliseconds.
     pub suspect_for_ms: u64,
-    /// How long a request is refused after the last crash under it, in milliseconds. When it
-    /// comes again after that, one crash more is enough.
+    /// Time for which a request is refused after its last crash, in milliseconds. After that, one
+    /// more crash has it refused again.
     pub refuse_for_ms: u64,
-    /// Most suspects; those with the fewest crashes, then the oldest, are forgotten first. A
-    /// crash of an engine with 32 streams brings 32.
+    /// Maximum number of suspects. Those with the fewest crashes, then the oldest, are dropped
+    /// first.
     pub most_suspects: usize,
-    /// Most refused requests; the oldest are forgotten first. Suspects never displace them. 512
-    /// are a list of 8 KB, which each node is sent when it changes.
+    /// Maximum number of refused requests, which bounds the list that each node receives. Those
+    /// whose refusal expires first are dropped first.
     pub most_refused: usize,
 }
 
--- a/crates/quarantine/src/list.rs
+++ b/crates/quarantine/src/list.rs
@@ -1,29 +1,29 @@
-//! What nodes have to know of the judgement.
+//! The list of refused requests that nodes enforce.
 
 use serde::{Deserialize, Serialize};
 use silversail_model::RequestFingerprint;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Counts the changes of [`QuarantineList`]; a higher one is newer.
+/// Revision number of a [`QuarantineList`]; a higher one is newer.
 pub type QuarantineRevision = u64;
 
-/// Requests that are refused, and those that one crash more would have refused.
+/// Refused requests, and suspects that would be refused after one more crash.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineList {
-    /// Counts the changes.
+    /// Increases with each change of the list.
     pub revision: QuarantineRevision,
-    /// No node sends these to a back end.
+    /// Requests that no node may send to a back end.
     pub refused: BTreeSet<RequestFingerprint>,
-    /// A whole answer to one of these, at any node, clears it.
+    /// Suspects whose successes nodes report, as one complete response clears a suspect.
     pub watched: BTreeSet<RequestFingerprint>,
 }
 
-/// A list shared inside a process.
+/// A list that is shared within a process without copying.
 pub type SharedQuarantineList = Arc<QuarantineList>;
 
 impl QuarantineList {
-    /// Whether a whole answer to this request is news for the judgement.
+    /// Whether the list has the request as refused or watched, so that its success is reported.
     pub fn contains(&self, fingerprint: &RequestFingerprint) -> bool {
         self.refused.contains(fingerprint) || self.watched.contains(fingerprint)
     }
--- a/crates/quarantine/src/local_evidence.rs
+++ b/crates/quarantine/src/local_evidence.rs
@@ -1,4 +1,4 @@
-//! What one node saw itself: it counts there at once, whatever the others know.
+//! Crashes that one node observed itself. They apply on that node without waiting for the leader.
 
 use crate::limits::QuarantineLimits;
 use silversail_model::RequestFingerprint;
@@ -7,30 +7,29 @@
 /// Milliseconds of the node's own monotonic clock.
 type Millis = u64;
 
-/// Requests that are remembered as having got a whole answer: about a quarter of an hour at the
-/// five requests a second of a node at the size to design for.
-const REMEMBERED_GOOD: usize = 4_096;
-/// Requests whose crashes are counted; the oldest are forgotten first.
-const MOST_COUNTED: usize = 1_024;
+/// Number of requests that are remembered as having received a complete response.
+const MAX_REMEMBERED_SUCCESSES: usize = 4_096;
+/// Number of requests whose crashes are counted; those with the oldest crashes are dropped first.
+const MAX_COUNTED_REQUESTS: usize = 1_024;
 
-/// Crashes that this node saw under one request.
+/// Crashes that this node observed while it had one request in flight.
 #[derive(Debug, Default)]
-struct SeenCrashes {
+struct ObservedCrashes {
     backends: BTreeSet<String>,
-    last_at: Millis,
+    last_crash_at: Millis,
 }
 
-/// What one node saw of requests that break off and of those that end well.
+/// Crashes and successes of requests, as this node observed them.
 #[derive(Debug, Default)]
 pub struct LocalCrashEvidence {
     limits: QuarantineLimits,
-    crashes: BTreeMap<RequestFingerprint, SeenCrashes>,
-    good: HashSet<RequestFingerprint>,
-    good_in_order: VecDeque<RequestFingerprint>,
+    crashes: BTreeMap<RequestFingerprint, ObservedCrashes>,
+    succeeded: HashSet<RequestFingerprint>,
+    successes_by_age: VecDeque<RequestFingerprint>,
 }
 
 impl LocalCrashEvidence {
-    /// No evidence yet.
+    /// Creates a state without evidence.
     pub fn new(limits: QuarantineLimits) -> Self {
         Self {
             limits,
@@ -38,59 +37,60 @@
         }
     }
 
-    /// A back end ended with these requests. Returns those that are suspects: one that got a
-    /// whole answer lately crashes nothing.
+    /// Records a crash that interrupted these requests. Returns the suspects among them, which are
+    /// those without a recent complete response.
     pub fn record_crash(
         &mut self,
         backend: &str,
         fingerprints: impl IntoIterator<Item = RequestFingerprint>,
         now: Millis,
     ) -> BTreeSet<RequestFingerprint> {
-        self.forget(now);
+        self.drop_expired(now);
         let fingerprints = fingerprints.into_iter();
         let suspects: BTreeSet<RequestFingerprint> = fingerprints
-            .filter(|one| !self.good.contains(one))
+            .filter(|fingerprint| !self.succeeded.contains(fingerprint))
             .collect();
         for fingerprint in &suspects {
-            let seen = self.crashes.entry(*fingerprint).or_default();
-            seen.backends.insert(backend.to_owned());
-            seen.last_at = now;
+            let observed = self.crashes.entry(*fingerprint).or_default();
+            observed.backends.insert(backend.to_owned());
+            observed.last_crash_at = now;
         }
         suspects
     }
 
-    /// A request got a whole answer.
+    /// Records that a request received a complete response, which clears it.
     pub fn record_success(&mut self, fingerprint: RequestFingerprint) {
         self.crashes.remove(&fingerprint);
-        if !self.good.insert(fingerprint) {
+        if !self.succeeded.insert(fingerprint) {
             return;
         }
-        self.good_in_order.push_back(fingerprint);
-        if self.good_in_order.len() > REMEMBERED_GOOD {
-            if let Some(oldest) = self.good_in_order.pop_front() {
-                self.good.remove(&oldest);
+        self.successes_by_age.push_back(fingerprint);
+        if self.successes_by_age.len() > MAX_REMEMBERED_SUCCESSES {
+            if let Some(oldest) = self.successes_by_age.pop_front() {
+                self.succeeded.remove(&oldest);
             }
         }
     }
 
-    /// An operator lifted the verdict on a request: what this node saw counts no more.
+    /// Discards the crashes observed for a request, as when an operator ends its refusal.
     pub fn clear(&mut self, fingerprint: &RequestFingerprint) {
         self.crashes.remove(fingerprint);
     }
 
-    /// Whether this node alone saw enough crashes under a request.
+    /// Whether this node alone observed enough crashes to refuse a request.
     pub fn is_refused(&self, fingerprint: &RequestFingerprint) -> bool {
-        let seen = self.crashes.get(fingerprint);
-        seen.is_some_and(|seen| seen.backends.len() >= self.limits.crashes.max(1) as usize)
+        let observed = self.crashes.get(fingerprint);
+        observed
+            .is_some_and(|observed| observed.backends.len() >= self.limits.crashes.max(1) as usize)
     }
 
-    fn forget(&mut self, now: Millis) {
+    fn drop_expired(&mut self, now: Millis) {
         let kept_for = self.limits.suspect_for_ms;
         self.crashes
-            .retain(|_, seen| now.saturating_sub(seen.last_at) < kept_for);
-        while self.crashes.len() > MOST_COUNTED {
+            .retain(|_, observed| now.saturating_sub(observed.last_crash_at) < kept_for);
+        while self.crashes.len() > MAX_COUNTED_REQUESTS {
             let all = self.crashes.iter();
-            let oldest = all.min_by_key(|(_, seen)| seen.last_at);
+            let oldest = all.min_by_key(|(_, observed)| observed.last_crash_at);
             let Some(oldest) = oldest.map(|(fingerprint, _)| *fingerprint) else {
                 return;
             };
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -1,5 +1,7 @@
-//! The judgement over what all nodes told: replicated, so that it outlives the loss of every
-//! process. Each replica applies the same commands; the leader's limits stand in them.
+//! Replicated state machine of the quarantine, which combines the crash reports of all nodes.
+//!
+//! Each replica applies the same commands. A command carries the leader's limits, so that the
+//! result does not depend on the settings of a replica.
 
 use crate::limits::QuarantineLimits;
 use crate::list::{QuarantineList, SharedQuarantineList};
@@ -10,127 +12,130 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Two tellings of the end of one back end are of the same crash if so many milliseconds lie
-/// between them at most: nodes tell a crash for seconds, and a new leader's clock may differ by
-/// two. A back end that is back sooner under the same identity, as the list does not tell its
-/// start, and crashes again counts once too few.
-const SAME_CRASH_WITHIN_MS: u64 = 5_000;
-/// So long after the last crash, in milliseconds, the judgement looks whom other verdicts clear.
-const CALM_AFTER_MS: u64 = 10_000;
-/// Crashes that are remembered to tell that one is told again.
-const REMEMBERED_CRASHES: usize = 1_024;
+/// Reports on the same back end whose times differ by less than this, in milliseconds, count as
+/// one crash: nodes repeat a report for several seconds, and the clocks of leaders differ. A second
+/// crash of the same back end within this time is not counted.
+const SAME_CRASH_WINDOW_MS: u64 = 5_000;
+/// Time without a crash, in milliseconds, after which requests are released whose crashes are
+/// explained by other refused requests.
+const QUIET_PERIOD_MS: u64 = 10_000;
+/// Number of recent crashes kept to recognize repeated reports.
+const MAX_RECENT_CRASHES: usize = 1_024;
 
-/// A crash as the leader puts it together.
+/// A back end crash, combined by the leader from the reports of several nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRecord {
-    /// The back end that ended.
+    /// Name of the back end that crashed.
     pub backend: String,
-    /// When.
+    /// Time of the crash.
     pub at_ms: UnixMillis,
-    /// The requests that broke off there, as far as nodes told.
+    /// Requests that the crash interrupted, as far as nodes have reported them.
     pub fingerprints: BTreeSet<RequestFingerprint>,
 }
 
-/// Changes the quarantine.
+/// A replicated command that changes the quarantine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineCommand {
-    /// Back ends ended. A crash may be told again, with more requests.
+    /// Records crashes of back ends. A crash may be reported again with more requests.
     RecordCrashes {
-        /// The crashes.
+        /// Crashes to record; those already known are extended.
         crashes: Vec<CrashRecord>,
-        /// What holds.
+        /// Limits of the leader that proposed the command.
         limits: QuarantineLimits,
     },
-    /// Requests got a whole answer: they crash nothing.
+    /// Clears requests that received a complete response and so do not crash back ends.
     RecordSuccesses {
-        /// What they are.
+        /// Requests that succeeded.
         fingerprints: Vec<RequestFingerprint>,
-        /// What holds.
+        /// Limits of the leader that proposed the command.
         limits: QuarantineLimits,
     },
-    /// An operator lifts a verdict.
+    /// Ends the refusal of one request on an operator's command.
     Lift {
-        /// What is to be sent again.
+        /// Request that may be sent again.
         fingerprint: RequestFingerprint,
     },
-    /// Time went on.
+    /// Releases requests whose refusal has expired and drops old suspects.
     Expire {
-        /// Now.
+        /// Current time by the leader's clock.
         now_ms: UnixMillis,
-        /// What holds.
+        /// Limits of the leader that proposed the command.
         limits: QuarantineLimits,
     },
 }
 
-/// What became of a command.
+/// Result of a [`QuarantineCommand`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineReply {
-    /// It was applied.
+    /// The command was applied.
     Applied {
-        /// Requests that are refused from now on, with the crashes that decided it.
+        /// Requests that are newly refused, each with the crashes counted against it.
         refused: Vec<(RequestFingerprint, Vec<CrashEvidence>)>,
-        /// Requests that are refused no more.
+        /// Requests that are no longer refused.
         released: Vec<RequestFingerprint>,
     },
-    /// The request to be lifted is not refused.
+    /// The request named by [`QuarantineCommand::Lift`] is not refused.
     NotRefused,
 }
 
-/// A request that is refused.
+/// Evidence against a refused request and the period of its refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusedRequest {
-    /// The crashes that decided it.
+    /// Crashes for which the request is refused.
     pub crashes: Vec<CrashEvidence>,
-    /// Since when.
+    /// Start of the refusal.
     pub since_ms: UnixMillis,
-    /// Until when, unless it crashes a back end again.
+    /// End of the refusal, extended if the request crashes another back end.
     pub until_ms: UnixMillis,
 }
 
-/// A crash that may be told again.
+/// A recent crash, kept to recognize repeated reports of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct KnownCrash {
+struct RecentCrash {
     number: CrashNumber,
     backend: String,
     at_ms: UnixMillis,
-    /// Whether a refused request ran there, which explains it.
+    /// Whether a refused request was interrupted by the crash and is taken as its cause.
     is_explained: bool,
 }
 
-/// Suspects, and the requests that are refused.
+/// Replicated state: suspected and refused requests, with the crashes counted against them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quarantine {
-    last_number: CrashNumber,
-    known: VecDeque<KnownCrash>,
+    last_crash_number: CrashNumber,
+    recent_crashes: VecDeque<RecentCrash>,
     suspects: Suspects,
     refused: BTreeMap<RequestFingerprint, RefusedRequest>,
     list: SharedQuarantineList,
 }
 
 impl Quarantine {
-    /// What nodes have to know.
+    /// Current list to distribute to all nodes.
     pub fn list(&self) -> &SharedQuarantineList {
         &self.list
     }
 
-    /// The requests that are refused, with the evidence.
+    /// All refused requests, each with the evidence against it.
     pub fn refused(&self) -> &BTreeMap<RequestFingerprint, RefusedRequest> {
         &self.refused
     }
 
-    /// How many requests are under suspicion.
+    /// Number of suspected requests that are not refused.
     pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Whether a suspicion or a verdict ends by now.
+    /// Whether [`QuarantineCommand::Expire`] would release a request or drop a suspect at `now_ms`.
     pub fn needs_expiry(&self, now_ms: UnixMillis, limits: &QuarantineLimits) -> bool {
-        let verdicts = self.refused.values().map(|one| one.until_ms);
-        let next_end = verdicts.chain(self.suspects.next_end(limits)).min();
-        next_end.is_some_and(|end| end <= now_ms) || !self.explained(now_ms, limits).is_empty()
+        let refusal_ends = self.refused.values().map(|request| request.until_ms);
+        let next_end = refusal_ends
+            .chain(self.suspects.next_expiry_ms(limits))
+            .min();
+        next_end.is_some_and(|end| end <= now_ms)
+            || !self.explained_requests(now_ms, limits).is_empty()
     }
 
-    /// Applies a command. Commands may come twice and late.
+    /// Applies a committed command. A command may be applied late or more than once.
     pub fn apply(&mut self, command: QuarantineCommand) -> QuarantineReply {
         let mut refused = Vec::new();
         let mut released = Vec::new();
@@ -138,7 +143,7 @@
             QuarantineCommand::RecordCrashes { crashes, limits } => {
                 let at_ms = crashes.iter().map(|crash| crash.at_ms).max();
                 for crash in crashes {
-                    refused.extend(self.crashed(crash, &limits));
+                    refused.extend(self.record_crash(crash, &limits));
                 }
                 released = self.expire(at_ms.unwrap_or_default(), &limits);
                 self.publish(&limits);
@@ -160,7 +165,7 @@
                     return QuarantineReply::NotRefused;
                 }
                 released.push(fingerprint);
-                self.publish_refused(self.list.watched.clone());
+                self.publish_list(self.list.watched.clone());
             }
             QuarantineCommand::Expire { now_ms, limits } => {
                 released = self.expire(now_ms, &limits);
@@ -171,13 +176,13 @@
         QuarantineReply::Applied { refused, released }
     }
 
-    /// Counts a crash; returns whom it has refused.
-    fn crashed(
+    /// Counts a crash against its requests and returns those that are refused for it.
+    fn record_crash(
         &mut self,
         crash: CrashRecord,
         limits: &QuarantineLimits,
     ) -> Vec<(RequestFingerprint, Vec<CrashEvidence>)> {
-        let number = self.number_of(&crash);
+        let number = self.crash_number_for(&crash);
         let evidence = CrashEvidence {
             number,
             backend: crash.backend,
@@ -186,10 +191,10 @@
         for fingerprint in &crash.fingerprints {
             if let Some(refused) = self.refused.get_mut(fingerprint) {
                 refused.until_ms = refused.until_ms.max(crash.at_ms + limits.refuse_for_ms);
-                self.explain(number);
+                self.mark_explained(number);
             }
         }
-        // A crash under a refused request says nothing against others.
+        // A crash that a refused request explains does not count against other requests.
         if self.is_explained(number) {
             return Vec::new();
         }
@@ -207,138 +212,148 @@
     ) -> Vec<(RequestFingerprint, Vec<CrashEvidence>)> {
         let mut refused = Vec::new();
         for fingerprint in fingerprints {
-            if self.suspects.count(fingerprint) < limits.crashes.max(1) as usize {
+            if self.suspects.crash_count(fingerprint) < limits.crashes.max(1) as usize {
                 continue;
             }
             let Some(crashes) = self.suspects.remove(fingerprint) else {
                 continue;
             };
             for crash in &crashes {
-                self.explain(crash.number);
+                self.mark_explained(crash.number);
             }
-            let verdict = RefusedRequest {
+            let request = RefusedRequest {
                 crashes: crashes.clone(),
                 since_ms: at_ms,
                 until_ms: at_ms + limits.refuse_for_ms,
             };
-            self.refused.insert(*fingerprint, verdict);
+            self.refused.insert(*fingerprint, request);
             refused.push((*fingerprint, crashes));
         }
         refused
     }
 
-    /// Once no back end crashes any more, releases the requests whose crashes other verdicts
-    /// explain. See [`Self::explained`].
+    /// Releases the requests found by [`Self::explained_requests`].
     fn release_explained(
         &mut self,
         now_ms: UnixMillis,
         limits: &QuarantineLimits,
     ) -> Vec<RequestFingerprint> {
-        let released = self.explained(now_ms, limits);
+        let released = self.explained_requests(now_ms, limits);
         for fingerprint in &released {
             self.put_on_probation(*fingerprint, now_ms, limits);
         }
         released
     }
 
-    /// Refused requests whose crashes other verdicts explain, each by one that rests on crashes at
-    /// which the request did not run; none while back ends crash. One that many ask for is in
-    /// flight at crash after crash where several requests crash engines, and as it is refused no
-    /// whole answer could clear it. Released at once, guilty ones that shared crashes ended up to
-    /// 12 engines each in place of 6 (`examples/judgement`, ten at once).
-    fn explained(&self, now_ms: UnixMillis, limits: &QuarantineLimits) -> Vec<RequestFingerprint> {
-        let last = self.known.iter().map(|crash| crash.at_ms).max();
-        if last.is_none_or(|at| at + CALM_AFTER_MS > now_ms) {
+    /// Returns refused requests whose every crash is explained by another refused request that has
+    /// enough crashes of its own. A harmless request that is sent often is in flight at the crashes
+    /// of others, and cannot be cleared by a success while it is refused. Returns none until
+    /// [`QUIET_PERIOD_MS`] after the last crash, as an early release of requests that did cause
+    /// their crashes would crash more back ends.
+    fn explained_requests(
+        &self,
+        now_ms: UnixMillis,
+        limits: &QuarantineLimits,
+    ) -> Vec<RequestFingerprint> {
+        let latest_crash = self.recent_crashes.iter().map(|crash| crash.at_ms).max();
+        if latest_crash.is_none_or(|at| at + QUIET_PERIOD_MS > now_ms) {
             return Vec::new();
         }
-        let explained = self.refused.iter().filter(|(fingerprint, verdict)| {
-            let mut crashes = verdict.crashes.iter();
-            crashes.all(|crash| self.is_explained_by_another(crash, fingerprint, limits))
+        let explained_requests = self.refused.iter().filter(|(fingerprint, request)| {
+            let mut crashes = request.crashes.iter();
+            crashes.all(|crash| self.is_explained_by_other_request(crash, fingerprint, limits))
         });
-        explained.map(|(fingerprint, _)| *fingerprint).collect()
+        explained_requests
+            .map(|(fingerprint, _)| *fingerprint)
+            .collect()
     }
 
-    fn is_explained_by_another(
+    fn is_explained_by_other_request(
         &self,
         crash: &CrashEvidence,
         fingerprint: &RequestFingerprint,
         limits: &QuarantineLimits,
     ) -> bool {
-        let own = &self.refused[fingerprint].crashes;
-        let is_own = |one: &&CrashEvidence| own.iter().any(|known| known.number == one.number);
-        let needed = (limits.crashes.max(1) - 1) as usize;
-        let mut others = self
+        let own_crashes = &self.refused[fingerprint].crashes;
+        let is_shared =
+            |crash: &&CrashEvidence| own_crashes.iter().any(|known| known.number == crash.number);
+        let required_crashes = (limits.crashes.max(1) - 1) as usize;
+        let mut other_requests = self
             .refused
             .iter()
-            .filter(|(other, _)| *other != fingerprint);
-        others.any(|(_, verdict)| {
-            let has_it = verdict.crashes.iter().any(|one| one.number == crash.number);
-            let shared = verdict.crashes.iter().filter(is_own).count();
-            has_it && verdict.crashes.len() - shared >= needed
+            .filter(|(other_request, _)| *other_request != fingerprint);
+        other_requests.any(|(_, request)| {
+            let includes_crash = request
+                .crashes
+                .iter()
+                .any(|known| known.number == crash.number);
+            let shared_crashes = request.crashes.iter().filter(is_shared).count();
+            includes_crash && request.crashes.len() - shared_crashes >= required_crashes
         })
     }
 
-    /// The number of a crash, which may have been told before.
-    fn number_of(&mut self, crash: &CrashRecord) -> CrashNumber {
-        let is_same = |known: &&KnownCrash| {
+    /// Returns the number of a crash, and assigns one if the crash has not been reported before.
+    fn crash_number_for(&mut self, crash: &CrashRecord) -> CrashNumber {
+        let is_same = |known: &&RecentCrash| {
             known.backend == crash.backend
-                && known.at_ms.abs_diff(crash.at_ms) < SAME_CRASH_WITHIN_MS
+                && known.at_ms.abs_diff(crash.at_ms) < SAME_CRASH_WINDOW_MS
         };
-        if let Some(known) = self.known.iter().find(is_same) {
+        if let Some(known) = self.recent_crashes.iter().find(is_same) {
             return known.number;
         }
-        self.last_number += 1;
-        if self.known.len() == REMEMBERED_CRASHES {
-            self.known.pop_front();
+        self.last_crash_number += 1;
+        if self.recent_crashes.len() == MAX_RECENT_CRASHES {
+            self.recent_crashes.pop_front();
         }
-        self.known.push_back(KnownCrash {
-            number: self.last_number,
+        self.recent_crashes.push_back(RecentCrash {
+            number: self.last_crash_number,
             backend: crash.backend.clone(),
             at_ms: crash.at_ms,
             is_explained: false,
         });
-        self.last_number
+        self.last_crash_number
     }
 
-    fn explain(&mut self, number: CrashNumber) {
-        let mut known = self.known.iter_mut();
+    fn mark_explained(&mut self, number: CrashNumber) {
+        let mut known = self.recent_crashes.iter_mut();
         if let Some(crash) = known.find(|crash| crash.number == number) {
             crash.is_explained = true;
         }
     }
 
     fn is_explained(&self, number: CrashNumber) -> bool {
-        let mut known = self.known.iter();
+        let mut known = self.recent_crashes.iter();
         known.any(|crash| crash.number == number && crash.is_explained)
     }
 
-    /// Ends what is over. Who was refused stays a suspect whom one crash more has refused again.
+    /// Releases requests whose refusal has expired, and the earliest to expire where more than the
+    /// limit are refused. Expired requests go on probation; old suspects are dropped.
     fn expire(&mut self, now_ms: UnixMillis, limits: &QuarantineLimits) -> Vec<RequestFingerprint> {
-        let over = self
+        let expired = self
             .refused
             .iter()
-            .filter(|(_, one)| one.until_ms <= now_ms);
+            .filter(|(_, request)| request.until_ms <= now_ms);
         let mut released: Vec<RequestFingerprint> =
-            over.map(|(fingerprint, _)| *fingerprint).collect();
+            expired.map(|(fingerprint, _)| *fingerprint).collect();
         for fingerprint in &released {
             self.put_on_probation(*fingerprint, now_ms, limits);
         }
         let excess = self.refused.len().saturating_sub(limits.most_refused);
         let all = self.refused.iter();
-        let mut by_age: Vec<(UnixMillis, RequestFingerprint)> = all
-            .map(|(fingerprint, one)| (one.until_ms, *fingerprint))
+        let mut by_expiry: Vec<(UnixMillis, RequestFingerprint)> = all
+            .map(|(fingerprint, request)| (request.until_ms, *fingerprint))
             .collect();
-        by_age.sort_unstable();
-        for (_, fingerprint) in &by_age[..excess] {
+        by_expiry.sort_unstable();
+        for (_, fingerprint) in &by_expiry[..excess] {
             self.refused.remove(fingerprint);
             released.push(*fingerprint);
         }
-        self.suspects.forget(now_ms, limits);
+        self.suspects.drop_expired(now_ms, limits);
         released
     }
 
-    /// Sends a request again that was refused: a whole answer clears it, one crash more has it
-    /// refused again.
+    /// Releases a request and keeps it one crash below the limit: a success clears it, and one more
+    /// crash has it refused again.
     fn put_on_probation(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -348,8 +363,8 @@
         let Some(refused) = self.refused.remove(&fingerprint) else {
             return;
         };
-        let kept = limits.crashes.saturating_sub(1) as usize;
-        for crash in refused.crashes.into_iter().rev().take(kept) {
+        let retained_crashes = limits.crashes.saturating_sub(1) as usize;
+        for crash in refused.crashes.into_iter().rev().take(retained_crashes) {
             let at_ms = now_ms;
             self.suspects
                 .add(fingerprint, CrashEvidence { at_ms, ..crash });
@@ -357,11 +372,11 @@
     }
 
     fn publish(&mut self, limits: &QuarantineLimits) {
-        self.publish_refused(self.suspects.watched(limits));
+        self.publish_list(self.suspects.one_crash_below_limit(limits));
     }
 
-    /// Puts together what nodes have to know; a new revision only where it differs.
-    fn publish_refused(&mut self, watched: BTreeSet<RequestFingerprint>) {
+    /// Builds a new revision of the list if its content has changed.
+    fn publish_list(&mut self, watched: BTreeSet<RequestFingerprint>) {
         let refused: BTreeSet<RequestFingerprint> = self.refused.keys().copied().collect();
         if refused == self.list.refused && watched == self.list.watched {
             return;
--- a/crates/quarantine/src/suspects.rs
+++ b/crates/quarantine/src/suspects.rs
@@ -1,4 +1,4 @@
-//! Suspects: requests that broke off at back ends which ended.
+//! Suspects: requests that were interrupted by crashes of back ends.
 
 use crate::limits::QuarantineLimits;
 use crate::UnixMillis;
@@ -6,35 +6,35 @@
 use silversail_model::RequestFingerprint;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Numbers a crash.
+/// Identifies a crash within the replicated state.
 pub(crate) type CrashNumber = u64;
 
-/// A crash that counts against a request.
+/// A crash that is counted against a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashEvidence {
     pub(crate) number: CrashNumber,
-    /// The back end that ended.
+    /// Name of the back end that crashed.
     pub backend: String,
-    /// When.
+    /// Time of the crash.
     pub at_ms: UnixMillis,
 }
 
-/// What counts against one request; never empty.
-type Crashes = Vec<CrashEvidence>;
+/// Crashes counted against one request; never empty.
+type CrashesOfRequest = Vec<CrashEvidence>;
 
-/// All suspects.
+/// All suspects with the crashes counted against each.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Suspects {
-    by_fingerprint: BTreeMap<RequestFingerprint, Crashes>,
+    by_fingerprint: BTreeMap<RequestFingerprint, CrashesOfRequest>,
 }
 
 impl Suspects {
-    /// How many crashes count against a request.
-    pub(crate) fn count(&self, fingerprint: &RequestFingerprint) -> usize {
+    /// Number of crashes counted against a request.
+    pub(crate) fn crash_count(&self, fingerprint: &RequestFingerprint) -> usize {
         self.by_fingerprint.get(fingerprint).map_or(0, Vec::len)
     }
 
-    /// Counts a crash against a request, once.
+    /// Counts a crash against a request; a crash that is already counted is ignored.
     pub(crate) fn add(&mut self, fingerprint: RequestFingerprint, crash: CrashEvidence) {
         let crashes = self.by_fingerprint.entry(fingerprint).or_default();
         if crashes.iter().all(|known| known.number != crash.number) {
@@ -42,22 +42,27 @@
         }
     }
 
-    pub(crate) fn remove(&mut self, fingerprint: &RequestFingerprint) -> Option<Crashes> {
+    pub(crate) fn remove(&mut self, fingerprint: &RequestFingerprint) -> Option<CrashesOfRequest> {
         self.by_fingerprint.remove(fingerprint)
     }
 
-    /// Those that one crash more would have refused.
-    pub(crate) fn watched(&self, limits: &QuarantineLimits) -> BTreeSet<RequestFingerprint> {
-        let is_near = |crashes: &Crashes| crashes.len() + 1 >= limits.crashes as usize;
+    /// Suspects that would be refused after one more crash.
+    pub(crate) fn one_crash_below_limit(
+        &self,
+        limits: &QuarantineLimits,
+    ) -> BTreeSet<RequestFingerprint> {
+        let is_one_crash_below_limit =
+            |crashes: &CrashesOfRequest| crashes.len() + 1 >= limits.crashes as usize;
         let all = self.by_fingerprint.iter();
-        all.filter(|(_, crashes)| is_near(crashes))
+        all.filter(|(_, crashes)| is_one_crash_below_limit(crashes))
             .map(|(fingerprint, _)| *fingerprint)
             .collect()
     }
 
-    /// Forgets those whose last crash is long ago, and the weakest of too many.
-    pub(crate) fn forget(&mut self, now_ms: UnixMillis, limits: &QuarantineLimits) {
-        let is_kept = |crashes: &Crashes| last_at(crashes) + limits.suspect_for_ms > now_ms;
+    /// Drops suspects whose last crash is too old, and the least suspicious beyond the limit.
+    pub(crate) fn drop_expired(&mut self, now_ms: UnixMillis, limits: &QuarantineLimits) {
+        let is_kept =
+            |crashes: &CrashesOfRequest| last_crash_ms(crashes) + limits.suspect_for_ms > now_ms;
         self.by_fingerprint.retain(|_, crashes| is_kept(crashes));
         let excess = self
             .by_fingerprint
@@ -67,19 +72,19 @@
             return;
         }
         let all = self.by_fingerprint.iter();
-        let mut by_weight: Vec<(usize, UnixMillis, RequestFingerprint)> = all
-            .map(|(fingerprint, crashes)| (crashes.len(), last_at(crashes), *fingerprint))
+        let mut by_crash_count: Vec<(usize, UnixMillis, RequestFingerprint)> = all
+            .map(|(fingerprint, crashes)| (crashes.len(), last_crash_ms(crashes), *fingerprint))
             .collect();
-        by_weight.sort_unstable();
-        for (_, _, fingerprint) in &by_weight[..excess] {
+        by_crash_count.sort_unstable();
+        for (_, _, fingerprint) in &by_crash_count[..excess] {
             self.by_fingerprint.remove(fingerprint);
         }
     }
 
-    /// When the next one is to be forgotten.
-    pub(crate) fn next_end(&self, limits: &QuarantineLimits) -> Option<UnixMillis> {
+    /// Time at which the next suspect is to be dropped.
+    pub(crate) fn next_expiry_ms(&self, limits: &QuarantineLimits) -> Option<UnixMillis> {
         let ends = self.by_fingerprint.values();
-        ends.map(|crashes| last_at(crashes) + limits.suspect_for_ms)
+        ends.map(|crashes| last_crash_ms(crashes) + limits.suspect_for_ms)
             .min()
     }
 
@@ -88,7 +93,7 @@
     }
 }
 
-fn last_at(crashes: &Crashes) -> UnixMillis {
+fn last_crash_ms(crashes: &CrashesOfRequest) -> UnixMillis {
     let times = crashes.iter().map(|crash| crash.at_ms);
     times.max().unwrap_or_default()
 }
--- a/crates/quarantine/tests/quarantine.rs
+++ b/crates/quarantine/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! The replicated judgement.
+//! The replicated state of the quarantine.
 
 use silversail_model::{ContentDigest, RequestFingerprint};
 use silversail_quarantine::{
@@ -13,15 +13,15 @@
     most_refused: 4,
 };
 
-fn request(name: &str) -> RequestFingerprint {
+fn fingerprint_of(name: &str) -> RequestFingerprint {
     RequestFingerprint::of(None, &ContentDigest::of(name, b""))
 }
 
-fn crash(quarantine: &mut Quarantine, backend: &str, at_ms: u64, requests: &[&str]) {
+fn record_crash(quarantine: &mut Quarantine, backend: &str, at_ms: u64, requests: &[&str]) {
     let record = CrashRecord {
         backend: backend.to_owned(),
         at_ms,
-        fingerprints: requests.iter().map(|name| request(name)).collect(),
+        fingerprints: requests.iter().map(|name| fingerprint_of(name)).collect(),
     };
     quarantine.apply(QuarantineCommand::RecordCrashes {
         crashes: vec![record],
@@ -29,87 +29,101 @@
     });
 }
 
-fn ended_well(quarantine: &mut Quarantine, name: &str) -> QuarantineReply {
+fn record_success(quarantine: &mut Quarantine, name: &str) -> QuarantineReply {
     quarantine.apply(QuarantineCommand::RecordSuccesses {
-        fingerprints: vec![request(name)],
+        fingerprints: vec![fingerprint_of(name)],
         limits: LIMITS,
     })
 }
 
 fn is_refused(quarantine: &Quarantine, name: &str) -> bool {
-    quarantine.list().refused.contains(&request(name))
+    quarantine.list().refused.contains(&fingerprint_of(name))
 }
 
 fn is_watched(quarantine: &Quarantine, name: &str) -> bool {
-    quarantine.list().watched.contains(&request(name))
+    quarantine.list().watched.contains(&fingerprint_of(name))
 }
 
 #[test]
-fn the_suspect_of_three_crashes_is_refused_and_those_of_one_are_not() {
+fn a_request_is_refused_after_three_crashes_and_not_after_one() {
     let mut quarantine = Quarantine::default();
-    crash(&mut quarantine, "e1", 10_000, &["bad", "a", "b"]);
+    record_crash(&mut quarantine, "e1", 10_000, &["bad", "a", "b"]);
     assert_eq!(quarantine.list().revision, 0);
-    crash(&mut quarantine, "e2", 20_000, &["bad", "c"]);
+    record_crash(&mut quarantine, "e2", 20_000, &["bad", "c"]);
     assert!(is_watched(&quarantine, "bad") && !is_refused(&quarantine, "bad"));
-    crash(&mut quarantine, "e3", 30_000, &["bad", "a"]);
+    record_crash(&mut quarantine, "e3", 30_000, &["bad", "a"]);
     assert!(is_refused(&quarantine, "bad"));
     assert!(is_watched(&quarantine, "a") && !is_refused(&quarantine, "a"));
-    let verdict = &quarantine.refused()[&request("bad")];
-    let backends: Vec<&str> = verdict.crashes.iter().map(|one| &*one.backend).collect();
+    let refused_request = &quarantine.refused()[&fingerprint_of("bad")];
+    let backends: Vec<&str> = refused_request
+        .crashes
+        .iter()
+        .map(|crash| &*crash.backend)
+        .collect();
     assert_eq!(backends, ["e1", "e2", "e3"]);
 }
 
 #[test]
-fn a_crash_that_is_told_again_counts_once() {
+fn a_crash_that_is_reported_repeatedly_counts_once() {
     let mut quarantine = Quarantine::default();
-    for told in 0..5 {
-        crash(&mut quarantine, "e1", 10_000 + told * 400, &["bad"]);
+    for report in 0..5 {
+        record_crash(&mut quarantine, "e1", 10_000 + report * 400, &["bad"]);
     }
     assert!(!is_watched(&quarantine, "bad"));
-    // More of its requests are heard of.
-    crash(&mut quarantine, "e1", 10_100, &["late"]);
-    crash(&mut quarantine, "e2", 20_000, &["late"]);
+    // A later report of the same crash adds a request.
+    record_crash(&mut quarantine, "e1", 10_100, &["late"]);
+    record_crash(&mut quarantine, "e2", 20_000, &["late"]);
     assert!(is_watched(&quarantine, "late"));
-    // The back end is back under its name, and ends again.
-    crash(&mut quarantine, "e1", 15_000, &["bad"]);
+    // The back end has restarted under the same name and crashes again.
+    record_crash(&mut quarantine, "e1", 15_000, &["bad"]);
     assert!(is_watched(&quarantine, "bad"));
 }
 
 #[test]
-fn a_crash_under_a_refused_request_says_nothing_against_others() {
+fn a_crash_explained_by_a_refused_request_does_not_count_against_others() {
     let mut quarantine = Quarantine::default();
-    for at in 1..=3 {
-        crash(&mut quarantine, &format!("e{at}"), at * 10_000, &["bad"]);
+    for crash_number in 1..=3 {
+        record_crash(
+            &mut quarantine,
+            &format!("e{crash_number}"),
+            crash_number * 10_000,
+            &["bad"],
+        );
     }
-    // It was under way at three more when the verdict came.
-    for at in 4..=6 {
-        crash(
+    // The request was in flight at three more back ends when it was refused.
+    for crash_number in 4..=6 {
+        record_crash(
             &mut quarantine,
-            &format!("e{at}"),
-            at * 10_000,
+            &format!("e{crash_number}"),
+            crash_number * 10_000,
             &["bad", "a"],
         );
-        crash(&mut quarantine, &format!("e{at}"), at * 10_000, &["a"]);
+        record_crash(
+            &mut quarantine,
+            &format!("e{crash_number}"),
+            crash_number * 10_000,
+            &["a"],
+        );
     }
     assert!(!is_watched(&quarantine, "a") && !is_refused(&quarantine, "a"));
-    let until = quarantine.refused()[&request("bad")].until_ms;
+    let until = quarantine.refused()[&fingerprint_of("bad")].until_ms;
     assert_eq!(until, 60_000 + LIMITS.refuse_for_ms);
 }
 
 #[test]
-fn a_whole_answer_clears_a_suspect_and_releases_a_refused_request() {
+fn a_complete_response_clears_a_suspect_and_releases_a_refused_request() {
     let mut quarantine = Quarantine::default();
-    crash(&mut quarantine, "e1", 10_000, &["good"]);
-    crash(&mut quarantine, "e2", 20_000, &["good"]);
-    ended_well(&mut quarantine, "good");
-    crash(&mut quarantine, "e3", 30_000, &["good"]);
+    record_crash(&mut quarantine, "e1", 10_000, &["good"]);
+    record_crash(&mut quarantine, "e2", 20_000, &["good"]);
+    record_success(&mut quarantine, "good");
+    record_crash(&mut quarantine, "e3", 30_000, &["good"]);
     assert!(!is_watched(&quarantine, "good"));
-    crash(&mut quarantine, "e4", 40_000, &["good"]);
-    crash(&mut quarantine, "e5", 50_000, &["good"]);
+    record_crash(&mut quarantine, "e4", 40_000, &["good"]);
+    record_crash(&mut quarantine, "e5", 50_000, &["good"]);
     assert!(is_refused(&quarantine, "good"));
-    // Its last attempt was under way all the time.
-    let reply = ended_well(&mut quarantine, "good");
-    let released = vec![request("good")];
+    // An attempt from before the refusal completes.
+    let reply = record_success(&mut quarantine, "good");
+    let released = vec![fingerprint_of("good")];
     assert_eq!(
         reply,
         QuarantineReply::Applied {
@@ -121,30 +135,43 @@
 }
 
 #[test]
-fn an_operator_lifts_a_verdict_once() {
+fn lifting_a_refusal_succeeds_once() {
     let mut quarantine = Quarantine::default();
-    for at in 1..=3 {
-        crash(&mut quarantine, &format!("e{at}"), at * 10_000, &["bad"]);
+    for crash_number in 1..=3 {
+        record_crash(
+            &mut quarantine,
+            &format!("e{crash_number}"),
+            crash_number * 10_000,
+            &["bad"],
+        );
     }
     let revision = quarantine.list().revision;
-    let lift = || QuarantineCommand::Lift {
-        fingerprint: request("bad"),
+    let lift_command = || QuarantineCommand::Lift {
+        fingerprint: fingerprint_of("bad"),
     };
     assert!(matches!(
-        quarantine.apply(lift()),
+        quarantine.apply(lift_command()),
         QuarantineReply::Applied { .. }
     ));
     assert!(!is_refused(&quarantine, "bad"));
     assert_eq!(quarantine.list().revision, revision + 1);
-    assert_eq!(quarantine.apply(lift()), QuarantineReply::NotRefused);
+    assert_eq!(
+        quarantine.apply(lift_command()),
+        QuarantineReply::NotRefused
+    );
 }
 
 #[test]
-fn suspicions_and_verdicts_end_and_one_crash_more_renews_a_verdict() {
+fn suspects_and_refusals_expire_and_one_more_crash_renews_a_refusal() {
     let mut quarantine = Quarantine::default();
-    crash(&mut quarantine, "e1", 10_000, &["slow"]);
-    for at in 1..=3 {
-        crash(&mut quarantine, &format!("f{at}"), at * 10_000, &["bad"]);
+    record_crash(&mut quarantine, "e1", 10_000, &["slow"]);
+    for crash_number in 1..=3 {
+        record_crash(
+            &mut quarantine,
+            &format!("f{crash_number}"),
+            crash_number * 10_000,
+            &["bad"],
+        );
     }
     assert!(!quarantine.needs_expiry(69_999, &LIMITS) && quarantine.needs_expiry(70_000, &LIMITS));
     let expire = |now_ms| QuarantineCommand::Expire {
@@ -156,48 +183,68 @@
     assert!(is_refused(&quarantine, "bad"));
     quarantine.apply(expire(130_000));
     assert!(!is_refused(&quarantine, "bad") && is_watched(&quarantine, "bad"));
-    crash(&mut quarantine, "f4", 140_000, &["bad"]);
+    record_crash(&mut quarantine, "f4", 140_000, &["bad"]);
     assert!(is_refused(&quarantine, "bad"));
 }
 
 #[test]
-fn a_flood_of_suspects_displaces_neither_verdicts_nor_heavier_suspects() {
+fn many_suspects_displace_neither_refused_requests_nor_suspects_with_more_crashes() {
     let mut quarantine = Quarantine::default();
-    for at in 1..=3 {
-        crash(&mut quarantine, &format!("e{at}"), at * 1_000, &["bad"]);
+    for crash_number in 1..=3 {
+        record_crash(
+            &mut quarantine,
+            &format!("e{crash_number}"),
+            crash_number * 1_000,
+            &["bad"],
+        );
     }
-    crash(&mut quarantine, "e4", 5_000, &["heavy"]);
-    crash(&mut quarantine, "e5", 9_000, &["heavy"]);
+    record_crash(&mut quarantine, "e4", 5_000, &["repeated"]);
+    record_crash(&mut quarantine, "e5", 9_000, &["repeated"]);
     for number in 0..50 {
         let name = format!("flood{number}");
-        crash(&mut quarantine, &name, 20_000 + number, &[&name]);
+        record_crash(&mut quarantine, &name, 20_000 + number, &[&name]);
     }
     assert_eq!(quarantine.suspect_count(), LIMITS.most_suspects);
-    assert!(is_refused(&quarantine, "bad") && is_watched(&quarantine, "heavy"));
-    // Of too many verdicts the oldest ends first.
+    assert!(is_refused(&quarantine, "bad") && is_watched(&quarantine, "repeated"));
+    // Beyond the limit, the refusal that expires first is dropped first.
     for name in ["bad2", "bad3", "bad4", "bad5"] {
-        for at in 1..=3 {
-            let backend = format!("{name}-{at}");
-            crash(&mut quarantine, &backend, 30_000 + at * 10, &[name]);
+        for crash_number in 1..=3 {
+            let backend = format!("{name}-{crash_number}");
+            record_crash(
+                &mut quarantine,
+                &backend,
+                30_000 + crash_number * 10,
+                &[name],
+            );
         }
     }
     assert_eq!(quarantine.refused().len(), LIMITS.most_refused);
     assert!(!is_refused(&quarantine, "bad") && is_refused(&quarantine, "bad5"));
 }
 
-/// Three requests crash engines; one that many ask for was in flight at one crash of each.
+/// Three requests crash back ends; a popular one was in flight at one crash of each.
 #[test]
-fn who_was_refused_under_other_verdicts_crashes_is_sent_again_once_it_is_calm() {
+fn a_request_refused_for_crashes_of_others_is_released_after_a_quiet_period() {
     let mut quarantine = Quarantine::default();
     for (number, bad) in ["bad1", "bad2", "bad3"].into_iter().enumerate() {
-        let at = 1_000 + number as u64 * 100;
-        crash(&mut quarantine, &format!("{bad}-1"), at, &[bad, "popular"]);
+        let at_ms = 1_000 + number as u64 * 100;
+        record_crash(
+            &mut quarantine,
+            &format!("{bad}-1"),
+            at_ms,
+            &[bad, "popular"],
+        );
     }
     assert!(is_refused(&quarantine, "popular"));
     for (number, bad) in ["bad1", "bad2", "bad3"].into_iter().enumerate() {
-        for again in 2..=3 {
-            let at = again * 1_000 + number as u64 * 100;
-            crash(&mut quarantine, &format!("{bad}-{again}"), at, &[bad]);
+        for occurrence in 2..=3 {
+            let at_ms = occurrence * 1_000 + number as u64 * 100;
+            record_crash(
+                &mut quarantine,
+                &format!("{bad}-{occurrence}"),
+                at_ms,
+                &[bad],
+            );
         }
     }
     let expire = |now_ms| QuarantineCommand::Expire {
