--- a/crates/routing/src/average.rs
+++ b/crates/routing/src/average.rs
@@ -1,9 +1,9 @@
 //! An exponentially weighted moving average.
 
-/// Weight of a new sample.
-const SAMPLE_WEIGHT: f64 = 0.1;
+/// Weight of a new sample once enough samples have been added.
+const MIN_SAMPLE_WEIGHT: f64 = 0.1;
 
-/// A moving average that starts from an assumption.
+/// A moving average that starts from an assumed value.
 #[derive(Clone, Copy, Debug)]
 pub struct MovingAverage {
     value: f64,
@@ -11,28 +11,28 @@
 }
 
 impl MovingAverage {
-    /// An average that gives `assumed` until a sample comes.
-    pub fn new(assumed: f64) -> Self {
+    /// Creates an average that has the value `initial` until the first sample.
+    pub fn new(initial: f64) -> Self {
         Self {
-            value: assumed,
+            value: initial,
             samples: 0,
         }
     }
 
-    /// Takes in a sample.
+    /// Adds a sample.
     pub fn add(&mut self, sample: f64) {
-        // The first samples outweigh the assumption.
-        let weight = SAMPLE_WEIGHT.max(1.0 / (self.samples + 1) as f64);
+        // The first samples are averaged equally and replace the initial value.
+        let weight = MIN_SAMPLE_WEIGHT.max(1.0 / (self.samples + 1) as f64);
         self.value += weight * (sample - self.value);
         self.samples += 1;
     }
 
-    /// The average.
+    /// Current average, in the unit of the samples.
     pub fn value(&self) -> f64 {
         self.value
     }
 
-    /// Number of samples taken in.
+    /// Number of samples added.
     pub fn samples(&self) -> u64 {
         self.samples
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decisions of the data path: which back end, in what order, when to refuse,
-//! when to retry. Pure: no clock, no I/O; times are milliseconds of the
+//! Data-path decisions: admission control, queueing, placement, rate limits and
+//! retries. The crate has no clock and does no I/O; times are milliseconds of the
 //! caller's clock.
 
 pub mod admission;
--- a/crates/routing/src/placement.rs
+++ b/crates/routing/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which back end of a pool runs a stage.
+//! Selects the back end of a pool that runs a stage.
 
 use crate::average::MovingAverage;
 use crate::Millis;
@@ -7,50 +7,50 @@
 use serde::{Deserialize, Serialize};
 use silversail_model::BackendName;
 
-/// Failures in a row after which a back end is left out for a while.
-const EJECT_AFTER_FAILURES: u32 = 3;
-/// How long a failing back end is left out, in milliseconds.
-const EJECT_FOR: Millis = 2_000;
-/// A load report older than this says nothing, in milliseconds.
-const REPORT_VALID_FOR: Millis = 3_000;
-/// Slots that a report says are free are believed for so long, in milliseconds:
-/// other nodes may have taken them.
-const FREE_SLOTS_VALID_FOR: Millis = 300;
-/// A measured service time older than this is doubted: the back end may have
-/// become as fast as the others, which nobody sees while it gets no calls.
-const SERVICE_TIME_VALID_FOR: Millis = 3_000;
-/// How many back ends are compared for stages without a load report.
-const SAMPLES: usize = 3;
-/// Service time assumed while none was measured, in milliseconds.
-const UNMEASURED_SERVICE_MS: f64 = 50.0;
-/// Share of a prompt's service time that a held prefix saves.
-const PREFIX_SAVING: f64 = 0.5;
-
-/// How a back end is chosen.
+/// Consecutive failures after which a back end is ejected.
+const EJECTION_THRESHOLD: u32 = 3;
+/// Duration of an ejection, in milliseconds.
+const EJECTION_MS: Millis = 2_000;
+/// Age from which a load report is ignored, in milliseconds.
+const REPORT_MAX_AGE_MS: Millis = 3_000;
+/// Age from which the free slots in a load report are ignored, in milliseconds,
+/// as other nodes may have taken them since.
+const FREE_SLOTS_MAX_AGE_MS: Millis = 300;
+/// Age from which a measured service time is ignored, in milliseconds: a back
+/// end that gets no calls may have recovered unnoticed.
+const SERVICE_TIME_MAX_AGE_MS: Millis = 3_000;
+/// Number of back ends sampled at random where none has a load report.
+const SAMPLE_SIZE: usize = 3;
+/// Service time assumed before the first measurement, in milliseconds.
+const DEFAULT_SERVICE_MS: f64 = 50.0;
+/// Factor on the service time of a prompt whose prefix is cached.
+const CACHED_PREFIX_FACTOR: f64 = 0.5;
+
+/// Policy by which a back end is selected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlacementPolicy {
-    /// Any, by chance; a baseline.
+    /// Any back end at random; for comparison only.
     Random,
-    /// Each in turn; a baseline.
+    /// Round robin; for comparison only.
     RoundRobin,
-    /// The one that is expected to finish first.
+    /// The back end that is expected to finish the call first.
     #[default]
     ExpectedFinish,
 }
 
-/// What this node knows of a back end's load.
+/// Load and health of one back end, as this node knows them.
 #[derive(Clone, Debug)]
 pub struct BackendLoad {
-    /// Own calls in flight.
+    /// Calls of this node in flight at the back end.
     pub in_flight: u32,
-    /// Measured service time of one call, in milliseconds.
+    /// Moving average of the service time of one call, in milliseconds.
     pub service_ms: MovingAverage,
-    reported: Option<(u32, Millis)>,
-    /// Own calls in flight when the report was taken in.
-    own_at_report: u32,
-    measured_at: Option<Millis>,
-    failures: u32,
+    last_report: Option<(u32, Millis)>,
+    /// Calls of this node in flight when the last report arrived.
+    own_calls_at_report: u32,
+    service_time_measured_at: Option<Millis>,
+    consecutive_failures: u32,
     ejected_until: Millis,
 }
 
@@ -61,169 +61,171 @@
 }
 
 impl BackendLoad {
-    /// A back end of which nothing is known.
+    /// Creates the state of a back end without reports or measurements.
     pub fn new() -> Self {
         Self {
             in_flight: 0,
-            service_ms: MovingAverage::new(UNMEASURED_SERVICE_MS),
-            reported: None,
-            own_at_report: 0,
-            measured_at: None,
-            failures: 0,
+            service_ms: MovingAverage::new(DEFAULT_SERVICE_MS),
+            last_report: None,
+            own_calls_at_report: 0,
+            service_time_measured_at: None,
+            consecutive_failures: 0,
             ejected_until: 0,
         }
     }
 
-    /// Takes in a report of all calls at the back end, others' included.
+    /// Records a load report, which counts the calls of all nodes at the back end.
     pub fn record_report(&mut self, load: u32, now: Millis) {
-        self.reported = Some((load, now));
-        self.own_at_report = self.in_flight;
+        self.last_report = Some((load, now));
+        self.own_calls_at_report = self.in_flight;
     }
 
-    /// Notes that a call ended well.
+    /// Records a successful call and its service time in milliseconds.
     pub fn record_success(&mut self, service_ms: f64, now: Millis) {
         self.service_ms.add(service_ms);
-        self.measured_at = Some(now);
-        self.failures = 0;
+        self.service_time_measured_at = Some(now);
+        self.consecutive_failures = 0;
     }
 
-    /// Notes that a call failed.
+    /// Records a failed call and ejects the back end after too many in a row.
     pub fn record_failure(&mut self, now: Millis) {
-        self.failures += 1;
-        if self.failures >= EJECT_AFTER_FAILURES {
-            self.ejected_until = now + EJECT_FOR;
+        self.consecutive_failures += 1;
+        if self.consecutive_failures >= EJECTION_THRESHOLD {
+            self.ejected_until = now + EJECTION_MS;
         }
     }
 
-    /// Whether the back end is left out for its failures.
+    /// Whether the back end is ejected because of consecutive failures.
     pub fn is_ejected(&self, now: Millis) -> bool {
         now < self.ejected_until
     }
 
-    /// The measured service time, where it is recent.
+    /// Average service time in milliseconds, if the last measurement is recent.
     fn recent_service_ms(&self, now: Millis) -> Option<f64> {
-        let at = self.measured_at?;
-        let is_recent = now.saturating_sub(at) < SERVICE_TIME_VALID_FOR;
+        let measured_at = self.service_time_measured_at?;
+        let is_recent = now.saturating_sub(measured_at) < SERVICE_TIME_MAX_AGE_MS;
         is_recent.then(|| self.service_ms.value())
     }
 
-    /// Free slots of `slots` by the last report, where it is recent, less the
-    /// own calls since.
+    /// Number of free slots out of `slots` by the last report, less this node's calls
+    /// since; `None` if the report is not recent.
     pub fn reported_free_slots(&self, slots: u32, now: Millis) -> Option<u32> {
-        let (_, at) = self.reported?;
-        let is_recent = now.saturating_sub(at) < FREE_SLOTS_VALID_FOR;
+        let (_, reported_at) = self.last_report?;
+        let is_recent = now.saturating_sub(reported_at) < FREE_SLOTS_MAX_AGE_MS;
         is_recent.then(|| slots.saturating_sub(self.estimated_load(now)))
     }
 
-    /// Calls believed to be at the back end: the last report with the own calls
-    /// since then put right, and never less than the own ones.
+    /// Estimated number of calls at the back end: the last report, corrected by the
+    /// change of this node's calls since, and at least this node's calls.
     pub fn estimated_load(&self, now: Millis) -> u32 {
-        let own = self.in_flight;
-        match self.reported {
-            Some((load, at)) if now.saturating_sub(at) < REPORT_VALID_FOR => {
-                let others = load.saturating_sub(self.own_at_report);
-                others + own
+        let own_calls = self.in_flight;
+        match self.last_report {
+            Some((load, reported_at)) if now.saturating_sub(reported_at) < REPORT_MAX_AGE_MS => {
+                let other_calls = load.saturating_sub(self.own_calls_at_report);
+                other_calls + own_calls
             }
-            _ => own,
+            _ => own_calls,
         }
     }
 }
 
-/// A back end that may run a stage now.
+/// A back end that can run a stage now.
 #[derive(Clone, Debug)]
 pub struct EligibleBackend<'a> {
-    /// Its name.
+    /// Name of the back end.
     pub name: &'a BackendName,
-    /// Calls that it runs side by side.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
-    /// Whether it is believed to hold the prompt's prefix.
+    /// Whether the back end is expected to have the prompt's prefix cached.
     pub has_cached_prefix: bool,
-    /// Its load.
+    /// Load and health of the back end.
     pub load: &'a BackendLoad,
 }
 
-/// Chooses back ends by a policy.
+/// Selects back ends by a [`PlacementPolicy`].
 pub struct BackendSelector {
     policy: PlacementPolicy,
     random: ChaCha8Rng,
-    turn: usize,
+    round_robin_counter: usize,
 }
 
 impl BackendSelector {
-    /// A placer; `seed` breaks ties differently on each node.
+    /// Creates a selector; a different `seed` on each node breaks ties differently.
     pub fn new(policy: PlacementPolicy, seed: u64) -> Self {
         Self {
             policy,
             random: ChaCha8Rng::seed_from_u64(seed),
-            turn: 0,
+            round_robin_counter: 0,
         }
     }
 
-    /// The position of the chosen candidate.
-    pub fn select(&mut self, candidates: &[EligibleBackend<'_>], now: Millis) -> Option<usize> {
-        if candidates.is_empty() {
+    /// Returns the index of the selected back end, or `None` if the slice is empty.
+    pub fn select(&mut self, backends: &[EligibleBackend<'_>], now: Millis) -> Option<usize> {
+        if backends.is_empty() {
             return None;
         }
         match self.policy {
-            PlacementPolicy::Random => Some(self.random.gen_range(0..candidates.len())),
+            PlacementPolicy::Random => Some(self.random.gen_range(0..backends.len())),
             PlacementPolicy::RoundRobin => {
-                self.turn = self.turn.wrapping_add(1);
-                Some(self.turn % candidates.len())
+                self.round_robin_counter = self.round_robin_counter.wrapping_add(1);
+                Some(self.round_robin_counter % backends.len())
             }
-            PlacementPolicy::ExpectedFinish => self.choose_first_to_finish(candidates, now),
+            PlacementPolicy::ExpectedFinish => self.select_by_expected_finish(backends, now),
         }
     }
 
-    fn choose_first_to_finish(
+    fn select_by_expected_finish(
         &mut self,
-        candidates: &[EligibleBackend<'_>],
+        backends: &[EligibleBackend<'_>],
         now: Millis,
     ) -> Option<usize> {
-        let has_reports = candidates.iter().any(|one| one.load.reported.is_some());
-        let has_prefix = candidates.iter().any(|one| one.has_cached_prefix);
-        let compared: Vec<usize> = if has_reports || has_prefix || candidates.len() <= SAMPLES {
-            (0..candidates.len()).collect()
-        } else {
-            rand::seq::index::sample(&mut self.random, candidates.len(), SAMPLES).into_vec()
-        };
-        let fastest = fastest_service_ms(candidates, now);
+        let has_reports = backends
+            .iter()
+            .any(|backend| backend.load.last_report.is_some());
+        let has_prefix = backends.iter().any(|backend| backend.has_cached_prefix);
+        let compared_indexes: Vec<usize> =
+            if has_reports || has_prefix || backends.len() <= SAMPLE_SIZE {
+                (0..backends.len()).collect()
+            } else {
+                rand::seq::index::sample(&mut self.random, backends.len(), SAMPLE_SIZE).into_vec()
+            };
+        let fastest_ms = fastest_service_ms(backends, now);
         let random = &mut self.random;
-        compared
+        compared_indexes
             .into_iter()
-            .map(|position| {
-                let cost = expected_finish_ms(&candidates[position], fastest, now);
-                // Equal costs are told apart by chance, else all nodes herd.
-                (position, cost * random.gen_range(1.0..1.05))
+            .map(|index| {
+                let expected_ms = expected_finish_ms(&backends[index], fastest_ms, now);
+                // Random tie-breaking keeps the nodes from all selecting the same back end.
+                (index, expected_ms * random.gen_range(1.0..1.05))
             })
             .min_by(|left, right| left.1.total_cmp(&right.1))
-            .map(|(position, _)| position)
+            .map(|(index, _)| index)
     }
 }
 
-/// The shortest recently measured service time, in milliseconds; what a back
-/// end is taken for until it was measured itself, so that new and recovered
-/// ones get calls.
-fn fastest_service_ms(candidates: &[EligibleBackend<'_>], now: Millis) -> f64 {
-    candidates
+/// Shortest recently measured service time, in milliseconds. It is assumed for
+/// back ends without a recent measurement, so that new and recovered ones get calls.
+fn fastest_service_ms(backends: &[EligibleBackend<'_>], now: Millis) -> f64 {
+    backends
         .iter()
-        .filter_map(|candidate| candidate.load.recent_service_ms(now))
+        .filter_map(|backend| backend.load.recent_service_ms(now))
         .min_by(f64::total_cmp)
-        .unwrap_or(UNMEASURED_SERVICE_MS)
+        .unwrap_or(DEFAULT_SERVICE_MS)
 }
 
 /// Expected time until a call started now would finish, in milliseconds.
-/// `fastest_ms` stands for a service time that was not measured lately.
-pub fn expected_finish_ms(candidate: &EligibleBackend<'_>, fastest_ms: f64, now: Millis) -> f64 {
-    let service = candidate.load.recent_service_ms(now).unwrap_or(fastest_ms);
-    let load = f64::from(candidate.load.estimated_load(now));
-    let slots = f64::from(candidate.slots.max(1));
-    let waiting = (load + 1.0 - slots).max(0.0) / slots * service;
-    // A fuller batch makes each step a little longer, long before it is full.
-    let crowding = 1.0 + 0.25 * (load / slots).min(1.0);
-    let own = if candidate.has_cached_prefix {
-        service * crowding * PREFIX_SAVING
+/// `fastest_ms` is assumed where no service time was measured recently.
+pub fn expected_finish_ms(backend: &EligibleBackend<'_>, fastest_ms: f64, now: Millis) -> f64 {
+    let service_ms = backend.load.recent_service_ms(now).unwrap_or(fastest_ms);
+    let load = f64::from(backend.load.estimated_load(now));
+    let slots = f64::from(backend.slots.max(1));
+    let wait_ms = (load + 1.0 - slots).max(0.0) / slots * service_ms;
+    // Each step of a batch takes longer the fuller the batch is.
+    let batch_slowdown = 1.0 + 0.25 * (load / slots).min(1.0);
+    let call_ms = if backend.has_cached_prefix {
+        service_ms * batch_slowdown * CACHED_PREFIX_FACTOR
     } else {
-        service * crowding
+        service_ms * batch_slowdown
     };
-    waiting + own
+    wait_ms + call_ms
 }
--- a/crates/routing/src/queue.rs
+++ b/crates/routing/src/queue.rs
@@ -1,5 +1,5 @@
-//! The order in which waiting stages are dispatched: fair between tenants by
-//! weight, least slack first inside a tenant.
+//! Queue of stages that wait for a back end: weighted fair queueing between
+//! tenants, least slack first within a tenant.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
@@ -10,13 +10,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolId(pub u32);
 
-/// How the queue is ordered.
+/// Order in which waiting stages are dispatched.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum QueueOrder {
-    /// First come, first served, tenants not told apart; the baseline.
+    /// First come, first served across all tenants; for comparison only.
     FirstCome,
-    /// Weighted fair between tenants, least slack first inside one.
+    /// Weighted fair queueing between tenants, least slack first within a tenant.
     #[default]
     FairLeastSlack,
 }
@@ -24,49 +24,49 @@
 /// A stage that waits for a back end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueuedStage {
-    /// The request.
+    /// Identifier of the request.
     pub request: u64,
-    /// Its tenant.
+    /// Tenant that is charged for the stage.
     pub tenant: TenantName,
-    /// The tenant's weight.
+    /// Weight of the tenant in fair queueing.
     pub weight: u32,
-    /// Back ends that may serve it.
+    /// Pool of back ends that can serve the stage.
     pub pool: PoolId,
-    /// Latest start that still meets the deadline, by the estimate.
+    /// Latest start time that is expected to meet the deadline.
     pub latest_start: Millis,
-    /// Expected service time in milliseconds; what the tenant is charged.
+    /// Expected service time in milliseconds, which is charged to the tenant.
     pub expected_ms: f64,
 }
 
-/// Position of a stage inside its tenant's lane: urgency, order of arrival and
-/// the request.
-type Position = (Millis, u64, u64);
+/// Sort key of a stage within its tenant's queue: latest start, order of arrival
+/// and request.
+type SortKey = (Millis, u64, u64);
 
 #[derive(Default)]
-struct Lane {
-    /// Service received divided by weight; the smallest goes first.
+struct TenantQueue {
+    /// Service received divided by weight; the tenant with the smallest goes first.
     virtual_time: f64,
-    by_pool: BTreeMap<PoolId, BTreeSet<Position>>,
-    length: usize,
+    by_pool: BTreeMap<PoolId, BTreeSet<SortKey>>,
+    stage_count: usize,
 }
 
 /// The waiting stages of one node.
 pub struct FairQueue {
     order: QueueOrder,
-    lanes: BTreeMap<TenantName, Lane>,
-    stages: HashMap<u64, (QueuedStage, Position)>,
-    virtual_now: f64,
+    tenant_queues: BTreeMap<TenantName, TenantQueue>,
+    stages: HashMap<u64, (QueuedStage, SortKey)>,
+    virtual_clock: f64,
     arrivals: u64,
 }
 
 impl FairQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(order: QueueOrder) -> Self {
         Self {
             order,
-            lanes: BTreeMap::new(),
+            tenant_queues: BTreeMap::new(),
             stages: HashMap::new(),
-            virtual_now: 0.0,
+            virtual_clock: 0.0,
             arrivals: 0,
         }
     }
@@ -76,76 +76,92 @@
         self.stages.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no stage waits.
     pub fn is_empty(&self) -> bool {
         self.stages.is_empty()
     }
 
-    fn lane_name(&self, tenant: &TenantName) -> TenantName {
+    fn queue_key(&self, tenant: &TenantName) -> TenantName {
         match self.order {
             QueueOrder::FirstCome => TenantName::default(),
             QueueOrder::FairLeastSlack => tenant.clone(),
         }
     }
 
-    /// Adds a stage; a request waits with one stage at a time.
+    /// Adds a stage. A request must have at most one stage in the queue.
     pub fn push(&mut self, stage: QueuedStage) {
         self.arrivals += 1;
-        let urgency = match self.order {
+        let latest_start = match self.order {
             QueueOrder::FirstCome => 0,
             QueueOrder::FairLeastSlack => stage.latest_start,
         };
-        let position = (urgency, self.arrivals, stage.request);
-        let lane = self.lanes.entry(self.lane_name(&stage.tenant)).or_default();
-        if lane.length == 0 {
-            // A tenant that was idle has no claim on the past.
-            lane.virtual_time = lane.virtual_time.max(self.virtual_now);
+        let sort_key = (latest_start, self.arrivals, stage.request);
+        let tenant_queue = self
+            .tenant_queues
+            .entry(self.queue_key(&stage.tenant))
+            .or_default();
+        if tenant_queue.stage_count == 0 {
+            // An idle tenant does not accumulate credit.
+            tenant_queue.virtual_time = tenant_queue.virtual_time.max(self.virtual_clock);
         }
-        lane.length += 1;
-        lane.by_pool.entry(stage.pool).or_default().insert(position);
-        self.stages.insert(stage.request, (stage, position));
+        tenant_queue.stage_count += 1;
+        tenant_queue
+            .by_pool
+            .entry(stage.pool)
+            .or_default()
+            .insert(sort_key);
+        self.stages.insert(stage.request, (stage, sort_key));
     }
 
-    /// Takes a request's stage out.
+    /// Removes and returns the stage of a request.
     pub fn remove(&mut self, request: u64) -> Option<QueuedStage> {
-        let (stage, position) = self.stages.remove(&request)?;
-        let name = self.lane_name(&stage.tenant);
-        if let Some(lane) = self.lanes.get_mut(&name) {
-            lane.length -= 1;
-            if let Some(positions) = lane.by_pool.get_mut(&stage.pool) {
-                positions.remove(&position);
-                if positions.is_empty() {
-                    lane.by_pool.remove(&stage.pool);
+        let (stage, sort_key) = self.stages.remove(&request)?;
+        let key = self.queue_key(&stage.tenant);
+        if let Some(tenant_queue) = self.tenant_queues.get_mut(&key) {
+            tenant_queue.stage_count -= 1;
+            if let Some(sort_keys) = tenant_queue.by_pool.get_mut(&stage.pool) {
+                sort_keys.remove(&sort_key);
+                if sort_keys.is_empty() {
+                    tenant_queue.by_pool.remove(&stage.pool);
                 }
             }
         }
         Some(stage)
     }
 
-    /// Takes the next stage whose pool `has_room`.
+    /// Removes and returns the next stage among the pools for which `has_room` is true.
     pub fn pop(&mut self, mut has_room: impl FnMut(PoolId) -> bool) -> Option<QueuedStage> {
-        let mut room: HashMap<PoolId, bool> = HashMap::new();
-        let mut best: Option<(f64, Position)> = None;
-        for lane in self.lanes.values().filter(|lane| lane.length > 0) {
-            if best.is_some_and(|(time, _)| time <= lane.virtual_time) {
+        let mut has_room_by_pool: HashMap<PoolId, bool> = HashMap::new();
+        let mut best: Option<(f64, SortKey)> = None;
+        for tenant_queue in self
+            .tenant_queues
+            .values()
+            .filter(|tenant_queue| tenant_queue.stage_count > 0)
+        {
+            if best.is_some_and(|(best_time, _)| best_time <= tenant_queue.virtual_time) {
                 continue;
             }
-            let position = lane
+            let sort_key = tenant_queue
                 .by_pool
                 .iter()
-                .filter(|(pool, _)| *room.entry(**pool).or_insert_with(|| has_room(**pool)))
-                .filter_map(|(_, positions)| positions.first().copied())
+                .filter(|(pool, _)| {
+                    *has_room_by_pool
+                        .entry(**pool)
+                        .or_insert_with(|| has_room(**pool))
+                })
+                .filter_map(|(_, sort_keys)| sort_keys.first().copied())
                 .min();
-            if let Some(position) = position {
-                best = Some((lane.virtual_time, position));
+            if let Some(sort_key) = sort_key {
+                best = Some((tenant_queue.virtual_time, sort_key));
             }
         }
         let (virtual_time, (_, _, request)) = best?;
         let stage = self.remove(request)?;
-        self.virtual_now = self.virtual_now.max(virtual_time);
-        let name = self.lane_name(&stage.tenant);
-        if let Some(lane) = self.lanes.get_mut(&name) {
-            lane.virtual_time += stage.expected_ms.max(1.0) / f64::from(stage.weight.max(1));
+        self.virtual_clock = self.virtual_clock.max(virtual_time);
+        let key = self.queue_key(&stage.tenant);
+        if let Some(tenant_queue) = self.tenant_queues.get_mut(&key) {
+            tenant_queue.virtual_time +=
+                stage.expected_ms.max(1.0) / f64::from(stage.weight.max(1));
         }
         Some(stage)
     }
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,31 +1,31 @@
-//! How many retries a back end's traffic may add.
+//! Retry budget, which bounds the load that retries add.
 
-/// Retries that are always allowed, in a row, however little traffic there is.
-const BURST: f64 = 10.0;
+/// Maximum number of retries in a burst, also allowed without any traffic before.
+const MAX_TOKENS: f64 = 10.0;
 
-/// Lets retries be a share of first attempts, so that a failing back end is
-/// not buried under them.
+/// Limits retries to a ratio of first attempts, so that retries do not overload a
+/// failing back end.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    share: f64,
+    retry_ratio: f64,
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// A budget of `share` retries for each first attempt.
-    pub fn new(share: f64) -> Self {
+    /// Creates a budget that gains `retry_ratio` retries with each first attempt.
+    pub fn new(retry_ratio: f64) -> Self {
         Self {
-            share,
-            tokens: BURST,
+            retry_ratio,
+            tokens: MAX_TOKENS,
         }
     }
 
-    /// Notes a first attempt.
+    /// Records a first attempt, which adds to the budget.
     pub fn record_first_attempt(&mut self) {
-        self.tokens = (self.tokens + self.share).min(BURST);
+        self.tokens = (self.tokens + self.retry_ratio).min(MAX_TOKENS);
     }
 
-    /// Takes one retry out of the budget, if there is one.
+    /// Takes one retry from the budget; returns false if the budget is exhausted.
     pub fn try_take_retry(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
