--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -1,35 +1,35 @@
-//! What answers of the baseline and of the candidate came to, counted on each node since the
-//! rollout began there, summed by the leader. Counts of a process only grow, so a message that
-//! is lost or comes twice changes nothing.
+//! Evidence of a rollout: counts of the responses of baseline and candidate, kept by each node since
+//! the rollout began there and summed by the leader. The counts of a process only increase, so lost
+//! or repeated messages do not change the sum.
 
 use crate::latency::LatencyHistogram;
 use crate::order::{RolloutNumber, Verdict};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Answers of one version on one route.
+/// Counts of the responses of one version on one route.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResponseCounts {
-    /// Requests sent, those that were sent again included.
+    /// Number of requests sent, including retries.
     pub sent: u64,
-    /// Whole answers that are no failure.
+    /// Number of complete responses without a failure.
     pub succeeded: u64,
-    /// Failures: error statuses, answers that broke off, garbled ones, none in time.
+    /// Number of failures: error statuses, interrupted or malformed responses, and timeouts.
     pub failed: u64,
-    /// Milliseconds until the first part of good answers.
+    /// Time to the first part of successful responses, in milliseconds.
     pub time_to_first_byte: LatencyHistogram,
-    /// Milliseconds until the end of good answers.
+    /// Time to the end of successful responses, in milliseconds.
     pub response_time: LatencyHistogram,
 }
 
 impl ResponseCounts {
-    /// Requests that have an answer, good or bad.
+    /// Number of requests that have succeeded or failed.
     pub fn completed(&self) -> u64 {
         self.succeeded + self.failed
     }
 
-    /// What came after an earlier count of the same answers. A count that fell, as processes
-    /// that held it are gone, gives 0.
+    /// Returns the difference to an earlier count. A count that has decreased because processes
+    /// ended gives 0.
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
             sent: self.sent.saturating_sub(earlier.sent),
@@ -50,67 +50,70 @@
     }
 }
 
-/// Answers of both versions on one route.
+/// Counts of the responses of both versions on one route.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteEvidence {
-    /// Of the baseline.
+    /// Responses of the baseline.
     pub baseline: ResponseCounts,
-    /// Of the candidate.
+    /// Responses of the candidate.
     pub candidate: ResponseCounts,
 }
 
 impl RouteEvidence {
-    /// Requests sent to either version.
+    /// Number of requests sent to both versions.
     pub fn sent(&self) -> u64 {
         self.baseline.sent + self.candidate.sent
     }
 }
 
-/// What one process, or all together, saw of a rollout.
+/// Evidence of one process, or the sum over all processes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// The rollout.
+    /// Number of the rollout.
     pub rollout: RolloutNumber,
-    /// The directive that the process obeys: its step. Of a sum, the lowest.
+    /// Step of the directive that the process applies; the lowest one in a sum.
     pub step: u32,
-    /// Requests under way at the baseline.
+    /// Number of requests in flight at the baseline.
     pub baseline_in_flight: u64,
-    /// By route.
+    /// Counts by route name.
     pub routes: BTreeMap<String, RouteEvidence>,
 }
 
 impl Evidence {
-    /// What came after an earlier count of the same rollout.
+    /// Returns the difference to earlier evidence of the same rollout.
     pub fn since(&self, earlier: &Self) -> Self {
-        let mut later = self.clone();
-        for (route, seen) in &mut later.routes {
-            if let Some(before) = earlier.routes.get(route) {
-                seen.baseline = seen.baseline.since(&before.baseline);
-                seen.candidate = seen.candidate.since(&before.candidate);
+        let mut difference = self.clone();
+        for (route, route_evidence) in &mut difference.routes {
+            if let Some(earlier_route) = earlier.routes.get(route) {
+                route_evidence.baseline = route_evidence.baseline.since(&earlier_route.baseline);
+                route_evidence.candidate = route_evidence.candidate.since(&earlier_route.candidate);
             }
         }
-        later
+        difference
     }
 
-    /// Requests sent to the candidate, on all routes.
+    /// Number of requests sent to the candidate, on all routes.
     pub fn sent_to_candidate(&self) -> u64 {
-        self.routes.values().map(|seen| seen.candidate.sent).sum()
+        self.routes
+            .values()
+            .map(|route_evidence| route_evidence.candidate.sent)
+            .sum()
     }
 
-    /// Requests sent to either version, on all routes.
+    /// Number of requests sent to both versions, on all routes.
     pub fn total_sent(&self) -> u64 {
         self.routes.values().map(RouteEvidence::sent).sum()
     }
 
-    /// A verdict that all answers together gave, with their failures.
+    /// Returns a verdict with the given reason and the counts over all routes.
     pub fn verdict(&self, reason: &str, elapsed_ms: u64) -> Verdict {
         let mut candidate = (0, 0);
         let mut baseline = (0, 0);
-        for seen in self.routes.values() {
-            candidate.0 += seen.candidate.completed();
-            candidate.1 += seen.candidate.failed;
-            baseline.0 += seen.baseline.completed();
-            baseline.1 += seen.baseline.failed;
+        for route_evidence in self.routes.values() {
+            candidate.0 += route_evidence.candidate.completed();
+            candidate.1 += route_evidence.candidate.failed;
+            baseline.0 += route_evidence.baseline.completed();
+            baseline.1 += route_evidence.baseline.failed;
         }
         Verdict {
             reason: reason.to_owned(),
@@ -121,23 +124,22 @@
         }
     }
 
-    /// Answers of the candidate, on all routes.
+    /// Number of completed candidate requests, on all routes.
     pub fn candidate_completed(&self) -> u64 {
         self.routes
             .values()
-            .map(|seen| seen.candidate.completed())
+            .map(|route_evidence| route_evidence.candidate.completed())
             .sum()
     }
 
-    /// Adds what another process saw of the same rollout: counts are summed, and the step is the
-    /// lowest of both.
+    /// Adds the evidence of another process: counts are summed, and the step is the lower of both.
     pub fn merge(&mut self, other: &Self) {
         self.step = self.step.min(other.step);
         self.baseline_in_flight += other.baseline_in_flight;
-        for (route, seen) in &other.routes {
-            let own = self.routes.entry(route.clone()).or_default();
-            own.baseline.merge(&seen.baseline);
-            own.candidate.merge(&seen.candidate);
+        for (route, route_evidence) in &other.routes {
+            let own_route = self.routes.entry(route.clone()).or_default();
+            own_route.baseline.merge(&route_evidence.baseline);
+            own_route.candidate.merge(&route_evidence.candidate);
         }
     }
 }
--- a/crates/rollout/src/history.rs
+++ b/crates/rollout/src/history.rs
@@ -1,56 +1,57 @@
-//! Counts of the last seconds, so that what came lately is seen apart from what came before.
+//! History of evidence over the last seconds, from which recent periods are computed.
 
 use crate::evidence::Evidence;
 use std::collections::VecDeque;
 
-/// Shortest time between two counts that are kept, in milliseconds: as often as the leader asks.
-const SPACING_MS: u64 = 100;
-/// Longest time that counts are kept, in milliseconds: longer than the answers of most routes.
-const KEPT_MS: u64 = 12_000;
+/// Minimum time between two samples, in milliseconds.
+const MIN_SAMPLE_INTERVAL_MS: u64 = 100;
+/// Time for which samples are kept, in milliseconds: longer than the responses of most routes.
+const RETENTION_MS: u64 = 12_000;
 
-/// What was counted at one time.
+/// Evidence at one time.
 #[derive(Clone, Debug)]
 struct Sample {
     elapsed_ms: u64,
     evidence: Evidence,
 }
 
-/// Sums of evidence over the last seconds, oldest first.
+/// Samples of the summed evidence over the last seconds, oldest first.
 #[derive(Clone, Debug, Default)]
-pub struct History {
+pub struct EvidenceHistory {
     samples: VecDeque<Sample>,
 }
 
-impl History {
-    /// Keeps a count. Time that went back, as after a restart of all processes, drops what is
-    /// later.
-    pub fn keep(&mut self, evidence: &Evidence, elapsed_ms: u64) {
-        self.samples.retain(|kept| kept.elapsed_ms <= elapsed_ms);
+impl EvidenceHistory {
+    /// Records a sample. If time has gone back, as after a restart of all processes, later samples
+    /// are dropped.
+    pub fn record(&mut self, evidence: &Evidence, elapsed_ms: u64) {
+        self.samples
+            .retain(|sample| sample.elapsed_ms <= elapsed_ms);
         let is_due = self
             .samples
             .back()
-            .is_none_or(|last| elapsed_ms >= last.elapsed_ms + SPACING_MS);
+            .is_none_or(|last| elapsed_ms >= last.elapsed_ms + MIN_SAMPLE_INTERVAL_MS);
         if is_due {
             self.samples.push_back(Sample {
                 elapsed_ms,
                 evidence: evidence.clone(),
             });
         }
-        let oldest = elapsed_ms.saturating_sub(KEPT_MS);
-        self.samples.retain(|kept| kept.elapsed_ms >= oldest);
+        let oldest_ms = elapsed_ms.saturating_sub(RETENTION_MS);
+        self.samples.retain(|sample| sample.elapsed_ms >= oldest_ms);
     }
 
-    /// The last count at or before a time; the first one kept where that is later.
-    pub fn at(&self, elapsed_ms: u64) -> Option<(&Evidence, u64)> {
+    /// Returns the last sample at or before a time with its own time, or else the first sample.
+    pub fn latest_at_or_first(&self, elapsed_ms: u64) -> Option<(&Evidence, u64)> {
         self.samples
             .iter()
             .rev()
-            .find(|kept| kept.elapsed_ms <= elapsed_ms)
+            .find(|sample| sample.elapsed_ms <= elapsed_ms)
             .or(self.samples.front())
-            .map(|kept| (&kept.evidence, kept.elapsed_ms))
+            .map(|sample| (&sample.evidence, sample.elapsed_ms))
     }
 
-    /// Time from the first count kept to the last one, in milliseconds.
+    /// Time between the first and the last sample, in milliseconds.
     pub fn span_ms(&self) -> u64 {
         match (self.samples.front(), self.samples.back()) {
             (Some(first), Some(last)) => last.elapsed_ms - first.elapsed_ms,
@@ -58,12 +59,12 @@
         }
     }
 
-    /// The last count at or before a time, if one was kept.
-    pub fn before(&self, elapsed_ms: u64) -> Option<&Evidence> {
+    /// Returns the last sample at or before a time, if there is one.
+    pub fn latest_before(&self, elapsed_ms: u64) -> Option<&Evidence> {
         self.samples
             .iter()
             .rev()
-            .find(|kept| kept.elapsed_ms <= elapsed_ms)
-            .map(|kept| &kept.evidence)
+            .find(|sample| sample.elapsed_ms <= elapsed_ms)
+            .map(|sample| &sample.evidence)
     }
 }
--- a/crates/rollout/src/latency.rs
+++ b/crates/rollout/src/latency.rs
@@ -1,52 +1,52 @@
-//! Counts of times, small enough for each heartbeat.
+//! Latency histogram that is compact enough to be sent with each heartbeat.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Times counted in buckets whose bounds grow by a quarter of an octave: bucket `i` holds times
-/// below `2^((i + 1) / 4)` ms that no bucket before it holds.
+/// Histogram with logarithmic buckets, four per doubling: bucket `i` counts times from `2^(i / 4)` ms
+/// to below `2^((i + 1) / 4)` ms.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LatencyHistogram {
-    /// Counts by bucket; buckets that hold nothing are left out.
+    /// Counts by bucket index; empty buckets are omitted.
     pub buckets: BTreeMap<u8, u32>,
 }
 
-/// Buckets in which a time doubles.
+/// Number of buckets per doubling of the time.
 const BUCKETS_PER_OCTAVE: f64 = 4.0;
 
 impl LatencyHistogram {
-    /// Counts a time in milliseconds.
+    /// Records a time in milliseconds.
     pub fn record(&mut self, ms: u64) {
-        let count = self.buckets.entry(bucket_of(ms)).or_default();
+        let count = self.buckets.entry(bucket_for(ms)).or_default();
         *count = count.saturating_add(1);
     }
 
     /// Adds the counts of another process.
     pub fn merge(&mut self, other: &Self) {
         for (bucket, count) in &other.buckets {
-            let own = self.buckets.entry(*bucket).or_default();
-            *own = own.saturating_add(*count);
+            let own_count = self.buckets.entry(*bucket).or_default();
+            *own_count = own_count.saturating_add(*count);
         }
     }
 
-    /// Times counted.
+    /// Number of recorded times.
     pub fn count(&self) -> u64 {
         self.buckets.values().map(|count| u64::from(*count)).sum()
     }
 
-    /// What came after an earlier count of the same times.
+    /// Returns the difference to an earlier state of the same histogram.
     pub fn since(&self, earlier: &Self) -> Self {
-        let mut later = self.clone();
+        let mut difference = self.clone();
         for (bucket, count) in &earlier.buckets {
-            if let Some(own) = later.buckets.get_mut(bucket) {
-                *own = own.saturating_sub(*count);
+            if let Some(own_count) = difference.buckets.get_mut(bucket) {
+                *own_count = own_count.saturating_sub(*count);
             }
         }
-        later.buckets.retain(|_, count| *count > 0);
-        later
+        difference.buckets.retain(|_, count| *count > 0);
+        difference
     }
 
-    /// Times that lie in buckets wholly above `ms` milliseconds.
+    /// Number of times in buckets that lie completely above `ms` milliseconds.
     pub fn count_above(&self, ms: f64) -> u64 {
         self.buckets
             .iter()
@@ -55,24 +55,26 @@
             .sum()
     }
 
-    /// Time in milliseconds that the share `q` (0 to 1) of all times does not exceed, exact to
-    /// a bucket; none where nothing was counted.
+    /// Returns the `q` quantile (0 to 1) in milliseconds, interpolated within its bucket, or `None`
+    /// if the histogram is empty.
     pub fn quantile_ms(&self, q: f64) -> Option<f64> {
-        let wanted = (q.clamp(0.0, 1.0) * self.count() as f64).max(1.0);
-        let mut passed = 0.0;
+        let target_count = (q.clamp(0.0, 1.0) * self.count() as f64).max(1.0);
+        let mut cumulative_count = 0.0;
         for (bucket, count) in &self.buckets {
             let count = f64::from(*count);
-            if passed + count >= wanted {
-                let within = (wanted - passed) / count;
-                return Some(lower_bound_ms(*bucket) * 2f64.powf(within / BUCKETS_PER_OCTAVE));
+            if cumulative_count + count >= target_count {
+                let bucket_fraction = (target_count - cumulative_count) / count;
+                return Some(
+                    lower_bound_ms(*bucket) * 2f64.powf(bucket_fraction / BUCKETS_PER_OCTAVE),
+                );
             }
-            passed += count;
+            cumulative_count += count;
         }
         None
     }
 }
 
-fn bucket_of(ms: u64) -> u8 {
+fn bucket_for(ms: u64) -> u8 {
     let octaves = (ms.max(1) as f64).log2();
     (octaves * BUCKETS_PER_OCTAVE) as u8
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,20 +1,20 @@
-//! Rollouts: a service's traffic moves from the back ends of one version (the baseline) to
-//! those of another (the candidate), and back when the candidate is bad.
+//! Canary rollouts, which move the traffic of a service from the back ends of one version (the
+//! baseline) to those of another (the candidate), and back if the candidate is worse.
 //!
-//! Pure: no clock, no I/O. The control leader drives one [`controller`] for each rollout; nodes
-//! obey its [`order::Directive`], bound what the candidate gets by themselves ([`exposure`])
-//! and count what answers came to ([`evidence`]).
+//! The crate has no clock and does no I/O. The control leader runs one [`controller`] per rollout.
+//! Nodes apply its [`order::Directive`], limit the requests that they send to the candidate
+//! ([`exposure`]) and count the results ([`evidence`]).
 
 pub mod controller;
 pub mod evidence;
 pub mod exposure;
 pub mod history;
 pub mod latency;
+mod monitor;
 pub mod order;
 pub mod plan;
 pub mod statistics;
 pub mod verdict;
-mod watch;
 
 pub use controller::{RolloutController, RolloutDecision, RolloutProgress};
 pub use evidence::{Evidence, ResponseCounts, RouteEvidence};
--- a/crates/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -1,127 +1,128 @@
-//! What operators order, what nodes obey, and how a rollout ends.
+//! Rollout orders, the directives that nodes apply, and the state of rollouts.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Numbers the rollouts of a cluster; a later one has a higher number.
+/// Identifies a rollout in the cluster; a later one has a higher number.
 pub type RolloutNumber = u64;
 
-/// Stands for a route where the work is calls of a batched service, which hold pieces of
-/// requests of many routes.
+/// Route name under which calls of a batched service are counted, as one call serves requests of
+/// several routes.
 pub const BATCH_ROUTE: &str = "(batch)";
 
-/// An operator's order.
+/// An operator's order to roll out a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutOrder {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Version that its traffic is to move to.
+    /// Version that the traffic is to move to.
     pub target_version: String,
-    /// Time from the order within which the rollout is to end, in milliseconds.
+    /// Time from the order to the deadline of the rollout, in milliseconds.
     pub duration_ms: u64,
 }
 
-/// Why an order is refused.
+/// Reason why an order is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 pub enum RolloutOrderError {
-    /// Another rollout of the service is under way, to another version.
+    /// A rollout of the service to another version is in progress.
     #[error("a rollout of service '{service}' to version '{target_version}' is under way")]
     Underway {
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// Version that it moves to.
+        /// Target version of the rollout in progress.
         target_version: String,
     },
-    /// The configuration in force has no such service.
+    /// The current configuration does not contain the service.
     #[error("no service '{0}'")]
     UnknownService(String),
-    /// The duration is 0 or longer than a day.
+    /// The duration is zero or longer than a day.
     #[error("a rollout takes 1 ms to a day")]
     Duration,
-    /// A name is empty or too long.
+    /// The service name or the version is empty or too long.
     #[error("service and version take 1 to 128 characters")]
     Name,
 }
 
-/// What nodes obey while a rollout is in progress. A node that can't confirm lately that it
-/// is the newest one sends nothing to the candidate.
+/// Traffic split that nodes apply while a rollout is in progress. A node without a recent
+/// confirmation that its directive is the newest one sends no requests to the candidate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Directive {
-    /// Counts the directives of a rollout up.
+    /// Sequence number of the directive within the rollout.
     pub step: u32,
-    /// Share of the requests of each route that may go to the candidate, in thousandths. Each
-    /// node bounds it over all that it has taken since the rollout began.
+    /// Share of the requests of each route that may go to the candidate, in thousandths. Each node
+    /// enforces it over all requests that it has sent since the rollout began.
     pub canary_permille: u16,
-    /// Routes whose requests all go to the candidate, by name; [`BATCH_ROUTE`] for calls of a
-    /// batched service.
+    /// Names of the routes whose requests all go to the candidate; [`BATCH_ROUTE`] stands for the
+    /// calls of a batched service.
     pub moved_routes: BTreeSet<String>,
 }
 
-/// What a rollout was judged by.
+/// Evidence for the end of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// Why, in a few words: `failures`, `slow`, `no_difference`, `no_evidence`, `aborted`, …
+    /// Reason code: `failures`, `slow`, `no_difference`, `no_evidence`, `aborted`, …
     pub reason: String,
-    /// The route that decided; empty for all together.
+    /// Route that the reason refers to; empty for all routes together.
     pub route: String,
-    /// Answers of the candidate that were counted, and how many of them were bad.
+    /// Number of candidate responses, and how many of them were bad.
     pub candidate: (u64, u64),
-    /// Answers of the baseline that were counted, and how many of them were bad.
+    /// Number of baseline responses, and how many of them were bad.
     pub baseline: (u64, u64),
-    /// Milliseconds since the order.
+    /// Time since the order, in milliseconds.
     pub elapsed_ms: u64,
 }
 
-/// How far a rollout is.
+/// State of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutState {
-    /// The candidate gets what the directive says.
+    /// The candidate gets the traffic that the directive allows.
     InProgress(Directive),
-    /// All traffic went to the candidate; versions named here get none any more.
+    /// All traffic goes to the candidate, and none to the former versions.
     Completed {
-        /// Versions that had the traffic before.
+        /// Versions that served the traffic before.
         former_versions: BTreeSet<String>,
-        /// Why.
+        /// Evidence for this end.
         verdict: Verdict,
     },
-    /// The candidate gets nothing.
+    /// The candidate gets no traffic.
     RolledBack {
-        /// Why.
+        /// Evidence for this end.
         verdict: Verdict,
     },
 }
 
-/// A rollout, as it is replicated.
+/// Replicated state of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// Its number.
+    /// Number of the rollout.
     pub number: RolloutNumber,
-    /// What was ordered.
+    /// Order that started the rollout.
     pub order: RolloutOrder,
-    /// How far it is.
+    /// Current state.
     pub state: RolloutState,
-    /// Milliseconds since the order, as a leader last committed. Later leaders count on from
-    /// there by their own steady clock.
+    /// Time since the order when a leader last committed it, in milliseconds. Later leaders continue
+    /// from there by their own monotonic clock.
     pub elapsed_ms: u64,
 }
 
 impl Rollout {
-    /// Whether it has not ended.
+    /// Whether the rollout has not ended.
     pub fn is_in_progress(&self) -> bool {
         matches!(self.state, RolloutState::InProgress(_))
     }
 }
 
-/// What a bad version may do at most; settings of the deployment.
+/// Limits on the effect of a bad version, set for the deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RolloutLimits {
-    /// Share of all requests that reach the service between the order and its deadline which
-    /// may reach a bad version.
+    /// Maximum share of the requests between the order and its deadline that may reach a bad
+    /// version.
     pub exposure_share: f64,
-    /// Requests that may reach it beyond that share.
+    /// Number of requests that may reach a bad version beyond that share.
     pub exposure_slack: f64,
-    /// Longest time after its 50th bad answer in which it gets requests, in milliseconds.
+    /// Maximum time after its 50th bad response for which a bad version gets requests, in
+    /// milliseconds.
     pub rollback_ms: u64,
 }
 
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,131 +1,132 @@
-//! When each route moves to the candidate.
+//! Plans when each route moves to the candidate.
 //!
-//! Answers that the baseline has begun should end there before it may be stopped, so the routes
-//! whose answers last longest move first. A route that has moved sends everything to the
-//! candidate though, and a version may turn bad at any time: what is expected to reach it until
-//! the deadline stays under the bound of [`Limits`]. Where both don't fit, the bound wins: all
-//! routes move later by one limit on the time that is left for answers to end.
+//! Responses that the baseline has started should finish before it is stopped, so the routes with
+//! the longest responses move first. A moved route sends all its requests to the candidate, which
+//! may turn out to be bad at any time, so the expected exposure until the deadline stays below the
+//! bound of [`RolloutLimits`]. If both goals conflict, the bound takes precedence: one limit on the
+//! time for responses to finish delays all moves.
 
 use crate::order::RolloutLimits;
 use std::collections::BTreeMap;
 
-/// Deviations that are kept free of the bound: arrivals are random, and counts lag.
-const RESERVED_DEVIATIONS: f64 = 2.0;
-/// Share of requests that come again, of those that a bad version has answered which nobody has
-/// noticed yet: one that fails more is noticed before routes move.
-const REPEATED_SHARE: f64 = 0.35;
-/// Time until callers repeat a request that failed, in milliseconds, at least.
-const REPEATED_AFTER_MS: f64 = 100.0;
-/// Part of the time until the last node obeys a directive at which the middle one does, at
-/// least.
-const MIDDLE_NODE_PART: f64 = 0.65;
-/// Answers of the candidate that a share is chosen for: of 150, ten in 100 that fail stand out.
-const WANTED_ANSWERS: f64 = 150.0;
-/// Answers without which there is hardly a verdict: of 30, 30 in 100 that fail stand out.
-const LEAST_ANSWERS: f64 = 30.0;
-/// Least and largest part of the allowed exposure's share that goes to all routes alike.
-const CANARY_PART: (f64, f64) = (0.2, 0.5);
-/// Largest part of the slack that does, where few requests come.
-const CANARY_SLACK_PART: f64 = 0.5;
-/// Largest share of requests that a candidate gets before routes move.
-const LARGEST_CANARY: f64 = 0.5;
-/// Time that routes with short answers move sooner too where the bound allows it, in
-/// milliseconds: a version that is bad under load is then rolled back before the deadline.
-const WATCHED_MS: f64 = 1_000.0;
-/// Halvings in the search for the limit: to a millisecond in a day.
+/// Standard deviations reserved below the bound for random arrivals and delayed counts.
+const RESERVED_STANDARD_DEVIATIONS: f64 = 2.0;
+/// Assumed share of requests that are retried, of those answered by a bad version that is not yet
+/// detected. A version that fails more often is detected before routes move.
+const RETRY_SHARE: f64 = 0.35;
+/// Minimum time until callers retry a failed request, in milliseconds.
+const RETRY_DELAY_MS: f64 = 100.0;
+/// Time until the median node applies a directive, as a fraction of the time until the last one
+/// does.
+const MEDIAN_NODE_FRACTION: f64 = 0.65;
+/// Number of candidate responses that the canary share aims for: enough to detect a failure rate of
+/// 10 %.
+const TARGET_RESPONSES: f64 = 150.0;
+/// Minimum number of candidate responses for a verdict: enough to detect a failure rate of 30 %.
+const MIN_RESPONSES: f64 = 30.0;
+/// Minimum and maximum canary share, as fractions of the allowed exposure share.
+const CANARY_FRACTION_BOUNDS: (f64, f64) = (0.2, 0.5);
+/// Maximum fraction of the exposure slack for the canary share, where there are few requests.
+const MAX_CANARY_SLACK_FRACTION: f64 = 0.5;
+/// Maximum canary share of requests before routes move.
+const MAX_CANARY_SHARE: f64 = 0.5;
+/// Minimum time for which moved routes are observed if the bound allows it, in milliseconds, so that
+/// a version that fails under load is rolled back before the deadline.
+const MIN_OBSERVED_MS: f64 = 1_000.0;
+/// Steps of the binary search for the time limit: a precision of one millisecond in a day.
 const SEARCH_STEPS: u32 = 27;
 
-/// A route's requests.
+/// Request rate and response times of a route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteLoad {
-    /// Its name.
+    /// Name of the route.
     pub route: String,
-    /// Requests a millisecond, to both versions.
+    /// Request rate of both versions together, in requests per millisecond.
     pub per_ms: f64,
-    /// Time that half of its answers take, in milliseconds.
-    pub usual_ms: f64,
-    /// Time that nearly all of its answers take, in milliseconds.
-    pub longest_ms: f64,
-    /// When it was moved, in milliseconds since the order.
+    /// Median response time, in milliseconds.
+    pub median_ms: f64,
+    /// 99th percentile of the response time, in milliseconds.
+    pub p99_ms: f64,
+    /// Time at which the route was moved, in milliseconds since the order; `None` if it is not.
     pub moved_at_ms: Option<u64>,
 }
 
-/// What a plan is made from.
+/// Input of [`Plan::make`].
 #[derive(Clone, Debug, PartialEq)]
-pub struct Situation {
+pub struct PlanInput {
     /// Time since the order, in milliseconds.
     pub elapsed_ms: u64,
     /// Time from the order to the deadline, in milliseconds.
     pub duration_ms: u64,
-    /// What a bad version may do.
+    /// Limits on the exposure to the candidate.
     pub limits: RolloutLimits,
-    /// Requests sent to both versions.
-    pub sent_in_all: u64,
-    /// Requests sent to the candidate.
+    /// Number of requests sent to both versions.
+    pub total_sent: u64,
+    /// Number of requests sent to the candidate.
     pub sent_to_candidate: u64,
-    /// Share that the candidate gets of routes that are not moved.
+    /// Share of the requests of unmoved routes that the candidate gets, from 0 to 1.
     pub canary_share: f64,
-    /// Routes that have requests.
+    /// Loads of all routes that have requests.
     pub routes: Vec<RouteLoad>,
-    /// Time from a directive until it is known to be in force everywhere, in milliseconds.
+    /// Time until a directive is known to be applied everywhere, in milliseconds.
     pub spread_ms: f64,
-    /// Time from a node's count to the leader's sum, in milliseconds.
+    /// Delay from a count on a node to the sum on the leader, in milliseconds.
     pub report_lag_ms: u64,
-    /// Time for the last directive's first answers, in milliseconds, beyond that.
+    /// Additional time until responses after the last directive prove the candidate, in milliseconds.
     pub proof_ms: f64,
 }
 
-/// What a plan can't give.
+/// Goal that a plan cannot meet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shortfall {
-    /// Answers that the baseline has begun will not all have ended at the deadline.
-    LongAnswers,
-    /// Moving in time would expose too many requests: the last routes move so late that they
-    /// are known to have moved only after the deadline.
+pub enum PlanShortfall {
+    /// Some responses of the baseline will not have finished by the deadline.
+    LongResponses,
+    /// Moving in time would exceed the exposure bound: the last moves are confirmed only after the
+    /// deadline.
     Exposure,
 }
 
-/// When each route moves.
+/// Plan of the canary share and of the move of each route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Share of all requests for the candidate until routes move, in thousandths.
+    /// Share of all requests that goes to the candidate until routes move, in thousandths.
     pub canary_permille: u16,
-    /// The same while it is in doubt whether the candidate is good, and nothing moves.
+    /// The same share while the candidate is suspicious and no route moves.
     pub doubted_permille: u16,
-    /// When the routes that are not moved yet move, in milliseconds since the order.
+    /// Time at which each unmoved route moves, in milliseconds since the order.
     pub moves_at_ms: BTreeMap<String, u64>,
-    /// Requests that the candidate is expected to get until the deadline.
+    /// Expected number of requests to the candidate until the deadline.
     pub expected_exposure: f64,
-    /// Requests that it may get until then, as expected.
+    /// Expected limit on the number of requests to the candidate until the deadline.
     pub bound: f64,
-    /// What can't be had, if anything.
-    pub shortfall: Option<Shortfall>,
+    /// Goal that the plan cannot meet, if any.
+    pub shortfall: Option<PlanShortfall>,
 }
 
 impl Plan {
-    /// Makes the plan for the rest of a rollout.
-    pub fn make(situation: &Situation) -> Self {
-        let bound = situation.bound();
-        let planned = (bound - RESERVED_DEVIATIONS * bound.sqrt()).max(0.0);
-        let time_to_end = situation.time_to_end_ms(planned);
+    /// Computes the plan for the rest of a rollout.
+    pub fn make(input: &PlanInput) -> Self {
+        let bound = input.bound();
+        let planned_exposure = (bound - RESERVED_STANDARD_DEVIATIONS * bound.sqrt()).max(0.0);
+        let time_to_end = input.time_to_end_ms(planned_exposure);
         Self {
-            canary_permille: situation.canary_permille(planned),
-            doubted_permille: situation.most_permille(),
-            moves_at_ms: situation.moves(time_to_end),
-            expected_exposure: situation.exposure(time_to_end),
+            canary_permille: input.canary_permille(planned_exposure),
+            doubted_permille: input.max_canary_permille(),
+            moves_at_ms: input.moves(time_to_end),
+            expected_exposure: input.exposure(time_to_end),
             bound,
-            shortfall: situation.shortfall(time_to_end),
+            shortfall: input.shortfall(time_to_end),
         }
     }
 
-    /// Whether all routes are expected to be moved and known to be so by the deadline.
+    /// Whether the moves of all routes are expected to be confirmed by the deadline.
     pub fn keeps_deadline(&self) -> bool {
-        self.shortfall != Some(Shortfall::Exposure)
+        self.shortfall != Some(PlanShortfall::Exposure)
     }
 }
 
-impl Situation {
-    fn left_ms(&self) -> f64 {
+impl PlanInput {
+    fn remaining_ms(&self) -> f64 {
         self.duration_ms.saturating_sub(self.elapsed_ms) as f64
     }
 
@@ -133,31 +134,31 @@
         self.routes.iter().map(|load| load.per_ms).sum()
     }
 
-    fn expected_in_all(&self) -> f64 {
-        self.sent_in_all as f64 + self.per_ms() * (self.left_ms() + self.report_lag_ms as f64)
+    fn expected_total(&self) -> f64 {
+        self.total_sent as f64 + self.per_ms() * (self.remaining_ms() + self.report_lag_ms as f64)
     }
 
     fn bound(&self) -> f64 {
-        self.limits.exposure_share * self.expected_in_all() + self.limits.exposure_slack
+        self.limits.exposure_share * self.expected_total() + self.limits.exposure_slack
     }
 
-    /// Time from a directive until nodes obey it, in milliseconds.
-    fn unheard_ms(&self) -> f64 {
-        MIDDLE_NODE_PART * (self.spread_ms - self.report_lag_ms as f64).max(0.0)
+    /// Time until the median node applies a directive, in milliseconds.
+    fn propagation_ms(&self) -> f64 {
+        MEDIAN_NODE_FRACTION * (self.spread_ms - self.report_lag_ms as f64).max(0.0)
     }
 
-    /// Time before the deadline at which a route moves.
+    /// Time before the deadline at which a route moves, in milliseconds.
     fn lead_ms(&self, load: &RouteLoad, time_to_end: f64) -> f64 {
-        let needed =
-            self.spread_ms + self.proof_ms + load.longest_ms.max(WATCHED_MS).min(time_to_end);
-        needed.clamp(0.0, self.left_ms())
+        let required_ms =
+            self.spread_ms + self.proof_ms + load.p99_ms.max(MIN_OBSERVED_MS).min(time_to_end);
+        required_ms.clamp(0.0, self.remaining_ms())
     }
 
     fn moves(&self, time_to_end: f64) -> BTreeMap<String, u64> {
         self.unmoved()
             .map(|load| {
-                let lead = self.lead_ms(load, time_to_end) as u64;
-                (load.route.clone(), self.duration_ms.saturating_sub(lead))
+                let lead_ms = self.lead_ms(load, time_to_end) as u64;
+                (load.route.clone(), self.duration_ms.saturating_sub(lead_ms))
             })
             .collect()
     }
@@ -166,87 +167,88 @@
         self.routes.iter().filter(|load| load.moved_at_ms.is_none())
     }
 
-    /// Requests that the candidate is expected to have got at the deadline.
+    /// Expected number of requests to the candidate until the deadline.
     fn exposure(&self, time_to_end: f64) -> f64 {
-        let already = self.sent_to_candidate as f64;
-        let of_routes: f64 = self
+        let sent_so_far = self.sent_to_candidate as f64;
+        let expected_of_routes: f64 = self
             .routes
             .iter()
             .map(|load| load.per_ms * self.exposed_ms(load, time_to_end))
             .sum();
-        already + of_routes
+        sent_so_far + expected_of_routes
     }
 
-    /// Time that all requests of a route go to the candidate from now to the deadline, and
-    /// what a share of them before comes to.
+    /// Time for which all requests of a route go to the candidate until the deadline, in
+    /// milliseconds, plus the equivalent of the canary share before.
     fn exposed_ms(&self, load: &RouteLoad, time_to_end: f64) -> f64 {
         let Some(moved_at) = load.moved_at_ms else {
-            let lead = (self.lead_ms(load, time_to_end) - self.unheard_ms()).max(0.0);
-            return with_repeats(load, lead) + self.canary_share * (self.left_ms() - lead);
+            let lead_ms = (self.lead_ms(load, time_to_end) - self.propagation_ms()).max(0.0);
+            return with_retries_ms(load, lead_ms)
+                + self.canary_share * (self.remaining_ms() - lead_ms);
         };
         let uncounted_from = self.elapsed_ms.saturating_sub(self.report_lag_ms) as f64;
-        let from = uncounted_from.max(moved_at as f64 + self.unheard_ms());
-        with_repeats(load, (self.duration_ms as f64 - from).max(0.0))
+        let from = uncounted_from.max(moved_at as f64 + self.propagation_ms());
+        with_retries_ms(load, (self.duration_ms as f64 - from).max(0.0))
     }
 
-    /// Longest time for answers at the baseline to end with which the exposure stays in the
-    /// bound; negative where even those that are known at once to have moved are too many.
+    /// Longest time for responses of the baseline to finish that keeps the exposure within the
+    /// bound, in milliseconds; negative if even the confirmation of the moves exceeds it.
     fn time_to_end_ms(&self, bound: f64) -> f64 {
-        let longest = self
+        let longest_ms = self
             .unmoved()
-            .map(|load| load.longest_ms)
-            .fold(WATCHED_MS, f64::max);
-        if self.exposure(longest) <= bound {
-            return longest;
+            .map(|load| load.p99_ms)
+            .fold(MIN_OBSERVED_MS, f64::max);
+        if self.exposure(longest_ms) <= bound {
+            return longest_ms;
         }
-        let (mut fits, mut exceeds) = (-self.spread_ms - self.proof_ms, longest);
+        let (mut fitting_ms, mut exceeding_ms) = (-self.spread_ms - self.proof_ms, longest_ms);
         for _ in 0..SEARCH_STEPS {
-            let middle = (fits + exceeds) / 2.0;
-            if self.exposure(middle) <= bound {
-                fits = middle;
+            let middle_ms = (fitting_ms + exceeding_ms) / 2.0;
+            if self.exposure(middle_ms) <= bound {
+                fitting_ms = middle_ms;
             } else {
-                exceeds = middle;
+                exceeding_ms = middle_ms;
             }
         }
-        fits
+        fitting_ms
     }
 
-    fn shortfall(&self, time_to_end: f64) -> Option<Shortfall> {
+    fn shortfall(&self, time_to_end: f64) -> Option<PlanShortfall> {
         if time_to_end < 0.0 {
-            return Some(Shortfall::Exposure);
+            return Some(PlanShortfall::Exposure);
         }
         self.unmoved()
-            .any(|load| load.longest_ms > time_to_end)
-            .then_some(Shortfall::LongAnswers)
+            .any(|load| load.p99_ms > time_to_end)
+            .then_some(PlanShortfall::LongResponses)
     }
 
-    /// The share that all routes get until they move: what the last move leaves of the bound,
-    /// for as many answers as a verdict wants.
+    /// Canary share of all routes until they move, in thousandths: enough for the target number of
+    /// responses, within the part of the bound that the last move leaves.
     fn canary_permille(&self, bound: f64) -> u16 {
-        let expected = self.expected_in_all().max(1.0);
-        let last_move_ms = self.spread_ms + self.proof_ms - self.unheard_ms();
+        let expected = self.expected_total().max(1.0);
+        let last_move_ms = self.spread_ms + self.proof_ms - self.propagation_ms();
         let last_move: f64 = self
             .routes
             .iter()
-            .map(|load| load.per_ms * with_repeats(load, last_move_ms))
+            .map(|load| load.per_ms * with_retries_ms(load, last_move_ms))
             .sum();
-        let wanted = (bound - last_move).min(WANTED_ANSWERS) / expected;
+        let target_share = (bound - last_move).min(TARGET_RESPONSES) / expected;
         let share = self.limits.exposure_share;
-        let least = (CANARY_PART.0 * share).max(LEAST_ANSWERS / expected);
-        let chosen = wanted.max(least).min(LARGEST_CANARY);
-        ((chosen * 1_000.0) as u16).min(self.most_permille())
+        let minimum_share = (CANARY_FRACTION_BOUNDS.0 * share).max(MIN_RESPONSES / expected);
+        let canary_share = target_share.max(minimum_share).min(MAX_CANARY_SHARE);
+        ((canary_share * 1_000.0) as u16).min(self.max_canary_permille())
     }
 
-    fn most_permille(&self) -> u16 {
-        let slack = self.limits.exposure_slack / self.expected_in_all().max(1.0);
-        let most = (CANARY_PART.1 * self.limits.exposure_share).max(CANARY_SLACK_PART * slack);
-        (most.min(LARGEST_CANARY) * 1_000.0) as u16
+    fn max_canary_permille(&self) -> u16 {
+        let slack = self.limits.exposure_slack / self.expected_total().max(1.0);
+        let maximum_share = (CANARY_FRACTION_BOUNDS.1 * self.limits.exposure_share)
+            .max(MAX_CANARY_SLACK_FRACTION * slack);
+        (maximum_share.min(MAX_CANARY_SHARE) * 1_000.0) as u16
     }
 }
 
-/// Time in which as many requests come as in a time in which a route goes to a candidate that
-/// fails some, with those that come again, in milliseconds.
-fn with_repeats(load: &RouteLoad, moved_ms: f64) -> f64 {
-    let answered_ms = (moved_ms - load.usual_ms - REPEATED_AFTER_MS).max(0.0);
-    moved_ms + REPEATED_SHARE * answered_ms
+/// Returns `moved_ms` extended by the equivalent of the retries of failed requests, in milliseconds.
+fn with_retries_ms(load: &RouteLoad, moved_ms: f64) -> f64 {
+    let retried_ms = (moved_ms - load.median_ms - RETRY_DELAY_MS).max(0.0);
+    moved_ms + RETRY_SHARE * retried_ms
 }
--- a/crates/rollout/src/verdict.rs
+++ b/crates/rollout/src/verdict.rs
@@ -1,121 +1,116 @@
-//! Compares the candidate's answers with those that the baseline gave to the same routes in the
-//! same period.
+//! Compares the candidate's responses with those of the baseline on the same routes in the same
+//! period.
 //!
-//! Three things are compared: failures, slow first parts and slow whole answers, on each route
-//! and on all together, since the order and in the last seconds alone, so that a version that
-//! turns bad late is seen as soon as one that is bad from the start. An answer is slow where
-//! it took over twice what three quarters of the baseline's answers needed, and so is one that
-//! has no end after that time.
+//! Failures, slow first bytes and slow responses are compared on each route and on all routes
+//! together, both since the order and over the last seconds, so that a late regression is detected
+//! as fast as an early one. A response is slow if it takes more than twice the third quartile of
+//! the baseline plus an allowance, and also if it has not finished after that time.
 //!
-//! Of each comparison the probability is computed that so many of the candidate's answers are
-//! bad where each is with the upper bound of the baseline's share and a tolerance more (exact
-//! binomial tail). Trouble that hits both sides raises both shares.
+//! Each comparison computes the probability of at least as many bad candidate responses if each is
+//! bad with the upper bound of the baseline's share plus a tolerance (exact binomial tail). Faults
+//! that affect both versions raise both shares.
 
 use crate::evidence::{Evidence, ResponseCounts, RouteEvidence};
-use crate::history::History;
+use crate::history::EvidenceHistory;
 use crate::latency::LatencyHistogram;
 use crate::order::Verdict;
 use crate::statistics::{binomial_tail, upper_share};
 
-/// Length of the period in which what came lately is judged alone, in milliseconds: long enough
-/// for some hundred answers of the baseline, short against a roll-back's bound of seconds.
-const RECENT_MS: u64 = 3_000;
-/// Probability of a false alarm in one look at all comparisons. A leader looks some hundred
-/// times in a rollout, most of them at nearly the same answers.
-const FALSE_ALARM: f64 = 5e-4;
-/// Probability below which a comparison is suspicious: no step is taken while one is.
-const SUSPICION: f64 = 0.05;
-/// The same where the bound on what a bad version may get is reached.
-const STRICT_SUSPICION: f64 = 0.2;
-/// Fewest bad answers that condemn: less may be one connection or one node.
-const FEWEST_BAD: u64 = 5;
-/// Fewest bad answers that are suspicious.
-const FEWEST_SUSPICIOUS: u64 = 3;
-/// Share of failures beyond what is allowed that a proof rules out: it takes some 20 answers,
-/// which a service gets in a fraction of a second.
-const RULED_OUT_FAILURES: f64 = 0.18;
-/// Share of slow answers beyond what is allowed that a proof rules out.
-const RULED_OUT_SLOW: f64 = 0.3;
-/// Answers of the baseline from which its share of a period is taken; with fewer, as after the
-/// route was moved, its share since the order is.
-const ENOUGH_BASELINE: u64 = 30;
-/// Answers of the baseline since the order without which nothing is compared: its third quartile
-/// and the bound on its share say nothing.
-pub const FEWEST_BASELINE: u64 = 10;
-/// Share of failures beyond the baseline's that is let pass: one bad back end among many.
+/// Length of the period over which recent responses are assessed separately, in milliseconds.
+const RECENT_PERIOD_MS: u64 = 3_000;
+/// Probability of a false alarm in one assessment of all comparisons. A rollout has hundreds of
+/// assessments, most of them of nearly the same responses.
+const FALSE_ALARM_PROBABILITY: f64 = 5e-4;
+/// Probability below which a comparison is suspicious, which pauses the rollout.
+const SUSPICION_PROBABILITY: f64 = 0.05;
+/// Probability below which a comparison is suspicious once the exposure bound is reached.
+const STRICT_SUSPICION_PROBABILITY: f64 = 0.2;
+/// Minimum number of bad responses for a rollback: fewer may come from one connection or node.
+const MIN_BAD_FOR_ALARM: u64 = 5;
+/// Minimum number of bad responses for a suspicion.
+const MIN_BAD_FOR_SUSPICION: u64 = 3;
+/// Share of failures beyond the allowed one that a proof rules out.
+const PROOF_FAILURE_MARGIN: f64 = 0.18;
+/// Share of slow responses beyond the allowed one that a proof rules out.
+const PROOF_SLOW_MARGIN: f64 = 0.3;
+/// Minimum number of baseline responses in a period to compare with. With fewer, as after a route
+/// was moved, all baseline responses since the order are used.
+const MIN_CONCURRENT_BASELINE_RESPONSES: u64 = 30;
+/// Minimum number of baseline responses since the order for any comparison: below it, the quartile
+/// and the upper bound of the share are too inexact.
+pub const MIN_BASELINE_RESPONSES: u64 = 10;
+/// Tolerated share of failures beyond the baseline's: one bad back end among many.
 const FAILURE_TOLERANCE: f64 = 0.01;
-/// Part of the baseline's share of bad answers that is let pass beyond it: in trouble back ends
-/// differ more. Of 200 good versions of streams amid trouble 2 were rolled back instead of 12.
-const TROUBLE_TOLERANCE: f64 = 0.25;
-/// Share of slow answers beyond the baseline's that is let pass: a version that is several
-/// times slower has most of its answers beyond twice the baseline's third quartile.
+/// Tolerated share of bad responses beyond the baseline's, as a fraction of the baseline's share:
+/// back ends differ more while a service has faults.
+const RELATIVE_TOLERANCE: f64 = 0.25;
+/// Tolerated share of slow responses beyond the baseline's.
 const SLOW_TOLERANCE: f64 = 0.15;
-/// What is let pass beyond it where the baseline's answers are of an earlier time.
-const OTHER_TIME_TOLERANCE: f64 = 0.03;
-/// A time is slow beyond this many times the baseline's third quartile.
+/// Additional tolerance if the baseline responses are from an earlier period.
+const EARLIER_BASELINE_TOLERANCE: f64 = 0.03;
+/// A time is slow beyond this multiple of the baseline's third quartile, plus an allowance.
 const SLOW_FACTOR: f64 = 2.0;
-/// Beyond that, what a first part may take longer, in milliseconds: a new back end reads each
-/// prompt anew, some thousand tokens at 30 to 50 a millisecond.
-const FIRST_PART_ALLOWANCE_MS: f64 = 250.0;
-/// Beyond that, what a whole answer may take longer, in milliseconds: jitter of short answers.
-const WHOLE_ALLOWANCE_MS: f64 = 20.0;
-/// Comparisons of a route: two periods, three things.
-const COMPARISONS: f64 = 6.0;
+/// Allowance for the time to first byte, in milliseconds: a new back end has no cached prompts.
+const FIRST_BYTE_ALLOWANCE_MS: f64 = 250.0;
+/// Allowance for the response time, in milliseconds, for the jitter of short responses.
+const RESPONSE_TIME_ALLOWANCE_MS: f64 = 20.0;
+/// Comparisons of a route, or of all routes together: three measures in two periods.
+const COMPARISONS_PER_SCOPE: f64 = 6.0;
 
-/// What is compared.
+/// Property of responses that is compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Measure {
-    /// Share of answers that failed.
+    /// Share of failed responses.
     Failures,
-    /// Share of answers whose first part was late.
-    FirstPart,
-    /// Share of answers whose end was late.
-    Whole,
+    /// Share of responses with a slow first byte.
+    TimeToFirstByte,
+    /// Share of slow responses.
+    ResponseTime,
 }
 
 impl Measure {
-    const ALL: [Self; 3] = [Self::Failures, Self::FirstPart, Self::Whole];
+    const ALL: [Self; 3] = [Self::Failures, Self::TimeToFirstByte, Self::ResponseTime];
 
-    /// The word for it in a verdict.
+    /// Reason that a verdict states for this measure.
     pub fn reason(self) -> &'static str {
         match self {
             Self::Failures => "failures",
-            Self::FirstPart => "slow_first_part",
-            Self::Whole => "slow",
+            Self::TimeToFirstByte => "slow_first_part",
+            Self::ResponseTime => "slow",
         }
     }
 
-    fn ruled_out(self) -> f64 {
+    fn proof_margin(self) -> f64 {
         match self {
-            Self::Failures => RULED_OUT_FAILURES,
-            Self::FirstPart | Self::Whole => RULED_OUT_SLOW,
+            Self::Failures => PROOF_FAILURE_MARGIN,
+            Self::TimeToFirstByte | Self::ResponseTime => PROOF_SLOW_MARGIN,
         }
     }
 
     fn tolerance(self) -> f64 {
         match self {
             Self::Failures => FAILURE_TOLERANCE,
-            Self::FirstPart | Self::Whole => SLOW_TOLERANCE,
+            Self::TimeToFirstByte | Self::ResponseTime => SLOW_TOLERANCE,
         }
     }
 }
 
-/// Answers counted and how many of them were bad.
+/// Number of responses, and how many of them were bad.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
-    /// Answers.
-    pub answers: u64,
-    /// Bad ones.
+pub struct BadCount {
+    /// Number of responses.
+    pub responses: u64,
+    /// Number of failed or slow responses.
     pub bad: u64,
 }
 
-impl Tally {
+impl BadCount {
     fn share(self) -> f64 {
-        self.bad as f64 / self.answers.max(1) as f64
+        self.bad as f64 / self.responses.max(1) as f64
     }
 
     fn add(&mut self, other: Self) {
-        self.answers += other.answers;
+        self.responses += other.responses;
         self.bad += other.bad;
     }
 }
@@ -123,193 +118,228 @@
 /// One comparison of the candidate with the baseline.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Comparison {
-    /// What is compared.
+    /// Property that is compared.
     pub measure: Measure,
-    /// The route; empty for all together.
+    /// Name of the route; empty for all routes together.
     pub route: String,
-    /// Of the candidate.
-    pub candidate: Tally,
-    /// Of the baseline.
-    pub baseline: Tally,
-    /// Share of bad answers up to which the candidate is as good as the baseline.
+    /// Responses of the candidate.
+    pub candidate: BadCount,
+    /// Responses of the baseline.
+    pub baseline: BadCount,
+    /// Share of bad responses up to which the candidate counts as good as the baseline, from 0 to 1.
     pub allowed_share: f64,
-    /// Probability of so many bad answers of a candidate that is as good as the baseline.
+    /// Probability of at least as many bad responses from a candidate as good as the baseline.
     pub probability: f64,
 }
 
 impl Comparison {
-    /// The verdict that it gives.
+    /// Returns the verdict that states this comparison as its reason.
     pub fn verdict(&self, elapsed_ms: u64) -> Verdict {
         Verdict {
             reason: self.measure.reason().to_owned(),
             route: self.route.clone(),
-            candidate: (self.candidate.answers, self.candidate.bad),
-            baseline: (self.baseline.answers, self.baseline.bad),
+            candidate: (self.candidate.responses, self.candidate.bad),
+            baseline: (self.baseline.responses, self.baseline.bad),
             elapsed_ms,
         }
     }
 }
 
-/// What all comparisons come to.
+/// Result of all comparisons.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Finding {
-    /// None stands out.
-    Sound,
-    /// This one may be chance.
+pub enum Assessment {
+    /// No comparison is significant.
+    Healthy,
+    /// The named comparison is suspicious, but may be a random variation.
     Suspicious(Comparison),
-    /// This one is not chance.
-    Bad(Comparison),
+    /// The named comparison shows a significant regression.
+    Regressed(Comparison),
 }
 
-/// Looks at all comparisons and tells the worst.
-pub fn assess(evidence: &Evidence, history: &History, elapsed_ms: u64) -> Finding {
-    assess_with(SUSPICION, evidence, history, elapsed_ms)
+/// Assesses all comparisons and returns the most significant one.
+pub fn assess(evidence: &Evidence, history: &EvidenceHistory, elapsed_ms: u64) -> Assessment {
+    assess_with(SUSPICION_PROBABILITY, evidence, history, elapsed_ms)
 }
 
-/// The same where the candidate may get no more requests without proof, and less is suspicious.
-pub fn assess_strictly(evidence: &Evidence, history: &History, elapsed_ms: u64) -> Finding {
-    assess_with(STRICT_SUSPICION, evidence, history, elapsed_ms)
+/// Assesses like [`assess`] with a stricter threshold of suspicion, for a candidate that has
+/// reached its exposure bound.
+pub fn assess_strictly(
+    evidence: &Evidence,
+    history: &EvidenceHistory,
+    elapsed_ms: u64,
+) -> Assessment {
+    assess_with(STRICT_SUSPICION_PROBABILITY, evidence, history, elapsed_ms)
 }
 
-fn assess_with(suspicion: f64, evidence: &Evidence, history: &History, elapsed_ms: u64) -> Finding {
+fn assess_with(
+    suspicion_probability: f64,
+    evidence: &Evidence,
+    history: &EvidenceHistory,
+    elapsed_ms: u64,
+) -> Assessment {
     let mut comparisons = compare(evidence, evidence, history, elapsed_ms);
-    if let Some((earlier, _)) = history.at(elapsed_ms.saturating_sub(RECENT_MS)) {
+    if let Some((earlier, _)) =
+        history.latest_at_or_first(elapsed_ms.saturating_sub(RECENT_PERIOD_MS))
+    {
         let recent = evidence.since(earlier);
         comparisons.extend(compare(&recent, evidence, history, elapsed_ms));
     }
     let scopes = evidence.routes.len() as f64 + 1.0;
-    let alarm = FALSE_ALARM / (COMPARISONS * scopes);
-    let worst = |fewest: u64| {
+    let alarm_probability = FALSE_ALARM_PROBABILITY / (COMPARISONS_PER_SCOPE * scopes);
+    let lowest_probability = |min_bad: u64| {
         comparisons
             .iter()
-            .filter(|seen| seen.candidate.bad >= fewest)
-            .min_by(|one, other| one.probability.total_cmp(&other.probability))
+            .filter(|comparison| comparison.candidate.bad >= min_bad)
+            .min_by(|left, other| left.probability.total_cmp(&other.probability))
             .cloned()
     };
-    if let Some(bad) = worst(FEWEST_BAD).filter(|seen| seen.probability < alarm) {
-        return Finding::Bad(bad);
+    if let Some(bad) = lowest_probability(MIN_BAD_FOR_ALARM)
+        .filter(|comparison| comparison.probability < alarm_probability)
+    {
+        return Assessment::Regressed(bad);
     }
-    worst(FEWEST_SUSPICIOUS)
-        .filter(|seen| seen.probability < suspicion / scopes)
-        .map_or(Finding::Sound, Finding::Suspicious)
+    lowest_probability(MIN_BAD_FOR_SUSPICION)
+        .filter(|comparison| comparison.probability < suspicion_probability / scopes)
+        .map_or(Assessment::Healthy, Assessment::Suspicious)
 }
 
-/// Whether the answers of a period rule out that the candidate fails or is slow clearly more
-/// often than allowed; `chance` is the probability to err for one that does. Looks at one route,
-/// or at all together where it is empty. Nothing is ruled out where the baseline has no answers.
+/// Whether the responses of a period rule out that the candidate fails or is slow clearly more often
+/// than allowed. `error_probability` is the accepted probability of a wrong proof. Checks the route
+/// of that name, or all routes together if it is empty. Routes without baseline responses are not
+/// compared.
 pub fn is_proved(
     route: &str,
     period: &Evidence,
     totals: &Evidence,
-    history: &History,
+    history: &EvidenceHistory,
     elapsed_ms: u64,
-    chance: f64,
+    error_probability: f64,
 ) -> bool {
     compare(period, totals, history, elapsed_ms)
         .iter()
-        .filter(|seen| seen.route == route && seen.measure != Measure::FirstPart)
-        .all(|seen| {
-            let ruled_out = seen.allowed_share + seen.measure.ruled_out();
-            let more = binomial_tail(seen.candidate.answers, seen.candidate.bad + 1, ruled_out);
-            1.0 - more <= chance
+        .filter(|comparison| {
+            comparison.route == route && comparison.measure != Measure::TimeToFirstByte
+        })
+        .all(|comparison| {
+            let proof_margin = comparison.allowed_share + comparison.measure.proof_margin();
+            let probability_of_more = binomial_tail(
+                comparison.candidate.responses,
+                comparison.candidate.bad + 1,
+                proof_margin,
+            );
+            1.0 - probability_of_more <= error_probability
         })
 }
 
-/// All comparisons of a period. `totals` is what was counted since the order.
+/// Returns all comparisons of a period. `totals` is the evidence since the order.
 fn compare(
     period: &Evidence,
     totals: &Evidence,
-    history: &History,
+    history: &EvidenceHistory,
     elapsed_ms: u64,
 ) -> Vec<Comparison> {
     let mut comparisons = Vec::new();
     for measure in Measure::ALL {
-        let mut together = Together::default();
-        for (route, seen) in &period.routes {
+        let mut all_routes = AllRoutes::default();
+        for (route, route_evidence) in &period.routes {
             let Some(total) = totals.routes.get(route) else {
                 continue;
             };
-            let overdue = Overdue::of(route, total, history, elapsed_ms);
-            let Some(sides) = Sides::of(measure, seen, total, overdue) else {
+            let unfinished = Unfinished::for_route(route, total, history, elapsed_ms);
+            let Some(route_comparison) =
+                RouteComparison::for_measure(measure, route_evidence, total, unfinished)
+            else {
                 continue;
             };
-            together.add(&sides);
-            comparisons.push(sides.comparison(measure, route));
+            all_routes.add(&route_comparison);
+            comparisons.push(route_comparison.comparison(measure, route));
         }
-        comparisons.push(together.comparison(measure));
+        comparisons.push(all_routes.comparison(measure));
     }
     comparisons
 }
 
-/// Answers that have no end after the time from which they are slow.
+/// Number of responses that are unfinished after the time from which they count as slow.
 #[derive(Clone, Copy, Debug, Default)]
-struct Overdue {
+struct Unfinished {
     candidate: u64,
     baseline: u64,
 }
 
-impl Overdue {
-    fn of(route: &str, total: &RouteEvidence, history: &History, elapsed_ms: u64) -> Self {
-        let Some(limit_ms) = slow_from_ms(&total.baseline.response_time, WHOLE_ALLOWANCE_MS) else {
+impl Unfinished {
+    fn for_route(
+        route: &str,
+        total: &RouteEvidence,
+        history: &EvidenceHistory,
+        elapsed_ms: u64,
+    ) -> Self {
+        let Some(limit_ms) =
+            slow_from_ms(&total.baseline.response_time, RESPONSE_TIME_ALLOWANCE_MS)
+        else {
             return Self::default();
         };
-        let Some(then) = history
-            .before(elapsed_ms.saturating_sub(limit_ms as u64 + 1))
+        let Some(earlier) = history
+            .latest_before(elapsed_ms.saturating_sub(limit_ms as u64 + 1))
             .and_then(|earlier| earlier.routes.get(route))
         else {
             return Self::default();
         };
-        let open =
+        let unfinished_since =
             |sent: &ResponseCounts, now: &ResponseCounts| sent.sent.saturating_sub(now.completed());
         Self {
-            candidate: open(&then.candidate, &total.candidate),
-            baseline: open(&then.baseline, &total.baseline),
+            candidate: unfinished_since(&earlier.candidate, &total.candidate),
+            baseline: unfinished_since(&earlier.baseline, &total.baseline),
         }
     }
 }
 
-/// Both versions on one route, and the share of bad answers that a good candidate may have.
-struct Sides {
-    candidate: Tally,
-    baseline: Tally,
+/// Counts of both versions on one route, and the allowed share of bad responses.
+struct RouteComparison {
+    candidate: BadCount,
+    baseline: BadCount,
     allowed_share: f64,
 }
 
-impl Sides {
-    /// None where the baseline has too few answers to compare with.
-    fn of(
+impl RouteComparison {
+    /// Returns `None` if the baseline has too few responses to compare with.
+    fn for_measure(
         measure: Measure,
         period: &RouteEvidence,
         total: &RouteEvidence,
-        overdue: Overdue,
+        unfinished: Unfinished,
     ) -> Option<Self> {
-        let is_same_time = period.baseline.completed() >= ENOUGH_BASELINE;
-        let reference = if is_same_time { period } else { total };
-        if reference.baseline.completed() < FEWEST_BASELINE {
+        let is_concurrent = period.baseline.completed() >= MIN_CONCURRENT_BASELINE_RESPONSES;
+        let reference = if is_concurrent { period } else { total };
+        if reference.baseline.completed() < MIN_BASELINE_RESPONSES {
             return None;
         }
         let limit_ms = match measure {
             Measure::Failures => 0.0,
-            Measure::FirstPart => slow_from_ms(
+            Measure::TimeToFirstByte => slow_from_ms(
                 &reference.baseline.time_to_first_byte,
-                FIRST_PART_ALLOWANCE_MS,
+                FIRST_BYTE_ALLOWANCE_MS,
+            )?,
+            Measure::ResponseTime => slow_from_ms(
+                &reference.baseline.response_time,
+                RESPONSE_TIME_ALLOWANCE_MS,
             )?,
-            Measure::Whole => slow_from_ms(&reference.baseline.response_time, WHOLE_ALLOWANCE_MS)?,
         };
-        let mut candidate = tally(measure, &period.candidate, limit_ms);
-        let mut baseline = tally(measure, &reference.baseline, limit_ms);
-        if measure == Measure::Whole {
-            candidate.add(all_bad(overdue.candidate));
-            baseline.add(all_bad(overdue.baseline));
+        let mut candidate = count_bad(measure, &period.candidate, limit_ms);
+        let mut baseline = count_bad(measure, &reference.baseline, limit_ms);
+        if measure == Measure::ResponseTime {
+            candidate.add(all_bad(unfinished.candidate));
+            baseline.add(all_bad(unfinished.baseline));
         }
-        let other_time = if is_same_time {
+        let earlier_tolerance = if is_concurrent {
             0.0
         } else {
-            OTHER_TIME_TOLERANCE
+            EARLIER_BASELINE_TOLERANCE
         };
-        let upper = upper_share(baseline.answers, baseline.bad);
-        let allowed_share =
-            upper + measure.tolerance() + TROUBLE_TOLERANCE * baseline.share() + other_time;
+        let baseline_upper_share = upper_share(baseline.responses, baseline.bad);
+        let allowed_share = baseline_upper_share
+            + measure.tolerance()
+            + RELATIVE_TOLERANCE * baseline.share()
+            + earlier_tolerance;
         Some(Self {
             candidate,
             baseline,
@@ -329,24 +359,25 @@
     }
 }
 
-/// All routes, each with what is allowed on it: a version that has more of the requests of a
-/// route that fails more anyway isn't the worse for it.
+/// Sum over all routes, each weighted with its allowed share: a version that gets more requests of
+/// a route with many failures must not look worse for it.
 #[derive(Default)]
-struct Together {
-    candidate: Tally,
-    baseline: Tally,
-    allowed: f64,
+struct AllRoutes {
+    candidate: BadCount,
+    baseline: BadCount,
+    allowed_bad: f64,
 }
 
-impl Together {
-    fn add(&mut self, sides: &Sides) {
-        self.candidate.add(sides.candidate);
-        self.baseline.add(sides.baseline);
-        self.allowed += sides.allowed_share * sides.candidate.answers as f64;
+impl AllRoutes {
+    fn add(&mut self, route_comparison: &RouteComparison) {
+        self.candidate.add(route_comparison.candidate);
+        self.baseline.add(route_comparison.baseline);
+        self.allowed_bad +=
+            route_comparison.allowed_share * route_comparison.candidate.responses as f64;
     }
 
     fn comparison(&self, measure: Measure) -> Comparison {
-        let allowed_share = self.allowed / self.candidate.answers.max(1) as f64;
+        let allowed_share = self.allowed_bad / self.candidate.responses.max(1) as f64;
         Comparison {
             measure,
             route: String::new(),
@@ -358,36 +389,36 @@
     }
 }
 
-fn probability(candidate: Tally, allowed_share: f64) -> f64 {
-    binomial_tail(candidate.answers, candidate.bad, allowed_share)
+fn probability(candidate: BadCount, allowed_share: f64) -> f64 {
+    binomial_tail(candidate.responses, candidate.bad, allowed_share)
 }
 
-fn tally(measure: Measure, answers: &ResponseCounts, limit_ms: f64) -> Tally {
+fn count_bad(measure: Measure, responses: &ResponseCounts, limit_ms: f64) -> BadCount {
     match measure {
-        Measure::Failures => Tally {
-            answers: answers.completed(),
-            bad: answers.failed,
+        Measure::Failures => BadCount {
+            responses: responses.completed(),
+            bad: responses.failed,
         },
-        Measure::FirstPart => slow_tally(&answers.time_to_first_byte, limit_ms),
-        Measure::Whole => slow_tally(&answers.response_time, limit_ms),
+        Measure::TimeToFirstByte => count_slow(&responses.time_to_first_byte, limit_ms),
+        Measure::ResponseTime => count_slow(&responses.response_time, limit_ms),
     }
 }
 
-fn slow_tally(times: &LatencyHistogram, limit_ms: f64) -> Tally {
-    Tally {
-        answers: times.count(),
-        bad: times.count_above(limit_ms),
+fn count_slow(histogram: &LatencyHistogram, limit_ms: f64) -> BadCount {
+    BadCount {
+        responses: histogram.count(),
+        bad: histogram.count_above(limit_ms),
     }
 }
 
-fn all_bad(answers: u64) -> Tally {
-    Tally {
-        answers,
-        bad: answers,
+fn all_bad(responses: u64) -> BadCount {
+    BadCount {
+        responses,
+        bad: responses,
     }
 }
 
-/// Time from which an answer is slow, in milliseconds.
+/// Time from which a response counts as slow, in milliseconds; `None` without baseline responses.
 fn slow_from_ms(baseline: &LatencyHistogram, allowance_ms: f64) -> Option<f64> {
     baseline
         .quantile_ms(0.75)
--- a/crates/rollout/tests/controller.rs
+++ b/crates/rollout/tests/controller.rs
@@ -1,4 +1,4 @@
-//! How rollouts go on and end, step by step.
+//! Rollout controller against a simple service model: directives, completion and rollback.
 
 use rstest::rstest;
 use silversail_rollout::{
@@ -8,10 +8,10 @@
 
 const DURATION_MS: u64 = 12_000;
 const STEP_MS: u64 = 100;
-/// Steps in which one request of a route goes to the candidate before it moves: 3 in 100.
-const STEPS_A_CANARY: u64 = 3;
-/// What the leader still waits for a good candidate after the deadline, and a little more.
-const GIVEN_UP_MS: u64 = DURATION_MS + 10_500;
+/// Number of steps per request of an unmoved route that goes to the candidate.
+const STEPS_PER_CANARY_REQUEST: u64 = 3;
+/// Time after the grace period that follows the deadline, in milliseconds.
+const AFTER_GRACE_MS: u64 = DURATION_MS + 10_500;
 
 fn rollout(directive: Directive, elapsed_ms: u64) -> Rollout {
     Rollout {
@@ -26,12 +26,12 @@
     }
 }
 
-fn leader(directive: Directive, elapsed_ms: u64) -> RolloutController {
+fn controller_from(directive: Directive, elapsed_ms: u64) -> RolloutController {
     RolloutController::new(&rollout(directive, elapsed_ms), RolloutLimits::default())
         .with_report_lag_ms(200)
 }
 
-fn ready() -> RolloutProgress {
+fn ready_progress() -> RolloutProgress {
     RolloutProgress {
         ready_candidate_backends: 3,
         baseline_versions: ["last".to_owned()].into(),
@@ -39,17 +39,17 @@
     }
 }
 
-/// Answers at once, as directives say and are obeyed at once.
+/// Service model that applies directives and responds without delay.
 struct Service {
     evidence: Evidence,
     directive: Directive,
     routes: Vec<&'static str>,
-    /// Requests of a route in a step.
-    a_step: u64,
-    /// Of ten answers of the candidate, so many fail.
-    failing_of_ten: u64,
-    /// Of the candidate so far.
-    answered: u64,
+    /// Number of requests per route and step.
+    requests_per_step: u64,
+    /// Number of failures in ten candidate responses.
+    failures_per_ten: u64,
+    /// Number of candidate requests so far.
+    candidate_requests: u64,
     steps: u64,
 }
 
@@ -59,9 +59,9 @@
             evidence: Evidence::default(),
             directive: Directive::default(),
             routes: vec!["one", "other"],
-            a_step: 10,
-            failing_of_ten: 0,
-            answered: 0,
+            requests_per_step: 10,
+            failures_per_ten: 0,
+            candidate_requests: 0,
             steps: 0,
         }
     }
@@ -71,23 +71,23 @@
         for route in self.routes.clone() {
             let is_moved = self.directive.moved_routes.contains(route);
             let to_candidate = match (is_moved, self.directive.canary_permille) {
-                (true, _) => self.a_step,
+                (true, _) => self.requests_per_step,
                 (false, 0) => 0,
-                (false, _) => u64::from(self.steps.is_multiple_of(STEPS_A_CANARY)),
+                (false, _) => u64::from(self.steps.is_multiple_of(STEPS_PER_CANARY_REQUEST)),
             };
-            let baseline = if is_moved { 0 } else { self.a_step };
-            let bad = (0..to_candidate)
-                .filter(|nth| (self.answered + nth) % 10 < self.failing_of_ten)
+            let baseline = if is_moved { 0 } else { self.requests_per_step };
+            let failed = (0..to_candidate)
+                .filter(|index| (self.candidate_requests + index) % 10 < self.failures_per_ten)
                 .count() as u64;
-            self.answered += to_candidate;
-            let seen = self.evidence.routes.entry(route.into()).or_default();
-            answer(&mut seen.baseline, baseline, 0);
-            answer(&mut seen.candidate, to_candidate, bad);
+            self.candidate_requests += to_candidate;
+            let route_evidence = self.evidence.routes.entry(route.into()).or_default();
+            record_responses(&mut route_evidence.baseline, baseline, 0);
+            record_responses(&mut route_evidence.candidate, to_candidate, failed);
         }
         self.evidence.step = self.directive.step;
     }
 
-    /// Runs until the rollout ends.
+    /// Runs until the rollout ends, and returns the time and the decision.
     fn run(
         &mut self,
         controller: &mut RolloutController,
@@ -99,7 +99,7 @@
             self.step();
             match controller.decide(&self.evidence, progress, now) {
                 Some(RolloutDecision::Issue(next)) => self.directive = next,
-                Some(end) => return Some((now, end)),
+                Some(decision) => return Some((now, decision)),
                 None => {}
             }
         }
@@ -107,13 +107,13 @@
     }
 }
 
-fn answer(answers: &mut ResponseCounts, count: u64, bad: u64) {
-    answers.sent += count;
-    answers.failed += bad;
-    answers.succeeded += count - bad;
-    for _ in bad..count {
-        answers.time_to_first_byte.record(30);
-        answers.response_time.record(30);
+fn record_responses(counts: &mut ResponseCounts, count: u64, failed: u64) {
+    counts.sent += count;
+    counts.failed += failed;
+    counts.succeeded += count - failed;
+    for _ in failed..count {
+        counts.time_to_first_byte.record(30);
+        counts.response_time.record(30);
     }
 }
 
@@ -127,23 +127,23 @@
 }
 
 #[test]
-fn a_good_candidate_has_all_traffic_by_the_deadline() {
+fn a_good_candidate_is_completed_by_the_deadline() {
     let mut service = Service::new();
-    let (at, end) = service
+    let (decided_at_ms, decision) = service
         .run(
-            &mut leader(Directive::default(), 0),
-            &ready(),
+            &mut controller_from(Directive::default(), 0),
+            &ready_progress(),
             0,
-            GIVEN_UP_MS,
+            AFTER_GRACE_MS,
         )
         .unwrap();
-    assert!(at <= DURATION_MS, "{at}");
+    assert!(decided_at_ms <= DURATION_MS, "{decided_at_ms}");
     let RolloutDecision::Complete {
         former_versions,
         verdict,
-    } = end
+    } = decision
     else {
-        panic!("{end:?}");
+        panic!("{decision:?}");
     };
     assert_eq!(former_versions, ["last".to_owned()].into());
     assert_eq!(verdict.reason, "no_difference");
@@ -152,14 +152,14 @@
 }
 
 #[test]
-fn each_directive_counts_up_and_keeps_what_moved() {
+fn directives_have_increasing_steps_and_keep_moved_routes() {
     let mut service = Service::new();
-    let mut controller = leader(Directive::default(), 0);
+    let mut controller = controller_from(Directive::default(), 0);
     let mut last = Directive::default();
     for now in (0..DURATION_MS).step_by(STEP_MS as usize) {
         service.step();
         if let Some(RolloutDecision::Issue(next)) =
-            controller.decide(&service.evidence, &ready(), now)
+            controller.decide(&service.evidence, &ready_progress(), now)
         {
             assert_eq!(next.step, last.step + 1);
             assert!(last.moved_routes.is_subset(&next.moved_routes));
@@ -171,131 +171,158 @@
 }
 
 #[test]
-fn a_bad_candidate_is_rolled_back_once_and_for_all() {
+fn a_bad_candidate_is_rolled_back_and_gets_no_further_directives() {
     let mut service = Service::new();
-    service.failing_of_ten = 5;
-    let mut controller = leader(Directive::default(), 0);
-    let (at, end) = service
-        .run(&mut controller, &ready(), 0, GIVEN_UP_MS)
+    service.failures_per_ten = 5;
+    let mut controller = controller_from(Directive::default(), 0);
+    let (decided_at_ms, decision) = service
+        .run(&mut controller, &ready_progress(), 0, AFTER_GRACE_MS)
         .unwrap();
-    assert!(at < DURATION_MS / 2, "{at}");
-    assert_eq!(reason(&end), "failures");
+    assert!(decided_at_ms < DURATION_MS / 2, "{decided_at_ms}");
+    assert_eq!(reason(&decision), "failures");
     assert!(
         matches!(
-            end,
+            decision,
             RolloutDecision::RollBack(Verdict {
                 candidate: (_, 5..=15),
                 ..
             })
         ),
-        "{end:?}"
+        "{decision:?}"
     );
     assert_eq!(
-        service.run(&mut controller, &ready(), at, GIVEN_UP_MS),
+        service.run(
+            &mut controller,
+            &ready_progress(),
+            decided_at_ms,
+            AFTER_GRACE_MS
+        ),
         None
     );
 }
 
 #[test]
-fn nothing_goes_to_candidates_that_are_not_ready_and_it_ends_without_evidence() {
+fn candidates_that_are_not_ready_get_no_requests_and_are_rolled_back() {
     let mut service = Service::new();
     let progress = RolloutProgress {
         ready_candidate_backends: 0,
-        ..ready()
+        ..ready_progress()
     };
-    let (at, end) = service
+    let (decided_at_ms, decision) = service
         .run(
-            &mut leader(Directive::default(), 0),
+            &mut controller_from(Directive::default(), 0),
             &progress,
             0,
-            GIVEN_UP_MS,
+            AFTER_GRACE_MS,
         )
         .unwrap();
-    assert!(at >= DURATION_MS);
+    assert!(decided_at_ms >= DURATION_MS);
     assert_eq!(service.directive, Directive::default());
-    assert_eq!(reason(&end), "no_evidence");
+    assert_eq!(reason(&decision), "no_evidence");
 }
 
 #[test]
-fn a_candidate_with_too_few_answers_at_the_deadline_is_rolled_back() {
+fn a_candidate_with_too_few_responses_at_the_deadline_is_rolled_back() {
     let mut service = Service::new();
     service.routes.clear();
-    let (at, end) = service
+    let (decided_at_ms, decision) = service
         .run(
-            &mut leader(Directive::default(), 0),
-            &ready(),
+            &mut controller_from(Directive::default(), 0),
+            &ready_progress(),
             0,
-            GIVEN_UP_MS,
+            AFTER_GRACE_MS,
         )
         .unwrap();
-    assert_eq!((at, reason(&end)), (DURATION_MS, "no_evidence"));
-    assert!(matches!(end, RolloutDecision::RollBack(_)));
+    assert_eq!(
+        (decided_at_ms, reason(&decision)),
+        (DURATION_MS, "no_evidence")
+    );
+    assert!(matches!(decision, RolloutDecision::RollBack(_)));
 }
 
 #[test]
-fn it_is_not_complete_before_each_node_obeys() {
+fn a_rollout_is_not_completed_before_all_nodes_apply_the_directive() {
     let mut service = Service::new();
     let progress = RolloutProgress {
         is_applied_everywhere: false,
-        ..ready()
+        ..ready_progress()
     };
-    let (at, end) = service
+    let (decided_at_ms, decision) = service
         .run(
-            &mut leader(Directive::default(), 0),
+            &mut controller_from(Directive::default(), 0),
             &progress,
             0,
-            GIVEN_UP_MS,
+            AFTER_GRACE_MS,
         )
         .unwrap();
-    assert!(at >= DURATION_MS + 5_000);
-    assert_eq!(reason(&end), "overdue");
-    assert!(matches!(end, RolloutDecision::RollBack(_)));
+    assert!(decided_at_ms >= DURATION_MS + 5_000);
+    assert_eq!(reason(&decision), "overdue");
+    assert!(matches!(decision, RolloutDecision::RollBack(_)));
 }
 
 #[rstest]
-#[case::nothing_is_under_way(0, true)]
-#[case::a_few_streams(20, true)]
-#[case::much(5_000, false)]
-fn what_is_under_way_at_the_baseline_at_the_deadline(#[case] left: u64, #[case] is_cut: bool) {
+#[case::nothing_in_flight(0, true)]
+#[case::few_streams_in_flight(20, true)]
+#[case::many_requests_in_flight(5_000, false)]
+fn requests_in_flight_at_the_baseline_may_delay_completion(
+    #[case] in_flight: u64,
+    #[case] is_completed_in_time: bool,
+) {
     let mut service = Service::new();
-    service.evidence.baseline_in_flight = left;
-    let (at, end) = service
+    service.evidence.baseline_in_flight = in_flight;
+    let (decided_at_ms, decision) = service
         .run(
-            &mut leader(Directive::default(), 0),
-            &ready(),
+            &mut controller_from(Directive::default(), 0),
+            &ready_progress(),
             0,
-            GIVEN_UP_MS,
+            AFTER_GRACE_MS,
         )
         .unwrap();
     assert!(
-        matches!(end, RolloutDecision::Complete { .. }),
-        "{at}: {end:?}"
+        matches!(decision, RolloutDecision::Complete { .. }),
+        "{decided_at_ms}: {decision:?}"
+    );
+    assert_eq!(
+        decided_at_ms <= DURATION_MS,
+        is_completed_in_time,
+        "{decided_at_ms}"
+    );
+    assert_eq!(
+        decided_at_ms < DURATION_MS - 200,
+        in_flight == 0,
+        "{decided_at_ms}"
     );
-    assert_eq!(at <= DURATION_MS, is_cut, "{at}");
-    assert_eq!(at < DURATION_MS - 200, left == 0, "{at}");
 }
 
 #[test]
-fn a_new_leader_goes_on_from_the_committed_directive() {
+fn a_new_leader_continues_from_the_committed_directive() {
     let mut service = Service::new();
-    let mut first = leader(Directive::default(), 0);
-    assert_eq!(service.run(&mut first, &ready(), 0, 6_000), None);
+    let mut first_controller = controller_from(Directive::default(), 0);
+    assert_eq!(
+        service.run(&mut first_controller, &ready_progress(), 0, 6_000),
+        None
+    );
     let committed = service.directive.clone();
-    let mut second = leader(committed.clone(), 5_000);
-    let (at, end) = service
-        .run(&mut second, &ready(), 6_500, GIVEN_UP_MS)
+    let mut second_controller = controller_from(committed.clone(), 5_000);
+    let (decided_at_ms, decision) = service
+        .run(
+            &mut second_controller,
+            &ready_progress(),
+            6_500,
+            AFTER_GRACE_MS,
+        )
         .unwrap();
-    assert!(at <= DURATION_MS, "{at}");
+    assert!(decided_at_ms <= DURATION_MS, "{decided_at_ms}");
     assert!(
-        matches!(end, RolloutDecision::Complete { .. }),
-        "{at}: {end:?}"
+        matches!(decision, RolloutDecision::Complete { .. }),
+        "{decided_at_ms}: {decision:?}"
     );
     assert!(service.directive.step > committed.step);
 }
 
 #[test]
-fn a_new_leader_condemns_by_the_totals_at_once() {
-    let bad = RouteEvidence {
+fn a_new_leader_rolls_back_immediately_on_bad_totals() {
+    let regressed_route = RouteEvidence {
         baseline: ResponseCounts {
             sent: 1_000,
             succeeded: 1_000,
@@ -309,7 +336,7 @@
         },
     };
     let evidence = Evidence {
-        routes: [("one".to_owned(), bad)].into(),
+        routes: [("one".to_owned(), regressed_route)].into(),
         ..Evidence::default()
     };
     let directive = Directive {
@@ -317,87 +344,101 @@
         canary_permille: 20,
         ..Directive::default()
     };
-    let decision = leader(directive, 7_000).decide(&evidence, &ready(), 7_200);
+    let decision = controller_from(directive, 7_000).decide(&evidence, &ready_progress(), 7_200);
     assert_eq!(reason(&decision.unwrap()), "failures");
 }
 
 #[test]
-fn time_that_goes_back_and_counts_that_begin_anew_stop_nothing() {
+fn a_rollout_completes_after_time_goes_back_and_counts_restart() {
     let mut service = Service::new();
-    let mut controller = leader(Directive::default(), 0);
-    assert_eq!(service.run(&mut controller, &ready(), 0, 6_000), None);
+    let mut controller = controller_from(Directive::default(), 0);
+    assert_eq!(
+        service.run(&mut controller, &ready_progress(), 0, 6_000),
+        None
+    );
     service.evidence = Evidence::default();
-    let (at, end) = service
-        .run(&mut controller, &ready(), 5_200, GIVEN_UP_MS)
+    let (decided_at_ms, decision) = service
+        .run(&mut controller, &ready_progress(), 5_200, AFTER_GRACE_MS)
         .unwrap();
-    assert!(at <= DURATION_MS, "{at}");
+    assert!(decided_at_ms <= DURATION_MS, "{decided_at_ms}");
     assert!(
-        matches!(end, RolloutDecision::Complete { .. }),
-        "{at}: {end:?}"
+        matches!(decision, RolloutDecision::Complete { .. }),
+        "{decided_at_ms}: {decision:?}"
     );
 }
 
 #[test]
-fn a_moved_candidate_that_nothing_can_be_compared_with_any_more_is_rolled_back() {
+fn a_moved_candidate_without_baseline_responses_is_rolled_back() {
     let mut service = Service::new();
-    let mut controller = leader(Directive::default(), 0);
+    let mut controller = controller_from(Directive::default(), 0);
     let mut now = 0;
     while service.directive.moved_routes.is_empty() {
         assert_eq!(
-            service.run(&mut controller, &ready(), now, now + STEP_MS),
+            service.run(&mut controller, &ready_progress(), now, now + STEP_MS),
             None
         );
         now += STEP_MS;
     }
-    // All processes start again: counts are lost, the directive stands.
+    // All processes restart: counts are lost, and the committed directive remains.
     service.evidence = Evidence::default();
-    let mut next = leader(service.directive.clone(), now / 1_000 * 1_000);
-    let (at, end) = service.run(&mut next, &ready(), now, GIVEN_UP_MS).unwrap();
-    assert!(at <= now + 1_000, "{at}");
-    assert_eq!(reason(&end), "no_evidence");
-    assert!(matches!(end, RolloutDecision::RollBack(_)));
+    let mut new_controller = controller_from(service.directive.clone(), now / 1_000 * 1_000);
+    let (decided_at_ms, decision) = service
+        .run(&mut new_controller, &ready_progress(), now, AFTER_GRACE_MS)
+        .unwrap();
+    assert!(decided_at_ms <= now + 1_000, "{decided_at_ms}");
+    assert_eq!(reason(&decision), "no_evidence");
+    assert!(matches!(decision, RolloutDecision::RollBack(_)));
 }
 
 #[test]
-fn candidates_that_are_gone_after_the_move_end_it_after_the_grace() {
+fn loss_of_all_candidates_after_the_move_ends_the_rollout_after_the_grace_period() {
     let mut service = Service::new();
-    let mut controller = leader(Directive::default(), 0);
-    assert_eq!(service.run(&mut controller, &ready(), 0, 11_000), None);
-    let gone = RolloutProgress {
+    let mut controller = controller_from(Directive::default(), 0);
+    assert_eq!(
+        service.run(&mut controller, &ready_progress(), 0, 11_000),
+        None
+    );
+    let no_backends = RolloutProgress {
         ready_candidate_backends: 0,
-        ..ready()
+        ..ready_progress()
     };
-    let (_, end) = service
-        .run(&mut controller, &gone, 11_000, GIVEN_UP_MS)
+    let (_, decision) = service
+        .run(&mut controller, &no_backends, 11_000, AFTER_GRACE_MS)
         .unwrap();
-    assert_eq!(reason(&end), "overdue");
+    assert_eq!(reason(&decision), "overdue");
 }
 
 #[test]
-fn a_candidate_in_doubt_is_not_moved_and_rolled_back_at_the_deadline() {
+fn a_suspicious_candidate_is_not_moved_and_is_rolled_back_at_the_deadline() {
     let mut service = Service::new();
-    let mut controller = leader(Directive::default(), 0);
-    assert_eq!(service.run(&mut controller, &ready(), 0, 9_000), None);
-    let seen = service.evidence.routes.get_mut("one").unwrap();
-    answer(&mut seen.candidate, 7, 7);
-    let (at, end) = service
-        .run(&mut controller, &ready(), 9_000, GIVEN_UP_MS)
+    let mut controller = controller_from(Directive::default(), 0);
+    assert_eq!(
+        service.run(&mut controller, &ready_progress(), 0, 9_000),
+        None
+    );
+    let route_evidence = service.evidence.routes.get_mut("one").unwrap();
+    record_responses(&mut route_evidence.candidate, 7, 7);
+    let (decided_at_ms, decision) = service
+        .run(&mut controller, &ready_progress(), 9_000, AFTER_GRACE_MS)
         .unwrap();
     assert!(service.directive.moved_routes.is_empty());
-    assert!(at <= DURATION_MS, "{at}");
-    assert!(matches!(end, RolloutDecision::RollBack(_)), "{end:?}");
+    assert!(decided_at_ms <= DURATION_MS, "{decided_at_ms}");
+    assert!(
+        matches!(decision, RolloutDecision::RollBack(_)),
+        "{decision:?}"
+    );
 }
 
 #[rstest]
 #[case(RolloutState::RolledBack { verdict: verdict() })]
 #[case(RolloutState::Completed { former_versions: Default::default(), verdict: verdict() })]
-fn an_ended_rollout_stays_ended(#[case] state: RolloutState) {
-    let ended = Rollout {
+fn a_controller_makes_no_decision_on_an_ended_rollout(#[case] state: RolloutState) {
+    let ended_rollout = Rollout {
         state,
         ..rollout(Directive::default(), DURATION_MS)
     };
-    let mut controller = RolloutController::new(&ended, RolloutLimits::default());
-    let decision = controller.decide(&Evidence::default(), &ready(), DURATION_MS);
+    let mut controller = RolloutController::new(&ended_rollout, RolloutLimits::default());
+    let decision = controller.decide(&Evidence::default(), &ready_progress(), DURATION_MS);
     assert_eq!(decision, None);
 }
 
--- a/crates/rollout/tests/evidence.rs
+++ b/crates/rollout/tests/evidence.rs
@@ -1,12 +1,12 @@
-//! Counts of answers: buckets of times, sums, differences.
+//! Evidence and latency histograms: buckets, sums and differences.
 
 use rstest::rstest;
 use silversail_rollout::{Evidence, LatencyHistogram, ResponseCounts, RouteEvidence};
 
-fn times(each: &[u64]) -> LatencyHistogram {
-    let mut counts = LatencyHistogram::default();
-    each.iter().for_each(|ms| counts.record(*ms));
-    counts
+fn histogram_of(times_ms: &[u64]) -> LatencyHistogram {
+    let mut histogram = LatencyHistogram::default();
+    times_ms.iter().for_each(|ms| histogram.record(*ms));
+    histogram
 }
 
 #[rstest]
@@ -16,48 +16,51 @@
 #[case(1_000, 39)]
 #[case(1_024, 40)]
 #[case(u64::MAX, 255)]
-fn a_time_is_in_the_bucket_below_whose_bound_it_lies(#[case] ms: u64, #[case] bucket: u8) {
-    assert_eq!(times(&[ms]).buckets.keys().next(), Some(&bucket));
+fn a_time_is_counted_in_the_bucket_that_contains_it(#[case] ms: u64, #[case] bucket: u8) {
+    assert_eq!(histogram_of(&[ms]).buckets.keys().next(), Some(&bucket));
 }
 
 #[test]
-fn quantiles_are_exact_to_a_bucket() {
-    let counts = times(&(1..=1_000).collect::<Vec<_>>());
-    for (share, wanted) in [(0.25, 250.0), (0.5, 500.0), (0.9, 900.0), (0.99, 990.0)] {
-        let found = counts.quantile_ms(share).unwrap();
-        assert!((found / wanted).log2().abs() < 0.25, "{share}: {found}");
+fn quantiles_are_accurate_to_one_bucket() {
+    let histogram = histogram_of(&(1..=1_000).collect::<Vec<_>>());
+    for (share, expected_ms) in [(0.25, 250.0), (0.5, 500.0), (0.9, 900.0), (0.99, 990.0)] {
+        let quantile_ms = histogram.quantile_ms(share).unwrap();
+        assert!(
+            (quantile_ms / expected_ms).log2().abs() < 0.25,
+            "{share}: {quantile_ms}"
+        );
     }
     assert_eq!(LatencyHistogram::default().quantile_ms(0.5), None);
 }
 
 #[test]
-fn above_counts_only_what_is_surely_above() {
-    let counts = times(&[10, 100, 100, 1_000]);
-    assert_eq!(counts.count_above(110.0), 1);
-    assert_eq!(counts.count_above(20.0), 3);
-    assert_eq!(counts.count_above(2_000.0), 0);
+fn count_above_excludes_buckets_that_are_only_partly_above() {
+    let histogram = histogram_of(&[10, 100, 100, 1_000]);
+    assert_eq!(histogram.count_above(110.0), 1);
+    assert_eq!(histogram.count_above(20.0), 3);
+    assert_eq!(histogram.count_above(2_000.0), 0);
 }
 
 #[test]
-fn a_later_count_less_an_earlier_one_is_what_came_between() {
-    let earlier = times(&[10, 100]);
+fn since_returns_the_difference_of_two_histograms() {
+    let earlier = histogram_of(&[10, 100]);
     let mut later = earlier.clone();
     later.record(100);
-    assert_eq!(later.since(&earlier), times(&[100]));
+    assert_eq!(later.since(&earlier), histogram_of(&[100]));
     assert_eq!(earlier.since(&later), LatencyHistogram::default());
 }
 
-fn evidence(step: u32, sent: u64, bad: u64) -> Evidence {
-    let answers = ResponseCounts {
+fn evidence(step: u32, sent: u64, failed: u64) -> Evidence {
+    let response_counts = ResponseCounts {
         sent,
-        failed: bad,
-        succeeded: sent - bad,
-        response_time: times(&[10]),
+        failed,
+        succeeded: sent - failed,
+        response_time: histogram_of(&[10]),
         ..ResponseCounts::default()
     };
     let route = RouteEvidence {
-        baseline: answers.clone(),
-        candidate: answers,
+        baseline: response_counts.clone(),
+        candidate: response_counts,
     };
     Evidence {
         rollout: 1,
@@ -68,7 +71,7 @@
 }
 
 #[test]
-fn a_sum_has_the_lowest_step_and_all_counts() {
+fn merged_evidence_has_the_lowest_step_and_the_sum_of_counts() {
     let mut sum = evidence(5, 10, 1);
     sum.merge(&evidence(3, 20, 2));
     sum.merge(&Evidence {
@@ -86,7 +89,7 @@
 }
 
 #[test]
-fn counts_that_fell_with_a_process_give_nothing_rather_than_less() {
+fn decreased_counts_give_a_difference_of_zero() {
     let since = evidence(1, 10, 1).since(&evidence(1, 50, 20));
     assert_eq!(since.total_sent(), 0);
     assert_eq!(since.candidate_completed(), 0);
--- a/crates/rollout/tests/verdict.rs
+++ b/crates/rollout/tests/verdict.rs
@@ -3,9 +3,9 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
-use silversail_rollout::history::History;
+use silversail_rollout::history::EvidenceHistory;
 use silversail_rollout::statistics::{binomial_tail, upper_share};
-use silversail_rollout::verdict::{assess, Finding, Measure};
+use silversail_rollout::verdict::{assess, Assessment, Measure};
 use silversail_rollout::{Evidence, ResponseCounts};
 
 const STEP_MS: u64 = 100;
@@ -35,7 +35,7 @@
 struct Play {
     random: ChaCha8Rng,
     evidence: Evidence,
-    history: History,
+    history: EvidenceHistory,
     elapsed_ms: u64,
 }
 
@@ -44,18 +44,18 @@
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
             evidence: Evidence::default(),
-            history: History::default(),
+            history: EvidenceHistory::default(),
             elapsed_ms: 0,
         }
     }
 
     /// One step with both versions on a route.
-    fn step(&mut self, route: &str, baseline: Manner, candidate: Manner) -> Finding {
+    fn step(&mut self, route: &str, baseline: Manner, candidate: Manner) -> Assessment {
         let seen = self.evidence.routes.entry(route.into()).or_default();
         give(&mut seen.baseline, baseline, &mut self.random);
         give(&mut seen.candidate, candidate, &mut self.random);
         self.elapsed_ms += STEP_MS;
-        self.history.keep(&self.evidence, self.elapsed_ms);
+        self.history.record(&self.evidence, self.elapsed_ms);
         assess(&self.evidence, &self.history, self.elapsed_ms)
     }
 
@@ -80,10 +80,10 @@
 }
 
 /// Steps until the candidate is condemned.
-fn condemn(play: &mut Play, baseline: Manner, candidate: Manner, steps: u64) -> Option<Finding> {
+fn condemn(play: &mut Play, baseline: Manner, candidate: Manner, steps: u64) -> Option<Assessment> {
     (0..steps).find_map(|_| {
         let finding = play.step("route", baseline, candidate);
-        matches!(finding, Finding::Bad(_)).then_some(finding)
+        matches!(finding, Assessment::Regressed(_)).then_some(finding)
     })
 }
 
@@ -95,7 +95,7 @@
     for seed in 0..100 {
         let mut play = Play::new(seed);
         let found = condemn(&mut play, SOUND, candidate(failing, 100), 600);
-        let Some(Finding::Bad(comparison)) = found else {
+        let Some(Assessment::Regressed(comparison)) = found else {
             panic!("seed {seed}: not condemned");
         };
         assert_eq!(comparison.measure, Measure::Failures);
@@ -112,10 +112,10 @@
     for seed in 0..100 {
         let mut play = Play::new(seed);
         let found = condemn(&mut play, SOUND, candidate(0.0, 400), 100);
-        let Some(Finding::Bad(comparison)) = found else {
+        let Some(Assessment::Regressed(comparison)) = found else {
             panic!("seed {seed}: not condemned");
         };
-        assert_eq!(comparison.measure, Measure::Whole);
+        assert_eq!(comparison.measure, Measure::ResponseTime);
         assert!(comparison.candidate.bad <= 15, "seed {seed}");
     }
 }
@@ -129,12 +129,12 @@
         let sent = answers.sent;
         *answers = ResponseCounts::default();
         answers.sent = sent;
-        matches!(finding, Finding::Bad(_)).then_some(finding)
+        matches!(finding, Assessment::Regressed(_)).then_some(finding)
     });
-    let Some(Finding::Bad(comparison)) = found else {
+    let Some(Assessment::Regressed(comparison)) = found else {
         panic!("not condemned");
     };
-    assert_eq!(comparison.measure, Measure::Whole);
+    assert_eq!(comparison.measure, Measure::ResponseTime);
 }
 
 #[rstest]
@@ -161,7 +161,7 @@
             let baseline = Manner { failing, ..SOUND };
             let finding = play.step("route", baseline, candidate(failing, 100));
             assert!(
-                !matches!(finding, Finding::Bad(_)),
+                !matches!(finding, Assessment::Regressed(_)),
                 "seed {seed}, step {step}"
             );
         }
@@ -193,7 +193,7 @@
             play.step("sound", SOUND, candidate(0.0, 100));
             play.step("sound too", SOUND, candidate(0.0, 100));
             match play.step("failing", SOUND, candidate(0.4, 100)) {
-                Finding::Bad(comparison) => Some(comparison),
+                Assessment::Regressed(comparison) => Some(comparison),
                 _ => None,
             }
         });
@@ -220,7 +220,7 @@
             };
             play.step("failing", failing, many);
             let finding = play.step("sound", SOUND, candidate(0.0, 100));
-            assert!(!matches!(finding, Finding::Bad(_)), "seed {seed}");
+            assert!(!matches!(finding, Assessment::Regressed(_)), "seed {seed}");
         }
     }
 }
@@ -235,7 +235,7 @@
     let all = |failing: f64| Manner { failing, ..SOUND };
     for _ in 0..100 {
         let finding = play.step("route", none, all(0.0));
-        assert_eq!(finding, Finding::Sound);
+        assert_eq!(finding, Assessment::Healthy);
     }
     assert!(condemn(&mut play, none, all(0.3), 10).is_some());
 }
@@ -246,11 +246,11 @@
     for _ in 0..50 {
         play.step("route", SOUND, candidate(0.0, 100));
     }
-    let mut finding = Finding::Sound;
+    let mut finding = Assessment::Healthy;
     for _ in 0..4 {
         finding = play.step("route", SOUND, candidate(1.0, 100));
     }
-    assert!(matches!(finding, Finding::Suspicious(_)), "{finding:?}");
+    assert!(matches!(finding, Assessment::Suspicious(_)), "{finding:?}");
 }
 
 #[test]
