--- a/crates/rollout/tests/verdict.rs
+++ b/crates/rollout/tests/verdict.rs
@@ -1,4 +1,4 @@
-//! What condemns a candidate and what does not.
+//! Verdicts: which differences count as a regression of the candidate.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -10,36 +10,40 @@
 
 const STEP_MS: u64 = 100;
 
-/// How one version answers on one route: requests a step, share that fails, and time.
+/// Behavior of one version on one route: requests per step, failure probability, and response time.
 #[derive(Clone, Copy)]
-struct Manner {
-    a_step: u64,
-    failing: f64,
-    ms: u64,
+struct VersionBehavior {
+    requests_per_step: u64,
+    failure_probability: f64,
+    response_ms: u64,
 }
 
-fn give(answers: &mut ResponseCounts, manner: Manner, random: &mut ChaCha8Rng) {
-    for _ in 0..manner.a_step {
-        answers.sent += 1;
-        if random.gen_bool(manner.failing) {
-            answers.failed += 1;
+fn record_responses(
+    counts: &mut ResponseCounts,
+    behavior: VersionBehavior,
+    random: &mut ChaCha8Rng,
+) {
+    for _ in 0..behavior.requests_per_step {
+        counts.sent += 1;
+        if random.gen_bool(behavior.failure_probability) {
+            counts.failed += 1;
             continue;
         }
-        let ms = (manner.ms as f64 * random.gen_range(0.7..1.4)) as u64;
-        answers.succeeded += 1;
-        answers.time_to_first_byte.record(ms);
-        answers.response_time.record(ms);
+        let response_ms = (behavior.response_ms as f64 * random.gen_range(0.7..1.4)) as u64;
+        counts.succeeded += 1;
+        counts.time_to_first_byte.record(response_ms);
+        counts.response_time.record(response_ms);
     }
 }
 
-struct Play {
+struct Trial {
     random: ChaCha8Rng,
     evidence: Evidence,
     history: EvidenceHistory,
     elapsed_ms: u64,
 }
 
-impl Play {
+impl Trial {
     fn new(seed: u64) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -49,71 +53,91 @@
         }
     }
 
-    /// One step with both versions on a route.
-    fn step(&mut self, route: &str, baseline: Manner, candidate: Manner) -> Assessment {
-        let seen = self.evidence.routes.entry(route.into()).or_default();
-        give(&mut seen.baseline, baseline, &mut self.random);
-        give(&mut seen.candidate, candidate, &mut self.random);
+    /// Simulates one step of both versions on a route and assesses the evidence.
+    fn step(
+        &mut self,
+        route: &str,
+        baseline: VersionBehavior,
+        candidate: VersionBehavior,
+    ) -> Assessment {
+        let route_evidence = self.evidence.routes.entry(route.into()).or_default();
+        record_responses(&mut route_evidence.baseline, baseline, &mut self.random);
+        record_responses(&mut route_evidence.candidate, candidate, &mut self.random);
         self.elapsed_ms += STEP_MS;
         self.history.record(&self.evidence, self.elapsed_ms);
         assess(&self.evidence, &self.history, self.elapsed_ms)
     }
 
-    fn bad_answers(&self) -> u64 {
+    fn candidate_failures(&self) -> u64 {
         let routes = self.evidence.routes.values();
-        routes.map(|seen| seen.candidate.failed).sum()
+        routes
+            .map(|route_evidence| route_evidence.candidate.failed)
+            .sum()
     }
 }
 
-const SOUND: Manner = Manner {
-    a_step: 16,
-    failing: 0.0,
-    ms: 100,
+const HEALTHY: VersionBehavior = VersionBehavior {
+    requests_per_step: 16,
+    failure_probability: 0.0,
+    response_ms: 100,
 };
 
-fn candidate(failing: f64, ms: u64) -> Manner {
-    Manner {
-        a_step: 1,
-        failing,
-        ms,
+fn candidate(failure_probability: f64, response_ms: u64) -> VersionBehavior {
+    VersionBehavior {
+        requests_per_step: 1,
+        failure_probability,
+        response_ms,
     }
 }
 
-/// Steps until the candidate is condemned.
-fn condemn(play: &mut Play, baseline: Manner, candidate: Manner, steps: u64) -> Option<Assessment> {
+/// Runs steps until a regression is detected, at most `steps`.
+fn run_until_regression(
+    trial: &mut Trial,
+    baseline: VersionBehavior,
+    candidate: VersionBehavior,
+    steps: u64,
+) -> Option<Assessment> {
     (0..steps).find_map(|_| {
-        let finding = play.step("route", baseline, candidate);
-        matches!(finding, Assessment::Regressed(_)).then_some(finding)
+        let assessment = trial.step("route", baseline, candidate);
+        matches!(assessment, Assessment::Regressed(_)).then_some(assessment)
     })
 }
 
 #[rstest]
-#[case::all(1.0, 10)]
-#[case::a_third(0.3, 25)]
-#[case::a_tenth(0.1, 50)]
-fn failures_condemn_within_few_bad_answers(#[case] failing: f64, #[case] most_bad: u64) {
+#[case::all_requests(1.0, 10)]
+#[case::thirty_percent(0.3, 25)]
+#[case::ten_percent(0.1, 50)]
+fn failures_are_detected_within_few_bad_responses(
+    #[case] failure_probability: f64,
+    #[case] max_failures: u64,
+) {
     for seed in 0..100 {
-        let mut play = Play::new(seed);
-        let found = condemn(&mut play, SOUND, candidate(failing, 100), 600);
-        let Some(Assessment::Regressed(comparison)) = found else {
-            panic!("seed {seed}: not condemned");
+        let mut trial = Trial::new(seed);
+        let regression = run_until_regression(
+            &mut trial,
+            HEALTHY,
+            candidate(failure_probability, 100),
+            600,
+        );
+        let Some(Assessment::Regressed(comparison)) = regression else {
+            panic!("seed {seed}: no regression detected");
         };
         assert_eq!(comparison.measure, Measure::Failures);
         assert!(
-            play.bad_answers() <= most_bad,
+            trial.candidate_failures() <= max_failures,
             "seed {seed}: {}",
-            play.bad_answers()
+            trial.candidate_failures()
         );
     }
 }
 
 #[test]
-fn a_version_several_times_slower_is_condemned() {
+fn a_version_several_times_slower_is_detected() {
     for seed in 0..100 {
-        let mut play = Play::new(seed);
-        let found = condemn(&mut play, SOUND, candidate(0.0, 400), 100);
-        let Some(Assessment::Regressed(comparison)) = found else {
-            panic!("seed {seed}: not condemned");
+        let mut trial = Trial::new(seed);
+        let regression = run_until_regression(&mut trial, HEALTHY, candidate(0.0, 400), 100);
+        let Some(Assessment::Regressed(comparison)) = regression else {
+            panic!("seed {seed}: no regression detected");
         };
         assert_eq!(comparison.measure, Measure::ResponseTime);
         assert!(comparison.candidate.bad <= 15, "seed {seed}");
@@ -121,47 +145,59 @@
 }
 
 #[test]
-fn answers_without_an_end_are_slow() {
-    let mut play = Play::new(1);
-    let found = (0..100).find_map(|_| {
-        let finding = play.step("route", SOUND, candidate(0.0, 100));
-        let answers = &mut play.evidence.routes.get_mut("route").unwrap().candidate;
-        let sent = answers.sent;
-        *answers = ResponseCounts::default();
-        answers.sent = sent;
-        matches!(finding, Assessment::Regressed(_)).then_some(finding)
+fn unfinished_responses_count_as_slow() {
+    let mut trial = Trial::new(1);
+    let regression = (0..100).find_map(|_| {
+        let assessment = trial.step("route", HEALTHY, candidate(0.0, 100));
+        let counts = &mut trial.evidence.routes.get_mut("route").unwrap().candidate;
+        let sent = counts.sent;
+        *counts = ResponseCounts::default();
+        counts.sent = sent;
+        matches!(assessment, Assessment::Regressed(_)).then_some(assessment)
     });
-    let Some(Assessment::Regressed(comparison)) = found else {
-        panic!("not condemned");
+    let Some(Assessment::Regressed(comparison)) = regression else {
+        panic!("no regression detected");
     };
     assert_eq!(comparison.measure, Measure::ResponseTime);
 }
 
 #[rstest]
-#[case::none(0.0)]
-#[case::some(0.05)]
-#[case::much(0.4)]
-fn trouble_on_both_sides_condemns_nobody(#[case] failing: f64) {
-    let baseline = Manner { failing, ..SOUND };
-    let condemned: Vec<u64> = (0..300)
+#[case::no_failures(0.0)]
+#[case::few_failures(0.05)]
+#[case::many_failures(0.4)]
+fn failures_of_both_versions_are_no_regression(#[case] failure_probability: f64) {
+    let baseline = VersionBehavior {
+        failure_probability,
+        ..HEALTHY
+    };
+    let failed_seeds: Vec<u64> = (0..300)
         .filter(|seed| {
-            let mut play = Play::new(*seed);
-            condemn(&mut play, baseline, candidate(failing, 100), 120).is_some()
+            let mut trial = Trial::new(*seed);
+            run_until_regression(
+                &mut trial,
+                baseline,
+                candidate(failure_probability, 100),
+                120,
+            )
+            .is_some()
         })
         .collect();
-    assert!(condemned.is_empty(), "seeds {condemned:?}");
+    assert!(failed_seeds.is_empty(), "seeds {failed_seeds:?}");
 }
 
 #[test]
-fn trouble_that_comes_and_goes_on_both_sides_condemns_nobody() {
+fn temporary_failures_of_both_versions_are_no_regression() {
     for seed in 0..200 {
-        let mut play = Play::new(seed);
+        let mut trial = Trial::new(seed);
         for step in 0..120 {
-            let failing = if (40..70).contains(&step) { 0.3 } else { 0.0 };
-            let baseline = Manner { failing, ..SOUND };
-            let finding = play.step("route", baseline, candidate(failing, 100));
+            let failure_probability = if (40..70).contains(&step) { 0.3 } else { 0.0 };
+            let baseline = VersionBehavior {
+                failure_probability,
+                ..HEALTHY
+            };
+            let assessment = trial.step("route", baseline, candidate(failure_probability, 100));
             assert!(
-                !matches!(finding, Assessment::Regressed(_)),
+                !matches!(assessment, Assessment::Regressed(_)),
                 "seed {seed}, step {step}"
             );
         }
@@ -169,36 +205,36 @@
 }
 
 #[test]
-fn a_version_that_turns_bad_late_is_condemned_by_its_last_seconds() {
+fn a_late_regression_is_detected_from_recent_responses() {
     for seed in 0..100 {
-        let mut play = Play::new(seed);
+        let mut trial = Trial::new(seed);
         for _ in 0..600 {
-            play.step("route", SOUND, candidate(0.0, 100));
+            trial.step("route", HEALTHY, candidate(0.0, 100));
         }
-        let found = condemn(&mut play, SOUND, candidate(0.5, 100), 50);
-        assert!(found.is_some(), "seed {seed}");
+        let regression = run_until_regression(&mut trial, HEALTHY, candidate(0.5, 100), 50);
+        assert!(regression.is_some(), "seed {seed}");
         assert!(
-            play.bad_answers() <= 15,
+            trial.candidate_failures() <= 15,
             "seed {seed}: {}",
-            play.bad_answers()
+            trial.candidate_failures()
         );
     }
 }
 
 #[test]
-fn a_version_bad_on_one_route_is_condemned_for_that_route() {
+fn a_regression_on_one_route_is_reported_for_that_route() {
     for seed in 0..50 {
-        let mut play = Play::new(seed);
-        let found = (0..200).find_map(|_| {
-            play.step("sound", SOUND, candidate(0.0, 100));
-            play.step("sound too", SOUND, candidate(0.0, 100));
-            match play.step("failing", SOUND, candidate(0.4, 100)) {
+        let mut trial = Trial::new(seed);
+        let regression = (0..200).find_map(|_| {
+            trial.step("healthy", HEALTHY, candidate(0.0, 100));
+            trial.step("other healthy", HEALTHY, candidate(0.0, 100));
+            match trial.step("failing", HEALTHY, candidate(0.4, 100)) {
                 Assessment::Regressed(comparison) => Some(comparison),
                 _ => None,
             }
         });
         assert_eq!(
-            found.map(|bad| bad.route),
+            regression.map(|comparison| comparison.route),
             Some("failing".to_owned()),
             "seed {seed}"
         );
@@ -206,58 +242,76 @@
 }
 
 #[test]
-fn more_requests_of_a_route_that_fails_anyway_condemn_nobody() {
-    let failing = Manner {
-        failing: 0.3,
-        ..SOUND
+fn a_larger_share_of_requests_on_a_failing_route_is_no_regression() {
+    let failing_baseline = VersionBehavior {
+        failure_probability: 0.3,
+        ..HEALTHY
     };
     for seed in 0..100 {
-        let mut play = Play::new(seed);
+        let mut trial = Trial::new(seed);
         for _ in 0..120 {
-            let many = Manner {
-                a_step: 8,
+            let frequent_candidate = VersionBehavior {
+                requests_per_step: 8,
                 ..candidate(0.3, 100)
             };
-            play.step("failing", failing, many);
-            let finding = play.step("sound", SOUND, candidate(0.0, 100));
-            assert!(!matches!(finding, Assessment::Regressed(_)), "seed {seed}");
+            trial.step("failing", failing_baseline, frequent_candidate);
+            let assessment = trial.step("healthy", HEALTHY, candidate(0.0, 100));
+            assert!(
+                !matches!(assessment, Assessment::Regressed(_)),
+                "seed {seed}"
+            );
         }
     }
 }
 
 #[test]
-fn a_moved_route_is_compared_with_what_its_baseline_was() {
-    let mut play = Play::new(3);
+fn a_moved_route_is_compared_with_its_earlier_baseline() {
+    let mut trial = Trial::new(3);
     for _ in 0..100 {
-        play.step("route", SOUND, candidate(0.0, 100));
+        trial.step("route", HEALTHY, candidate(0.0, 100));
     }
-    let none = Manner { a_step: 0, ..SOUND };
-    let all = |failing: f64| Manner { failing, ..SOUND };
+    let no_requests = VersionBehavior {
+        requests_per_step: 0,
+        ..HEALTHY
+    };
+    let all_requests = |failure_probability: f64| VersionBehavior {
+        failure_probability,
+        ..HEALTHY
+    };
     for _ in 0..100 {
-        let finding = play.step("route", none, all(0.0));
-        assert_eq!(finding, Assessment::Healthy);
+        let assessment = trial.step("route", no_requests, all_requests(0.0));
+        assert_eq!(assessment, Assessment::Healthy);
     }
-    assert!(condemn(&mut play, none, all(0.3), 10).is_some());
+    assert!(run_until_regression(&mut trial, no_requests, all_requests(0.3), 10).is_some());
 }
 
 #[test]
-fn a_few_bad_answers_are_suspicious_but_condemn_nobody() {
-    let mut play = Play::new(4);
+fn few_bad_responses_are_suspicious_but_no_regression() {
+    let mut trial = Trial::new(4);
     for _ in 0..50 {
-        play.step("route", SOUND, candidate(0.0, 100));
+        trial.step("route", HEALTHY, candidate(0.0, 100));
     }
-    let mut finding = Assessment::Healthy;
+    let mut assessment = Assessment::Healthy;
     for _ in 0..4 {
-        finding = play.step("route", SOUND, candidate(1.0, 100));
+        assessment = trial.step("route", HEALTHY, candidate(1.0, 100));
     }
-    assert!(matches!(finding, Assessment::Suspicious(_)), "{finding:?}");
+    assert!(
+        matches!(assessment, Assessment::Suspicious(_)),
+        "{assessment:?}"
+    );
 }
 
 #[test]
-fn without_a_baseline_nothing_is_compared() {
-    let mut play = Play::new(5);
-    let none = Manner { a_step: 0, ..SOUND };
-    assert_eq!(condemn(&mut play, none, candidate(1.0, 100), 50), None);
+fn a_candidate_without_a_baseline_is_not_compared() {
+    let mut trial = Trial::new(5);
+    let no_requests = VersionBehavior {
+        requests_per_step: 0,
+        ..HEALTHY
+    };
+    assert_eq!(
+        run_until_regression(&mut trial, no_requests, candidate(1.0, 100), 50),
+        None
+    );
 }
 
 #[rstest]
@@ -270,16 +324,16 @@
 #[case::far_above_the_mean(100_000, 99_999, 0.5, 0.0)]
 #[case::just_below_the_mean(4, 2, 0.5, 0.687_5)]
 fn the_binomial_tail_is_exact(
-    #[case] answers: u64,
+    #[case] responses: u64,
     #[case] bad: u64,
     #[case] share: f64,
-    #[case] wanted: f64,
+    #[case] expected: f64,
 ) {
-    assert!((binomial_tail(answers, bad, share) - wanted).abs() < 1e-9);
+    assert!((binomial_tail(responses, bad, share) - expected).abs() < 1e-9);
 }
 
 #[test]
-fn the_upper_bound_falls_to_the_share_as_answers_come() {
+fn the_upper_bound_approaches_the_share_with_more_responses() {
     assert_eq!(upper_share(0, 0), 1.0);
     assert!(upper_share(10, 0) > 0.2);
     assert!(upper_share(10_000, 500) < 0.055);
