--- a/crates/quarantine/src/limits.rs
+++ b/crates/quarantine/src/limits.rs
@@ -6,8 +6,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct QuarantineLimits {
-    /// Number of back end crashes that a request may be interrupted by before it is refused, at
-    /// least 1. Values below 3 refuse requests interrupted by two independent hardware failures.
+    /// Number of crashes after which a request that was in flight at each of them is refused, at
+    /// least 1. Values below 3 refuse requests that were interrupted by the loss of two racks.
     pub crashes: u32,
     /// Time after its last crash for which a suspect is remembered, in milliseconds.
     pub suspect_for_ms: u64,
--- a/crates/rollout/src/controller.rs
+++ b/crates/rollout/src/controller.rs
@@ -25,8 +25,8 @@
 const MIN_ROUTE_RESPONSES: u64 = 3;
 /// Period whose requests decide whether a route is rare, in milliseconds.
 const RARE_ROUTE_PERIOD_MS: f64 = 1_500.0;
-/// A route is rare if its requests in [`RARE_ROUTE_PERIOD_MS`] are at most this fraction of the exposure
-/// slack.
+/// A route is rare if its requests in [`RARE_ROUTE_PERIOD_MS`] are at most this fraction of the
+/// exposure slack.
 const RARE_ROUTE_SLACK_FRACTION: f64 = 0.5;
 /// Routes due within this time move in one directive, in milliseconds: each directive costs a
 /// commit and a message to each node.
@@ -252,7 +252,8 @@
     }
 
     /// After the deadline a candidate continues to receive requests until it is proved. Returns the
-    /// suspicious comparison if the exposure bound would be exceeded before a rollback takes effect.
+    /// suspicious comparison if the exposure bound would be exceeded before a rollback takes
+    /// effect.
     fn suspicion_at_exposure_bound(
         &self,
         evidence: &Evidence,
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -1,6 +1,6 @@
-//! Evidence of a rollout: counts of the responses of baseline and candidate, kept by each node since
-//! the rollout began there and summed by the leader. The counts of a process only increase, so lost
-//! or repeated messages do not change the sum.
+//! Evidence of a rollout: counts of the responses of baseline and candidate, kept by each node
+//! since the rollout began there and summed by the leader. The counts of a process only increase,
+//! so lost or repeated messages do not change the sum.
 
 use crate::latency::LatencyHistogram;
 use crate::order::{RolloutNumber, Verdict};
--- a/crates/rollout/src/latency.rs
+++ b/crates/rollout/src/latency.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Histogram with logarithmic buckets, four per doubling: bucket `i` counts times from `2^(i / 4)` ms
-/// to below `2^((i + 1) / 4)` ms.
+/// Histogram with logarithmic buckets, four per doubling: bucket `i` counts times from `2^(i / 4)`
+/// ms to below `2^((i + 1) / 4)` ms.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LatencyHistogram {
     /// Counts by bucket index; empty buckets are omitted.
--- a/crates/rollout/src/monitor.rs
+++ b/crates/rollout/src/monitor.rs
@@ -48,8 +48,8 @@
 }
 
 impl RolloutMonitor {
-    /// Creates the monitor of a leader that takes over with a committed directive. The time at which
-    /// that was issued is unknown, so it counts as issued now.
+    /// Creates the monitor of a leader that takes over with a committed directive. The time at
+    /// which that was issued is unknown, so it counts as issued now.
     pub(crate) fn new(directive: &Directive, elapsed_ms: u64) -> Self {
         let routes = directive.moved_routes.iter();
         Self {
--- a/crates/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -100,8 +100,8 @@
     pub order: RolloutOrder,
     /// Current state.
     pub state: RolloutState,
-    /// Time since the order when a leader last committed it, in milliseconds. Later leaders continue
-    /// from there by their own monotonic clock.
+    /// Time since the order when a leader last committed it, in milliseconds. Later leaders
+    /// continue from there by their own monotonic clock.
     pub elapsed_ms: u64,
 }
 
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -30,8 +30,8 @@
 const MAX_CANARY_SLACK_FRACTION: f64 = 0.5;
 /// Maximum canary share of requests before routes move.
 const MAX_CANARY_SHARE: f64 = 0.5;
-/// Minimum time for which moved routes are observed if the bound allows it, in milliseconds, so that
-/// a version that fails under load is rolled back before the deadline.
+/// Minimum time for which moved routes are observed if the bound allows it, in milliseconds, so
+/// that a version that fails under load is rolled back before the deadline.
 const MIN_OBSERVED_MS: f64 = 1_000.0;
 /// Steps of the binary search for the time limit: a precision of one millisecond in a day.
 const SEARCH_STEPS: u32 = 27;
@@ -72,7 +72,8 @@
     pub spread_ms: f64,
     /// Delay from a count on a node to the sum on the leader, in milliseconds.
     pub report_lag_ms: u64,
-    /// Additional time until responses after the last directive prove the candidate, in milliseconds.
+    /// Additional time until responses after the last directive prove the candidate, in
+    /// milliseconds.
     pub proof_ms: f64,
 }
 
@@ -247,7 +248,8 @@
     }
 }
 
-/// Returns `moved_ms` extended by the equivalent of the retries of failed requests, in milliseconds.
+/// Returns `moved_ms` extended by the equivalent of the retries of failed requests, in
+/// milliseconds.
 fn with_retries_ms(load: &RouteLoad, moved_ms: f64) -> f64 {
     let retried_ms = (moved_ms - load.median_ms - RETRY_DELAY_MS).max(0.0);
     moved_ms + RETRY_SHARE * retried_ms
--- a/crates/rollout/src/statistics.rs
+++ b/crates/rollout/src/statistics.rs
@@ -27,8 +27,8 @@
     sum.min(1.0)
 }
 
-/// Probability that at most `bad` of `responses` are bad, for a `bad` below the expected value. The terms
-/// are summed from the largest to the smallest.
+/// Probability that at most `bad` of `responses` are bad, for a `bad` below the expected value. The
+/// terms are summed from the largest to the smallest.
 fn lower_binomial_tail(responses: u64, bad: u64, share: f64) -> f64 {
     let odds = (1.0 - share) / share;
     let mut term = log_probability(responses, bad, share).exp();
--- a/crates/rollout/src/verdict.rs
+++ b/crates/rollout/src/verdict.rs
@@ -126,7 +126,8 @@
     pub candidate: BadCount,
     /// Responses of the baseline.
     pub baseline: BadCount,
-    /// Share of bad responses up to which the candidate counts as good as the baseline, from 0 to 1.
+    /// Share of bad responses up to which the candidate counts as good as the baseline, from 0 to
+    /// 1.
     pub allowed_share: f64,
     /// Probability of at least as many bad responses from a candidate as good as the baseline.
     pub probability: f64,
@@ -203,10 +204,10 @@
         .map_or(Assessment::Healthy, Assessment::Suspicious)
 }
 
-/// Whether the responses of a period rule out that the candidate fails or is slow clearly more often
-/// than allowed. `error_probability` is the accepted probability of a wrong proof. Checks the route
-/// of that name, or all routes together if it is empty. Routes without baseline responses are not
-/// compared.
+/// Whether the responses of a period rule out that the candidate fails or is slow clearly more
+/// often than allowed. `error_probability` is the accepted probability of a wrong proof. Checks the
+/// route of that name, or all routes together if it is empty. Routes without baseline responses are
+/// not compared.
 pub fn is_proved(
     route: &str,
     period: &Evidence,
--- a/crates/rollout/tests/simulated_service/mod.rs
+++ b/crates/rollout/tests/simulated_service/mod.rs
@@ -16,8 +16,8 @@
 const RETRY_AFTER_MS: u64 = 100;
 const NODES: usize = 94;
 
-/// Load of one route: name, requests per second, and the bounds of the time to first byte and of the
-/// response time, in milliseconds.
+/// Load of one route: name, requests per second, and the bounds of the time to first byte and of
+/// the response time, in milliseconds.
 pub type Route = (&'static str, f64, (f64, f64), (f64, f64));
 
 /// Routes with streamed responses.
