--- a/crates/control/src/rollouts.rs
+++ b/crates/control/src/rollouts.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 use silversail_rollout::{
-    Directive, OrderError, Rollout, RolloutNumber, RolloutOrder, RolloutState,
+    Directive, Rollout, RolloutNumber, RolloutOrder, RolloutOrderError, RolloutState,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -81,7 +81,7 @@
         number: RolloutNumber,
     },
     /// The order is rejected and has no effect.
-    Refused(OrderError),
+    Refused(RolloutOrderError),
     /// The service has a later rollout than the order's `known_number`; the order has no effect.
     /// If the operator is still waiting, the order is proposed again with the current number.
     Outdated {
@@ -146,7 +146,7 @@
                 return RolloutReply::InForce { number };
             }
             if latest.is_in_progress() {
-                return RolloutReply::Refused(OrderError::Underway {
+                return RolloutReply::Refused(RolloutOrderError::Underway {
                     service: order.service,
                     target_version: latest.order.target_version.clone(),
                 });
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -5,7 +5,7 @@
 use crate::rollouts::RolloutsRevision;
 use serde::{Deserialize, Serialize};
 use silversail_model::{NodeName, RequestFingerprint, Revision, TrafficVersion};
-use silversail_quarantine::{CrashSighting, QuarantineRevision};
+use silversail_quarantine::{CrashReport, QuarantineRevision};
 use silversail_rollout::Evidence;
 
 /// State of a machine according to one version of the platform's machine list.
@@ -49,7 +49,7 @@
     /// Revision of the quarantine list in force on the node.
     pub quarantine: Option<QuarantineRevision>,
     /// Back-end crashes that the process observed recently.
-    pub crashes: Vec<CrashSighting>,
+    pub crashes: Vec<CrashReport>,
     /// Quarantined requests that were nevertheless completed.
     pub completed_requests: Vec<RequestFingerprint>,
     /// Machine states that are missing in the view or newer than there.
--- a/crates/control/tests/evidence_table.rs
+++ b/crates/control/tests/evidence_table.rs
@@ -22,7 +22,7 @@
 fn evidence(step: u32, bad: u64, in_flight: u64) -> Evidence {
     let mut seen = RouteEvidence::default();
     seen.candidate.sent = bad;
-    seen.candidate.bad = bad;
+    seen.candidate.failed = bad;
     Evidence {
         rollout: 1,
         step,
@@ -71,7 +71,7 @@
 }
 
 fn bad(sum: &Evidence) -> u64 {
-    sum.routes.get("r").map_or(0, |seen| seen.candidate.bad)
+    sum.routes.get("r").map_or(0, |seen| seen.candidate.failed)
 }
 
 #[test]
--- a/crates/peer/tests/crash_messages.rs
+++ b/crates/peer/tests/crash_messages.rs
@@ -1,7 +1,7 @@
 //! Sizes of crash reports and quarantine lists, which `docs/CAPACITY.md` relies on.
 
 use silversail_model::{ContentDigest, RequestFingerprint};
-use silversail_quarantine::{CrashSighting, QuarantineList};
+use silversail_quarantine::{CrashReport, QuarantineList};
 
 fn fingerprints(count: usize) -> impl Iterator<Item = RequestFingerprint> {
     (0..count).map(|number| {
@@ -19,7 +19,7 @@
 /// Report of a crashed engine with 32 streams, all from one node.
 #[test]
 fn a_crash_report_of_32_requests_has_under_600_bytes() {
-    let sighting = CrashSighting {
+    let sighting = CrashReport {
         backend: "i-7f3a91c2@1700000000000".into(),
         age_ms: 6_000,
         fingerprints: fingerprints(32).collect(),
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decisions of the data path: which back end, in what order, when to refuse,
-//! when to retry. Pure: no clock, no I/O; times are milliseconds of the
+//! Data-path decisions: admission control, queueing, placement, rate limits and
+//! retries. The crate has no clock and does no I/O; times are milliseconds of the
 //! caller's clock.
 
 pub mod admission;
@@ -10,10 +10,10 @@
 pub mod retry;
 pub mod slots;
 
-pub use admission::{Admission, AdmissionDecision, StageEstimate};
+pub use admission::{AdmissionController, AdmissionDecision, StageEstimate};
 pub use average::MovingAverage;
 pub use limits::{node_share, LimitViolation, TenantLimiter};
-pub use placement::{BackendLoad, Candidate, PlacementPolicy, Placer};
+pub use placement::{BackendLoad, BackendSelector, EligibleBackend, PlacementPolicy};
 pub use queue::{FairQueue, PoolId, QueueOrder, QueuedStage};
 pub use retry::RetryBudget;
 pub use slots::{borrowed_slots, SlotPolicy, SlotTable};
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -2,36 +2,36 @@
 
 use crate::Millis;
 use silversail_model::RequestFingerprint;
-use silversail_quarantine::{Limits, OwnEvidence, SharedQuarantineList};
+use silversail_quarantine::{LocalCrashEvidence, QuarantineLimits, SharedQuarantineList};
 use std::collections::BTreeSet;
 
 /// The cluster's quarantine list combined with the evidence of this node.
 #[derive(Debug, Default)]
 pub struct RequestQuarantine {
     list: SharedQuarantineList,
-    own: OwnEvidence,
+    own: LocalCrashEvidence,
 }
 
 impl RequestQuarantine {
     /// Creates an empty quarantine with the given limits on evidence.
-    pub fn new(limits: Limits) -> Self {
+    pub fn new(limits: QuarantineLimits) -> Self {
         Self {
             list: SharedQuarantineList::default(),
-            own: OwnEvidence::new(limits),
+            own: LocalCrashEvidence::new(limits),
         }
     }
 
     /// Replaces the cluster's list. Local evidence against released requests is dropped.
     pub fn take(&mut self, list: SharedQuarantineList) {
         for released in self.list.refused.difference(&list.refused) {
-            self.own.forgive(released);
+            self.own.clear(released);
         }
         self.list = list;
     }
 
     /// Whether a request is quarantined.
     pub fn refuses(&self, fingerprint: &RequestFingerprint) -> bool {
-        self.list.refused.contains(fingerprint) || self.own.refuses(fingerprint)
+        self.list.refused.contains(fingerprint) || self.own.is_refused(fingerprint)
     }
 
     /// Records that a back end crashed while it ran these requests; returns the suspects among them.
@@ -41,12 +41,12 @@
         fingerprints: impl IntoIterator<Item = RequestFingerprint>,
         now: Millis,
     ) -> BTreeSet<RequestFingerprint> {
-        self.own.crashed(backend, fingerprints, now)
+        self.own.record_crash(backend, fingerprints, now)
     }
 
     /// Records that a request was answered completely. True if other nodes must be informed.
     pub fn ended_well(&mut self, fingerprint: RequestFingerprint) -> bool {
-        self.own.ended_well(fingerprint);
-        self.list.names(&fingerprint)
+        self.own.record_success(fingerprint);
+        self.list.contains(&fingerprint)
     }
 }
--- a/crates/serving/src/rollouts.rs
+++ b/crates/serving/src/rollouts.rs
@@ -8,7 +8,7 @@
 use crate::Millis;
 use silversail_rollout::exposure::ExposureBudget;
 use silversail_rollout::{
-    Answers, Directive, Evidence, Rollout, RolloutNumber, RolloutState, RouteEvidence,
+    Directive, Evidence, ResponseCounts, Rollout, RolloutNumber, RolloutState, RouteEvidence,
 };
 use std::collections::BTreeMap;
 
@@ -65,7 +65,7 @@
         self.directive = directive.clone();
     }
 
-    fn answers(&mut self, route: &str, to_candidate: bool) -> &mut Answers {
+    fn answers(&mut self, route: &str, to_candidate: bool) -> &mut ResponseCounts {
         // The lookup avoids a copy of the route name for known routes.
         if !self.evidence.routes.contains_key(route) {
             let routes = &mut self.evidence.routes;
@@ -145,7 +145,7 @@
             return VersionChoice::Any;
         };
         let budget = &active.budget;
-        if self.is_permitted && budget.may_expose(&active.directive, route, lot()) {
+        if self.is_permitted && budget.may_send_to_candidate(&active.directive, route, lot()) {
             VersionChoice::Candidate
         } else {
             VersionChoice::Baseline
@@ -168,7 +168,7 @@
     ) -> Option<CountedSend> {
         let active = self.active.get_mut(service)?;
         let to_candidate = role == VersionRole::Candidate;
-        active.budget.sent(to_candidate);
+        active.budget.record_sent(to_candidate);
         active.answers(route, to_candidate).sent += 1;
         Some(CountedSend {
             rollout: active.evidence.rollout,
@@ -190,14 +190,14 @@
         };
         let answers = active.answers(route, send.to_candidate);
         match answer {
-            CountedAnswer::Bad => answers.bad += 1,
+            CountedAnswer::Bad => answers.failed += 1,
             CountedAnswer::Good {
                 first_part_ms,
                 whole_ms,
             } => {
-                answers.good += 1;
-                answers.first_part.add(first_part_ms);
-                answers.whole.add(whole_ms);
+                answers.succeeded += 1;
+                answers.time_to_first_byte.record(first_part_ms);
+                answers.response_time.record(whole_ms);
             }
         }
     }
--- a/crates/serving/tests/batcher_rollouts.rs
+++ b/crates/serving/tests/batcher_rollouts.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use silversail_decisions::DecisionLog;
 use silversail_peer::{PieceFailure, ResultHandle};
-use silversail_rollout::{Answers, Directive, Rollout, RolloutState, BATCH_ROUTE};
+use silversail_rollout::{Directive, ResponseCounts, Rollout, RolloutState, BATCH_ROUTE};
 use silversail_serving::batcher::{BatchCall, Batcher, CallOutcome};
 use silversail_serving::instances::InstanceTable;
 
@@ -63,7 +63,7 @@
     }
 
     /// Counted answers of the baseline and of the candidate.
-    fn answers(&self) -> (Answers, Answers) {
+    fn answers(&self) -> (ResponseCounts, ResponseCounts) {
         let told = self.batcher.rollouts.evidence(|_| 0);
         let seen = told[0].routes.get(BATCH_ROUTE).cloned().unwrap_or_default();
         (seen.baseline, seen.candidate)
@@ -100,7 +100,7 @@
     let (baseline, candidate) = owner.answers();
     assert_eq!(candidate.sent, to_candidate);
     assert_eq!(baseline.sent, 500 - to_candidate);
-    assert_eq!((candidate.good, candidate.bad), (to_candidate, 0));
+    assert_eq!((candidate.succeeded, candidate.failed), (to_candidate, 0));
 }
 
 #[test]
@@ -218,7 +218,7 @@
         .batcher
         .call_ended(call.call, CallOutcome::Answered(results), 260);
     let (_, candidate) = owner.answers();
-    assert_eq!((candidate.good, candidate.bad), expected);
+    assert_eq!((candidate.succeeded, candidate.failed), expected);
 }
 
 #[rstest]
@@ -235,7 +235,10 @@
     let call = owner.calls(0).remove(0);
     owner.batcher.call_ended(call.call, outcome, 10);
     let (_, candidate) = owner.answers();
-    assert_eq!((candidate.sent, candidate.good, candidate.bad), (1, 0, bad));
+    assert_eq!(
+        (candidate.sent, candidate.succeeded, candidate.failed),
+        (1, 0, bad)
+    );
 }
 
 /// A call takes 240 ms and 10 ms for each piece, so that calls of different sizes compare as
@@ -250,7 +253,7 @@
     let call = owner.calls(0).remove(0);
     owner.batcher.call_ended(call.call, made(&call), took);
     let (_, candidate) = owner.answers();
-    let seen = candidate.whole.quantile_ms(0.5).expect("one time");
+    let seen = candidate.response_time.quantile_ms(0.5).expect("one time");
     assert!((200.0..=290.0).contains(&seen), "{seen} ms");
 }
 
--- a/crates/serving/tests/quarantine.rs
+++ b/crates/serving/tests/quarantine.rs
@@ -7,7 +7,7 @@
 use silversail_decisions::DecisionLog;
 use silversail_model::{ContentDigest, NodeName, RequestFingerprint, ResultCode};
 use silversail_peer::PieceFailure;
-use silversail_quarantine::{Limits, QuarantineList};
+use silversail_quarantine::{QuarantineLimits, QuarantineList};
 use silversail_serving::batcher::{Batcher, OrderKey};
 use silversail_serving::crashes::InterruptedSend;
 use silversail_serving::dispatcher::{Action, Refusal, SendOutcome, UnknownReason};
@@ -133,7 +133,7 @@
 
 #[test]
 fn local_evidence_of_three_crashes_quarantines_until_the_request_is_released() {
-    let mut quarantine = RequestQuarantine::new(Limits::default());
+    let mut quarantine = RequestQuarantine::new(QuarantineLimits::default());
     for backend in ["e1", "e2", "e3"] {
         assert!(!quarantine.refuses(&fingerprint_of("/x")));
         quarantine.crashed(backend, [fingerprint_of("/x")], 10);
