--- a/crates/daemon/src/gateway/allowed.rs
+++ b/crates/daemon/src/gateway/allowed.rs
@@ -26,10 +26,10 @@
     /// Whether a shard's back ends may make pieces, and its node hold them: that one may also
     /// lie in the region of the node that the caller chose.
     pub fn has_shard(&self, shard: &Shard, owner: &NodeName) -> bool {
-        if !self.regions.is_restricting() {
+        if !self.regions.is_restricted() {
             return true;
         }
-        let zone = shard.one_zone();
+        let zone = shard.representative_zone();
         let may_make = zone.is_none_or(|zone| self.has_zone(zone));
         may_make && (owner == self.own || self.may_hold(owner))
     }
@@ -44,6 +44,6 @@
     /// Whether a shard has a back end that takes work and may do it for the request.
     pub fn has_makers(&self, shard: &Shard, instances: &InstanceTable) -> bool {
         let mut makers = instances.of_shard(shard);
-        makers.any(|one| one.takes_work() && self.has_zone(&one.listed.zone))
+        makers.any(|one| one.accepts_new_work() && self.has_zone(&one.listed.zone))
     }
 }
--- a/crates/daemon/src/gateway/batching.rs
+++ b/crates/daemon/src/gateway/batching.rs
@@ -11,7 +11,7 @@
 use silversail_peer::{PeerMessage, PhaseWork, PieceFailure, ResultHandle, WorkId, WorkMessage};
 use silversail_serving::batcher::{AnnouncedOrder, FinishedOrder, OrderKey};
 use silversail_serving::instances::InstanceTable;
-use silversail_serving::waits::OrderToPlace;
+use silversail_serving::waits::PlacementRequest;
 use stakker::CX;
 
 impl GatewayActor {
@@ -158,7 +158,7 @@
         regions: &RegionFilter,
         now: Millis,
     ) {
-        let to_place = OrderToPlace {
+        let to_place = PlacementRequest {
             zone: "",
             moved_bytes: 0,
             rank: order.priority,
@@ -252,7 +252,7 @@
                 self.batcher
                     .announce(OrderKey { node: from, work }, order, now);
             }
-            WorkMessage::Accepted { waits, .. } | WorkMessage::Waits(waits) => {
+            WorkMessage::Accepted { waits, .. } | WorkMessage::WaitEstimates(waits) => {
                 self.dispatcher.set_waits(waits, now);
             }
             WorkMessage::Done {
@@ -275,7 +275,7 @@
     /// Gives an order that found no maker in its zone's shard to another shard. False where
     /// none is left.
     fn move_order(&mut self, owner: &NodeName, work: WorkId, now: Millis) -> bool {
-        if !self.works.is_owed_by(work, owner) || !self.dispatcher.knows_work(work) {
+        if !self.works.is_owed_by(work, owner) || !self.dispatcher.has_order(work) {
             return false;
         }
         let Some(phase) = self.works.movable_phase(work, now) else {
@@ -308,7 +308,7 @@
             Answered::MadeElsewhere { present } => self.cancel_at(present, work),
             Answered::Ended | Answered::Unknown => {}
         }
-        let is_wanted = answered != Answered::Unknown && self.dispatcher.knows_work(work);
+        let is_wanted = answered != Answered::Unknown && self.dispatcher.has_order(work);
         if !is_wanted {
             // Cancelled meanwhile.
             self.release_at(owner, result.unwrap_or_default());
--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/exchange.rs
@@ -16,7 +16,7 @@
 };
 use silversail_limits::Serial;
 use silversail_serving::dispatcher::{NotRunReason, SendOutcome, SendPlan, UnknownReason};
-use silversail_serving::notices::{AnswerContext, AnswerPath, Withheld};
+use silversail_serving::notices::{AnswerContext, ExchangeKind, UnavailableReason};
 use silversail_serving::ports::{AnswerHead, Protocols, ReportedLoad};
 use std::time::{Duration, Instant};
 use tokio::time::{timeout, timeout_at};
@@ -55,8 +55,8 @@
     }
 }
 
-impl From<Withheld> for Ended {
-    fn from(_: Withheld) -> Self {
+impl From<UnavailableReason> for Ended {
+    fn from(_: UnavailableReason) -> Self {
         SendOutcome::NotRun(NotRunReason::Withheld).into()
     }
 }
@@ -125,9 +125,9 @@
             .requests
             .read_answer(status, response.headers(), id);
         let answer = AnswerContext {
-            path: AnswerPath::Request,
+            path: ExchangeKind::Request,
             permit,
-            is_sound: is_sound(status, &head) && status < 500,
+            is_success: is_sound(status, &head) && status < 500,
         };
         self.listener.heard(&plan.instance, answer, &head.report);
         if head.not_run {
@@ -161,7 +161,7 @@
         request: &IncomingRequest,
         plan: &SendPlan,
     ) -> Result<(Connection, Response<Incoming>, Option<Serial>), Ended> {
-        let mut permit = self.listener.admit(&plan.instance, AnswerPath::Request)?;
+        let mut permit = self.listener.admit(&plan.instance, ExchangeKind::Request)?;
         if let Some(mut connection) = self.pool.take_idle(&plan.address) {
             permit.spend();
             match connection.send(self.build(request, plan)).await {
@@ -234,7 +234,7 @@
 /// itself is none: passed on it would say that the request did not run.
 fn is_sound(status: u16, head: &AnswerHead) -> bool {
     let is_success = (200..300).contains(&status);
-    head.belongs && (head.is_signed || !is_success) && !PROMISES.contains(&status)
+    head.matches_request && (head.is_signed || !is_success) && !PROMISES.contains(&status)
 }
 
 async fn keep_after_refusal(connection: Connection, body: Incoming) {
--- a/crates/daemon/src/gateway/works.rs
+++ b/crates/daemon/src/gateway/works.rs
@@ -116,7 +116,7 @@
     /// The phase of an order that may still go to another shard of its service.
     pub fn movable_phase(&self, work: WorkId, now: Millis) -> Option<PhaseWork> {
         let submitted = self.submitted.get(&work)?;
-        let may_move = !submitted.phase.shard.is_whole() && submitted.moves < MAX_MOVES;
+        let may_move = !submitted.phase.shard.is_whole_service() && submitted.moves < MAX_MOVES;
         may_move.then(|| self.phase_of(work, now))?
     }
 
@@ -156,7 +156,8 @@
         let submitted = self.submitted.get_mut(&work)?;
         let waited = now.saturating_sub(submitted.at);
         submitted.phase.remaining_ms = submitted.end.saturating_sub(now);
-        submitted.phase.wanted_in_ms = submitted.phase.wanted_in_ms.saturating_sub(waited);
+        submitted.phase.target_remaining_ms =
+            submitted.phase.target_remaining_ms.saturating_sub(waited);
         submitted.at = now;
         let former = submitted.owner.clone();
         if let Some((shard, owner)) = placed {
--- a/crates/daemon/src/rollout/recording.rs
+++ b/crates/daemon/src/rollout/recording.rs
@@ -28,10 +28,10 @@
     fn of(evidence: &Evidence) -> Self {
         let mut totals = Self::default();
         for seen in evidence.routes.values() {
-            totals.candidate_good += seen.candidate.good;
-            totals.candidate_bad += seen.candidate.bad;
-            totals.baseline_good += seen.baseline.good;
-            totals.baseline_bad += seen.baseline.bad;
+            totals.candidate_good += seen.candidate.succeeded;
+            totals.candidate_bad += seen.candidate.failed;
+            totals.baseline_good += seen.baseline.succeeded;
+            totals.baseline_bad += seen.baseline.failed;
         }
         totals
     }
@@ -53,7 +53,7 @@
         elapsed: impl Fn(RolloutNumber) -> u64,
     ) {
         self.known
-            .retain(|number, _| rollouts.numbered(*number).is_some());
+            .retain(|number, _| rollouts.by_number(*number).is_some());
         for rollout in rollouts.all() {
             let former = self.known.insert(rollout.number, rollout.state.clone());
             if former.as_ref() == Some(&rollout.state) {
--- a/crates/daemon/src/session/relay.rs
+++ b/crates/daemon/src/session/relay.rs
@@ -10,14 +10,15 @@
 use crate::session::relay_limits::AnnouncementBudget;
 use crate::session::relay_listing::HeldListing;
 use silversail_consensus::Millis;
-use silversail_control::batch_owners::MakersByZone;
+use silversail_control::batch_owners::BackendsByZone;
 use silversail_control::{
-    ClusterView, ControlState, EvacuationRevision, EvidenceTable, MembershipTable, NodeReport,
-    RolloutsRevision, SightingTable, TrafficUpdates, ViewHistory, ViewUpdate, ViewVersion,
+    ClusterView, ControlState, CrashTable, EvacuationRevision, EvidenceTable, MembershipTable,
+    NodeReport, RolloutsRevision, TrafficUpdateCache, ViewHistory, ViewUpdate, ViewVersion,
 };
 use silversail_model::{NodeName, Revision, Topology, TrafficVersion};
 use silversail_peer::{
-    ListingUpdates, ListingVersion, PeerMessage, SessionHeartbeat, SessionMessage, SessionReply,
+    BackendListHistory, BackendListVersion, PeerMessage, SessionHeartbeat, SessionMessage,
+    SessionReply,
 };
 use silversail_quarantine::QuarantineRevision;
 use stakker::{after, CX};
@@ -36,7 +37,7 @@
 pub type SharedEvidence = Rc<RefCell<EvidenceTable>>;
 
 /// What nodes told of crashes, shared with the actor that commits it.
-pub type SharedSightings = Rc<RefCell<SightingTable>>;
+pub type SharedSightings = Rc<RefCell<CrashTable>>;
 
 /// What a relay is made of.
 pub struct RelaySetup {
@@ -72,7 +73,7 @@
     /// The view that it has, by its last heartbeat or what was sent to it since.
     view: ViewVersion,
     /// The listing that it has, by the same.
-    pub(super) listing: Option<ListingVersion>,
+    pub(super) listing: Option<BackendListVersion>,
     /// What may still be on its way to it.
     pub(super) large_updates: LargeUpdates,
 }
@@ -86,14 +87,14 @@
     views: ViewHistory,
     pub(super) table: Option<(u64, MembershipTable)>,
     sent_version: ViewVersion,
-    traffic: TrafficUpdates,
+    traffic: TrafficUpdateCache,
     pub(super) listing: Option<HeldListing>,
     /// The listing's last changes, for nodes and relays that hold older ones.
-    pub(super) listings: ListingUpdates,
+    pub(super) listings: BackendListHistory,
     /// When relays that report another listing were last told.
     pub(super) told_listing_at: BTreeMap<NodeName, Millis>,
     /// Back ends of each service that are not leaving, by zone, as the listing tells.
-    pub(super) makers: BTreeMap<String, MakersByZone>,
+    pub(super) makers: BTreeMap<String, BackendsByZone>,
     pub(super) announcements: AnnouncementBudget,
 }
 
@@ -109,9 +110,9 @@
             views: ViewHistory::default(),
             table: None,
             sent_version: ViewVersion::default(),
-            traffic: TrafficUpdates::default(),
+            traffic: TrafficUpdateCache::default(),
             listing: None,
-            listings: ListingUpdates::default(),
+            listings: BackendListHistory::default(),
             told_listing_at: BTreeMap::new(),
             makers: BTreeMap::new(),
             announcements: AnnouncementBudget::default(),
@@ -162,12 +163,12 @@
         let mut evidence = self.setup.evidence.borrow_mut();
         let mut sightings = self.setup.sightings.borrow_mut();
         for report in reports.values() {
-            table.report(report, now);
-            evidence.report(report, &control.rollouts);
-            sightings.report(report, now);
+            table.record_report(report, now);
+            evidence.record_report(report, &control.rollouts);
+            sightings.record_report(report, now);
         }
         table.expire(now);
-        evidence.follow(table.processes(), &control.rollouts);
+        evidence.update_live_processes(table.processes(), &control.rollouts);
         let services = batched_services(&control);
         drop((control, evidence, sightings));
         let directory = self.setup.directory.borrow();
@@ -187,7 +188,7 @@
     /// Tells the relays what changed since the version `sent` before; one that missed it
     /// shows so with its next reports.
     fn send_to_relays(&mut self, sent: ViewVersion) {
-        let update = self.views.since(sent, &self.view);
+        let update = self.views.update_since(sent, &self.view);
         let mut outbox = self.setup.outbox.borrow_mut();
         let own = outbox.node().clone();
         let relays = self.setup.directory.borrow().replicating();
@@ -205,7 +206,7 @@
         let message = SessionMessage::Reports {
             reports: reports.into_values().collect(),
             view: self.view.version,
-            listing: self.listing.as_ref().map(|held| held.listing.version),
+            backend_list: self.listing.as_ref().map(|held| held.listing.version),
         };
         let leader = NodeName(leader);
         self.setup
@@ -230,13 +231,13 @@
             quarantine: heartbeat.report.quarantine,
             heard_at: now,
             view: heartbeat.view,
-            listing: heartbeat.listing,
+            listing: heartbeat.backend_list,
             large_updates,
         };
         self.sessions.insert(from.clone(), session);
         let mut reply = self.reply(&heartbeat, now);
         self.hold_back_repeats(&from, &mut reply, now);
-        if let (Some(update), Some(session)) = (&reply.listing, self.sessions.get_mut(&from)) {
+        if let (Some(update), Some(session)) = (&reply.backend_list, self.sessions.get_mut(&from)) {
             session.listing = Some(update.version);
         }
         if let Some(update) = &reply.update {
@@ -271,14 +272,14 @@
         };
         let large = &mut session.large_updates;
         let mut is_due = |kind, bytes| large.may_send(kind, bytes, now);
-        let listing = reply.listing.take();
-        reply.listing = listing.filter(|one| is_due(UpdateKind::Listing, one.size()));
+        let listing = reply.backend_list.take();
+        reply.backend_list = listing.filter(|one| is_due(UpdateKind::Listing, one.size()));
         let view = reply.view.take();
         reply.view = view.filter(|one| is_due(UpdateKind::View, one.size()));
     }
 
     fn reply(&mut self, heartbeat: &SessionHeartbeat, now: Millis) -> SessionReply {
-        let listing = self.listings.since(heartbeat.listing);
+        let listing = self.listings.since(heartbeat.backend_list);
         let wants_view = self.view.version > heartbeat.view;
         let control = self.setup.machine.borrow();
         let machine = &control.configuration;
@@ -289,7 +290,7 @@
             Some(_) => machine.update_since(heartbeat.report.revision),
             None => None,
         };
-        let newer = age.and_then(|_| self.traffic.since(heartbeat.report.traffic));
+        let newer = age.and_then(|_| self.traffic.update_since(heartbeat.report.traffic));
         let evacuations = &control.evacuations;
         let lacks_evacuations = heartbeat.report.evacuations < Some(evacuations.revision());
         let rollouts = &control.rollouts;
@@ -310,12 +311,12 @@
             rollouts: (age.is_some() && lacks_rollouts).then(|| rollouts.clone()),
             quarantine_revision: quarantine.revision,
             quarantine: (age.is_some() && lacks_quarantine).then(|| quarantine.clone()),
-            view: wants_view.then(|| Box::new(self.views.since(heartbeat.view, &self.view))),
-            listing_age: self.listing.as_ref().map(|held| {
+            view: wants_view.then(|| Box::new(self.views.update_since(heartbeat.view, &self.view))),
+            backend_list_age: self.listing.as_ref().map(|held| {
                 let age = now.saturating_sub(held.confirmed_at);
                 (held.listing.version, age)
             }),
-            listing,
+            backend_list: listing,
         }
     }
 
@@ -326,13 +327,13 @@
         from: NodeName,
         reports: Vec<NodeReport>,
         view: ViewVersion,
-        listing: Option<ListingVersion>,
+        listing: Option<BackendListVersion>,
     ) {
         let now = self.now(cx);
         self.repair_listing(&from, listing, now);
         if self.table.is_some() && view < self.view.version {
             // The relay was away when the view changed, or the message was lost.
-            let message = SessionMessage::View(self.views.since(view, &self.view));
+            let message = SessionMessage::View(self.views.update_since(view, &self.view));
             self.setup
                 .outbox
                 .borrow_mut()
@@ -346,7 +347,7 @@
     /// The leader's view.
     pub fn view(&mut self, cx: CX![], update: ViewUpdate) {
         let now = self.now(cx);
-        match update.applied_to(&self.view) {
+        match update.apply_to(&self.view) {
             Ok(Some(view)) => self.take_view(view, now),
             Ok(None) => {}
             // The next reports tell the leader what is held here.
@@ -358,7 +359,7 @@
     /// at once, as orders wait for them.
     fn take_view(&mut self, view: ClusterView, now: Millis) {
         let has_other_owners = view.batch_owners != self.view.batch_owners;
-        self.views.changed(&self.view, &view);
+        self.views.record_change(&self.view, &view);
         self.view = view;
         if has_other_owners {
             self.push_view(now);
@@ -371,7 +372,7 @@
         let mut outbox = self.setup.outbox.borrow_mut();
         for (node, session) in &mut self.sessions {
             if now.saturating_sub(session.heard_at) <= SESSION_SILENCE {
-                let update = self.views.since(session.view, &self.view);
+                let update = self.views.update_since(session.view, &self.view);
                 let large = &mut session.large_updates;
                 if !large.may_send(UpdateKind::View, update.size(), now) {
                     continue;
@@ -394,7 +395,7 @@
 
     fn follow_traffic(&mut self) {
         let control = self.setup.machine.borrow();
-        self.traffic.follow(control.published.as_ref());
+        self.traffic.set_latest(control.published.as_ref());
     }
 
     /// The replicated configuration may have changed: nodes get it at once.
@@ -430,7 +431,7 @@
                 let message = SessionMessage::PushQuarantine(quarantine.clone());
                 outbox.send(node, PeerMessage::Session(message));
             }
-            if let Some(traffic) = self.traffic.since(session.traffic) {
+            if let Some(traffic) = self.traffic.update_since(session.traffic) {
                 session.traffic = Some(traffic.version());
                 let message = SessionMessage::PushTraffic(traffic);
                 outbox.send(node, PeerMessage::Session(message));
@@ -440,7 +441,7 @@
             }
             if let Some(update) = machine.update_since(session.revision) {
                 session.revision = Some(current);
-                let message = SessionMessage::Push(update);
+                let message = SessionMessage::PushConfiguration(update);
                 outbox.send(node, PeerMessage::Session(message));
             }
         }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -1,116 +1,119 @@
-//! What answers of the baseline and of the candidate came to, counted on each node since the
-//! rollout began there, summed by the leader. Counts of a process only grow, so a message that
-//! is lost or comes twice changes nothing.
+//! Evidence of a rollout: counts of the responses of baseline and candidate, kept by each node
+//! since the rollout began there and summed by the leader. The counts of a process only increase,
+//! so lost or repeated messages do not change the sum.
 
-use crate::latency::LatencyCounts;
+use crate::latency::LatencyHistogram;
 use crate::order::{RolloutNumber, Verdict};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Answers of one version on one route.
+/// Counts of the responses of one version on one route.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answers {
-    /// Requests sent, those that were sent again included.
+pub struct ResponseCounts {
+    /// Number of requests sent, including retries.
     pub sent: u64,
-    /// Whole answers that are no failure.
-    pub good: u64,
-    /// Failures: error statuses, answers that broke off, garbled ones, none in time.
-    pub bad: u64,
-    /// Milliseconds until the first part of good answers.
-    pub first_part: LatencyCounts,
-    /// Milliseconds until the end of good answers.
-    pub whole: LatencyCounts,
+    /// Number of complete responses without a failure.
+    pub succeeded: u64,
+    /// Number of failures: error statuses, interrupted or malformed responses, and timeouts.
+    pub failed: u64,
+    /// Time to the first part of successful responses, in milliseconds.
+    pub time_to_first_byte: LatencyHistogram,
+    /// Time to the end of successful responses, in milliseconds.
+    pub response_time: LatencyHistogram,
 }
 
-impl Answers {
-    /// Requests that have an answer, good or bad.
-    pub fn ended(&self) -> u64 {
-        self.good + self.bad
+impl ResponseCounts {
+    /// Number of requests that have succeeded or failed.
+    pub fn completed(&self) -> u64 {
+        self.succeeded + self.failed
     }
 
-    /// What came after an earlier count of the same answers. A count that fell, as processes
-    /// that held it are gone, gives 0.
+    /// Returns the difference to an earlier count. A count that has decreased because processes
+    /// ended gives 0.
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
             sent: self.sent.saturating_sub(earlier.sent),
-            good: self.good.saturating_sub(earlier.good),
-            bad: self.bad.saturating_sub(earlier.bad),
-            first_part: self.first_part.since(&earlier.first_part),
-            whole: self.whole.since(&earlier.whole),
+            succeeded: self.succeeded.saturating_sub(earlier.succeeded),
+            failed: self.failed.saturating_sub(earlier.failed),
+            time_to_first_byte: self.time_to_first_byte.since(&earlier.time_to_first_byte),
+            response_time: self.response_time.since(&earlier.response_time),
         }
     }
 
     /// Adds the counts of another process.
     pub fn merge(&mut self, other: &Self) {
         self.sent += other.sent;
-        self.good += other.good;
-        self.bad += other.bad;
-        self.first_part.merge(&other.first_part);
-        self.whole.merge(&other.whole);
+        self.succeeded += other.succeeded;
+        self.failed += other.failed;
+        self.time_to_first_byte.merge(&other.time_to_first_byte);
+        self.response_time.merge(&other.response_time);
     }
 }
 
-/// Answers of both versions on one route.
+/// Counts of the responses of both versions on one route.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteEvidence {
-    /// Of the baseline.
-    pub baseline: Answers,
-    /// Of the candidate.
-    pub candidate: Answers,
+    /// Responses of the baseline.
+    pub baseline: ResponseCounts,
+    /// Responses of the candidate.
+    pub candidate: ResponseCounts,
 }
 
 impl RouteEvidence {
-    /// Requests sent to either version.
+    /// Number of requests sent to both versions.
     pub fn sent(&self) -> u64 {
         self.baseline.sent + self.candidate.sent
     }
 }
 
-/// What one process, or all together, saw of a rollout.
+/// Evidence of one process, or the sum over all processes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// The rollout.
+    /// Number of the rollout.
     pub rollout: RolloutNumber,
-    /// The directive that the process obeys: its step. Of a sum, the lowest.
+    /// Step of the directive that the process applies; the lowest one in a sum.
     pub step: u32,
-    /// Requests under way at the baseline.
+    /// Number of requests in flight at the baseline.
     pub baseline_in_flight: u64,
-    /// By route.
+    /// Counts by route name.
     pub routes: BTreeMap<String, RouteEvidence>,
 }
 
 impl Evidence {
-    /// What came after an earlier count of the same rollout.
+    /// Returns the difference to earlier evidence of the same rollout.
     pub fn since(&self, earlier: &Self) -> Self {
-        let mut later = self.clone();
-        for (route, seen) in &mut later.routes {
-            if let Some(before) = earlier.routes.get(route) {
-                seen.baseline = seen.baseline.since(&before.baseline);
-                seen.candidate = seen.candidate.since(&before.candidate);
+        let mut difference = self.clone();
+        for (route, route_evidence) in &mut difference.routes {
+            if let Some(earlier_route) = earlier.routes.get(route) {
+                route_evidence.baseline = route_evidence.baseline.since(&earlier_route.baseline);
+                route_evidence.candidate = route_evidence.candidate.since(&earlier_route.candidate);
             }
         }
-        later
+        difference
     }
 
-    /// Requests sent to the candidate, on all routes.
+    /// Number of requests sent to the candidate, on all routes.
     pub fn sent_to_candidate(&self) -> u64 {
-        self.routes.values().map(|seen| seen.candidate.sent).sum()
+        self.routes
+            .values()
+            .map(|route_evidence| route_evidence.candidate.sent)
+            .sum()
     }
 
-    /// Requests sent to either version, on all routes.
-    pub fn sent_in_all(&self) -> u64 {
+    /// Number of requests sent to both versions, on all routes.
+    pub fn total_sent(&self) -> u64 {
         self.routes.values().map(RouteEvidence::sent).sum()
     }
 
-    /// A verdict that all answers together gave, with their failures.
+    /// Returns a verdict with the given reason and the counts over all routes.
     pub fn verdict(&self, reason: &str, elapsed_ms: u64) -> Verdict {
         let mut candidate = (0, 0);
         let mut baseline = (0, 0);
-        for seen in self.routes.values() {
-            candidate.0 += seen.candidate.ended();
-            candidate.1 += seen.candidate.bad;
-            baseline.0 += seen.baseline.ended();
-            baseline.1 += seen.baseline.bad;
+        for route_evidence in self.routes.values() {
+            candidate.0 += route_evidence.candidate.completed();
+            candidate.1 += route_evidence.candidate.failed;
+            baseline.0 += route_evidence.baseline.completed();
+            baseline.1 += route_evidence.baseline.failed;
         }
         Verdict {
             reason: reason.to_owned(),
@@ -121,23 +124,22 @@
         }
     }
 
-    /// Answers of the candidate, on all routes.
-    pub fn candidate_ended(&self) -> u64 {
+    /// Number of completed candidate requests, on all routes.
+    pub fn candidate_completed(&self) -> u64 {
         self.routes
             .values()
-            .map(|seen| seen.candidate.ended())
+            .map(|route_evidence| route_evidence.candidate.completed())
             .sum()
     }
 
-    /// Adds what another process saw of the same rollout: counts are summed, and the step is the
-    /// lowest of both.
+    /// Adds the evidence of another process: counts are summed, and the step is the lower of both.
     pub fn merge(&mut self, other: &Self) {
         self.step = self.step.min(other.step);
         self.baseline_in_flight += other.baseline_in_flight;
-        for (route, seen) in &other.routes {
-            let own = self.routes.entry(route.clone()).or_default();
-            own.baseline.merge(&seen.baseline);
-            own.candidate.merge(&seen.candidate);
+        for (route, route_evidence) in &other.routes {
+            let own_route = self.routes.entry(route.clone()).or_default();
+            own_route.baseline.merge(&route_evidence.baseline);
+            own_route.candidate.merge(&route_evidence.candidate);
         }
     }
 }
--- a/crates/serving/examples/batch_cost.rs
+++ b/crates/serving/examples/batch_cost.rs
@@ -1,6 +1,6 @@
-//! What a message costs the node that batches a service, with 1, 100 and 1,000 orders
-//! waiting: taking an order, telling waits and looking for calls. Then what an order costs from
-//! its coming to its end where makers are idle, with 18 and 192 of them in the owner's zone.
+//! Measures the cost per message of the node that batches a service, with 1, 100 and 1,000 waiting
+//! orders: accepting an order, estimating waits and scheduling calls. Then measures the total cost of
+//! an order with idle back ends, with 18, 192 and 384 of them in the owner's zone.
 //!
 //! ```text
 //! cargo run --release -p silversail-serving --example batch_cost
@@ -14,11 +14,11 @@
 use silversail_serving::batcher::{AnnouncedOrder, Batcher, CallOutcome, OrderKey};
 use silversail_serving::instances::InstanceTable;
 use silversail_serving::policy::Policy;
-use silversail_serving::ports::ListedInstance;
+use silversail_serving::ports::BackendListEntry;
 use std::collections::VecDeque;
 use std::time::Instant;
 
-const MAKERS: usize = 18;
+const BACK_ENDS: usize = 18;
 const MESSAGES: u64 = 2_000;
 
 fn key(work: u64) -> OrderKey {
@@ -37,20 +37,20 @@
         result_bytes: 60_000,
     };
     PhaseWork {
-        shard: Shard::whole("service"),
+        shard: Shard::whole_service("service"),
         pieces: (0..8).map(piece).collect(),
         fingerprint: RequestFingerprint::default(),
         priority: (work % 3) as u8,
         zone: String::new(),
         moved_bytes: 0,
         regions: RegionFilter::any(),
-        wanted_in_ms: 60_000,
+        target_remaining_ms: 60_000,
         remaining_ms: 60_000_000,
     }
 }
 
-fn maker(number: usize) -> ListedInstance {
-    ListedInstance {
+fn back_end(number: usize) -> BackendListEntry {
+    BackendListEntry {
         id: format!("maker-{number}"),
         name: format!("maker-{number}"),
         service: "service".into(),
@@ -60,7 +60,7 @@
         slots: 1,
         draining: false,
         cold: false,
-        born: None,
+        started_at_ms: None,
     }
 }
 
@@ -75,58 +75,58 @@
         result_lifetime_ms: 4_000,
     };
     for waiting in [1, 100, 1_000] {
-        let mut table = InstanceTable::new(DecisionLog::off());
-        let listed = (0..MAKERS).map(maker);
-        table.replace(&listed.collect::<Vec<_>>());
-        let mut batcher = Batcher::new(Policy::default(), DecisionLog::off());
+        let mut table = InstanceTable::new(DecisionLog::disabled());
+        let listed = (0..BACK_ENDS).map(back_end);
+        table.replace_list(&listed.collect::<Vec<_>>());
+        let mut batcher = Batcher::new(Policy::default(), DecisionLog::disabled());
         batcher.set_specs([("service".to_owned(), spec.clone())].into());
-        // All makers are at work, and so many orders wait.
-        for work in 0..(MAKERS as u64 * 5 + waiting) {
+        // All back ends are busy, and `waiting` orders are queued.
+        for work in 0..(BACK_ENDS as u64 * 5 + waiting) {
             batcher
                 .submit(key(work), order(work), &table, 0)
                 .expect("taken");
             batcher.next_calls(&table, 0);
         }
         let announced = AnnouncedOrder {
-            shard: Shard::whole("service"),
+            shard: Shard::whole_service("service"),
             pieces: 8,
             priority: 1,
         };
         for work in 0..waiting {
             batcher.announce(key(1 << 40 | work), announced.clone(), 0);
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         for message in 0..MESSAGES {
             let work = 1 << 30 | message;
-            batcher.waits(&Shard::whole("service"), &table, 1);
+            batcher.waits(&Shard::whole_service("service"), &table, 1);
             batcher
                 .submit(key(work), order(work), &table, 1)
                 .expect("taken");
             batcher.next_calls(&table, 1);
             batcher.cancel(&key(work));
         }
-        let micros = began.elapsed().as_micros() as f64 / MESSAGES as f64;
+        let micros = started_at.elapsed().as_micros() as f64 / MESSAGES as f64;
         println!("{waiting:>5} orders waiting: {micros:8.1} us a message");
     }
     for in_zone in [18, 192, 384] {
-        with_idle_makers(in_zone, &spec);
+        measure_idle_back_ends(in_zone, &spec);
     }
 }
 
-/// Orders of one zone's shard of a service with six zones, as many a second as makers end calls.
-fn with_idle_makers(in_zone: usize, spec: &BatchSpec) {
-    let mut table = InstanceTable::new(DecisionLog::off());
-    let listed = (0..6 * in_zone).map(|number| ListedInstance {
+/// Measures orders for the shard of one zone of six, at the rate at which its back ends finish calls.
+fn measure_idle_back_ends(in_zone: usize, spec: &BatchSpec) {
+    let mut table = InstanceTable::new(DecisionLog::disabled());
+    let listed = (0..6 * in_zone).map(|number| BackendListEntry {
         zone: format!("zone-{}", number % 6),
-        ..maker(number)
+        ..back_end(number)
     });
-    table.replace(&listed.collect::<Vec<_>>());
-    let mut batcher = Batcher::new(Policy::default(), DecisionLog::off());
+    table.replace_list(&listed.collect::<Vec<_>>());
+    let mut batcher = Batcher::new(Policy::default(), DecisionLog::disabled());
     batcher.set_specs([("service".to_owned(), spec.clone())].into());
     let shard = Shard::in_zone("service", "zone-0");
-    let under_way = in_zone / 4;
+    let in_progress = in_zone / 4;
     let mut calls = VecDeque::new();
-    let began = Instant::now();
+    let started_at = Instant::now();
     for message in 0..MESSAGES {
         let work = PhaseWork {
             shard: shard.clone(),
@@ -137,7 +137,7 @@
             .expect("taken");
         batcher.waits(&shard, &table, message);
         calls.extend(batcher.next_calls(&table, message));
-        while calls.len() > under_way {
+        while calls.len() > in_progress {
             let Some(call) = calls.pop_front() else {
                 break;
             };
@@ -148,14 +148,14 @@
                 batcher.release(&finished.result.unwrap_or_default());
             }
             batcher.next_calls(&table, message);
-            // Told waits, freed results, inputs read.
+            // Stands for wait updates, freed results and read inputs.
             for _ in 0..3 {
                 batcher.next_calls(&table, message);
             }
         }
         let released = batcher.take_releases();
-        batcher.freed(&released);
+        batcher.results_freed(&released);
     }
-    let micros = began.elapsed().as_micros() as f64 / MESSAGES as f64;
+    let micros = started_at.elapsed().as_micros() as f64 / MESSAGES as f64;
     println!("{in_zone:>5} makers in the zone: {micros:8.1} us an order");
 }
--- a/crates/serving/examples/returns.rs
+++ b/crates/serving/examples/returns.rs
@@ -10,12 +10,12 @@
 use silversail_decisions::DecisionLog;
 use silversail_model::topology::{RegionFilter, RoundTrips};
 use silversail_model::Topology;
-use silversail_peer::ListedInstance;
-use silversail_serving::cold::ColdUse;
-use silversail_serving::instances::{InstanceTable, ReturnPolicy};
-use silversail_serving::notices::{AnswerPath, BackendNotices};
+use silversail_peer::BackendListEntry;
+use silversail_serving::cold::ColdBackendPolicy;
+use silversail_serving::instances::{InstanceTable, ResumePolicy};
+use silversail_serving::notices::{BackendNotices, ExchangeKind};
 use silversail_serving::ports::{Pace, ReportedLoad, SelfReport};
-use silversail_serving::regions::{RegionAffinity, SharedPrompt};
+use silversail_serving::regions::{RegionAffinity, SharedPrefixCost};
 use silversail_serving::rollouts::VersionChoice;
 use silversail_serving::selection::{select, SelectionRequest};
 use std::collections::BTreeMap;
@@ -46,7 +46,7 @@
 /// How nodes take what engines ask for.
 #[derive(Clone, Copy)]
 struct Way {
-    returns: ReturnPolicy,
+    returns: ResumePolicy,
     /// Whether a rest that one node was asked for counts at all of them.
     told_to_all: bool,
     /// Whether engines that turn a request away ask for rest.
@@ -85,8 +85,8 @@
     format!("e{engine}")
 }
 
-fn listed(engine: usize) -> ListedInstance {
-    ListedInstance {
+fn listed(engine: usize) -> BackendListEntry {
+    BackendListEntry {
         id: id_of(engine),
         name: id_of(engine),
         service: "pool".into(),
@@ -96,26 +96,26 @@
         slots: SLOTS,
         draining: false,
         cold: false,
-        born: None,
+        started_at_ms: None,
     }
 }
 
 impl Model {
     fn new(trouble: Trouble, nodes: usize, way: Way, seed: u64) -> Self {
-        let all = BackendNotices::new(DecisionLog::off());
-        let list: Vec<ListedInstance> = (0..ENGINES).map(listed).collect();
+        let all = BackendNotices::new(DecisionLog::disabled());
+        let list: Vec<BackendListEntry> = (0..ENGINES).map(listed).collect();
         let names: Vec<String> = (0..nodes).map(|node| format!("n{node}")).collect();
         let table = |own: &String| {
-            let own_notices = || BackendNotices::new(DecisionLog::off());
+            let own_notices = || BackendNotices::new(DecisionLog::disabled());
             let notices = if way.told_to_all {
                 all.clone()
             } else {
                 own_notices()
             };
-            let mut table = InstanceTable::with_notices(notices, DecisionLog::off());
+            let mut table = InstanceTable::with_notices(notices, DecisionLog::disabled());
             table.set_senders(own, names.clone());
-            table.set_returns(way.returns);
-            table.replace(&list);
+            table.set_resume_policy(way.returns);
+            table.replace_list(&list);
             table
         };
         Self {
@@ -162,10 +162,10 @@
                 regions: &regions,
                 region_affinity: RegionAffinity::Off,
                 affinity: None,
-                shared_prompt: SharedPrompt::default(),
+                shared_prompt: SharedPrefixCost::default(),
                 inputs: &[],
                 tried: &tried,
-                cold_use: ColdUse::Unlimited,
+                cold_use: ColdBackendPolicy::Unlimited,
                 lot: 0,
             };
             let chosen = select(&self.nodes[node], &request, now);
@@ -174,7 +174,7 @@
             };
             let engine: usize = id[1..].parse().expect("a number");
             self.tally.sends += 1;
-            self.nodes[node].sent(&id, 1, now);
+            self.nodes[node].record_sent(&id, 1, now);
             if self.takes(engine, now) {
                 let work = -WORK_MS * (1.0 - self.random.gen::<f64>()).ln();
                 self.work(node, engine, work as u64 + 1, now);
@@ -214,7 +214,7 @@
             running: all.min(SLOTS),
             waiting: all.saturating_sub(SLOTS),
             slots: SLOTS,
-            pace: Pace::USUAL,
+            pace: Pace::NORMAL,
         }
     }
 
@@ -231,10 +231,12 @@
             rest: self.asks.then_some(REST),
             ..SelfReport::default()
         };
-        table.notices().hear(&id, AnswerPath::Request, &said, now);
-        table.ended(&id, 1);
-        table.reported(&id, load, now);
-        table.full(&id, now);
+        table
+            .notices()
+            .record_report(&id, ExchangeKind::Request, &said, now);
+        table.record_ended(&id, 1);
+        table.record_load(&id, load, now);
+        table.record_full(&id, now);
     }
 
     fn end(&mut self, node: usize, engine: usize, arrived: u64, now: u64) {
@@ -246,10 +248,12 @@
         let id = id_of(engine);
         let table = &mut self.nodes[node];
         let said = SelfReport::default();
-        table.notices().hear(&id, AnswerPath::Request, &said, now);
-        table.ended(&id, 1);
-        table.reported(&id, load, now);
-        table.answered(&id);
+        table
+            .notices()
+            .record_report(&id, ExchangeKind::Request, &said, now);
+        table.record_ended(&id, 1);
+        table.record_load(&id, load, now);
+        table.record_answer(&id);
         let took = now - arrived;
         self.tally.times.push(took);
         if took <= OBJECTIVE {
@@ -260,7 +264,7 @@
 
 const fn way(first_alone: bool, spread: f64, told_to_all: bool, asks: bool) -> Way {
     Way {
-        returns: ReturnPolicy {
+        returns: ResumePolicy {
             first_alone,
             spread,
         },
@@ -311,7 +315,7 @@
     sum.times.sort_unstable();
     let p90 = sum.times[sum.times.len() * 9 / 10];
     let asked = f64::from(sum.asked);
-    let ReturnPolicy {
+    let ResumePolicy {
         first_alone,
         spread,
     } = way.returns;
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -1,53 +1,52 @@
-//! Which requests are not sent any more, as they crash the back ends which run them. All paths
-//! that send ask here.
+//! Quarantine of requests that crash the back ends that run them. Every send path checks it.
 
 use crate::Millis;
 use silversail_model::RequestFingerprint;
-use silversail_quarantine::{Limits, OwnEvidence, SharedQuarantineList};
+use silversail_quarantine::{LocalCrashEvidence, QuarantineLimits, SharedQuarantineList};
 use std::collections::BTreeSet;
 
-/// What the nodes together decided, and what this one saw itself.
+/// The cluster's quarantine list combined with the evidence of this node.
 #[derive(Debug, Default)]
 pub struct RequestQuarantine {
     list: SharedQuarantineList,
-    own: OwnEvidence,
+    own: LocalCrashEvidence,
 }
 
 impl RequestQuarantine {
-    /// Refuses nothing yet.
-    pub fn new(limits: Limits) -> Self {
+    /// Creates an empty quarantine with the given limits on evidence.
+    pub fn new(limits: QuarantineLimits) -> Self {
         Self {
             list: SharedQuarantineList::default(),
-            own: OwnEvidence::new(limits),
+            own: LocalCrashEvidence::new(limits),
         }
     }
 
-    /// Takes the list in force. What it refuses no more is sent again, whatever was seen here.
+    /// Replaces the cluster's list. Local evidence against released requests is dropped.
     pub fn take(&mut self, list: SharedQuarantineList) {
         for released in self.list.refused.difference(&list.refused) {
-            self.own.forgive(released);
+            self.own.clear(released);
         }
         self.list = list;
     }
 
-    /// Whether a request is not to be sent.
+    /// Whether a request is quarantined.
     pub fn refuses(&self, fingerprint: &RequestFingerprint) -> bool {
-        self.list.refused.contains(fingerprint) || self.own.refuses(fingerprint)
+        self.list.refused.contains(fingerprint) || self.own.is_refused(fingerprint)
     }
 
-    /// A back end ended with these requests; returns the suspects among them.
+    /// Records that a back end crashed while it ran these requests; returns the suspects among them.
     pub fn crashed(
         &mut self,
         backend: &str,
         fingerprints: impl IntoIterator<Item = RequestFingerprint>,
         now: Millis,
     ) -> BTreeSet<RequestFingerprint> {
-        self.own.crashed(backend, fingerprints, now)
+        self.own.record_crash(backend, fingerprints, now)
     }
 
-    /// A request got a whole answer. True where the other nodes are to know.
+    /// Records that a request was answered completely. True if other nodes must be informed.
     pub fn ended_well(&mut self, fingerprint: RequestFingerprint) -> bool {
-        self.own.ended_well(fingerprint);
-        self.list.names(&fingerprint)
+        self.own.record_success(fingerprint);
+        self.list.contains(&fingerprint)
     }
 }
--- a/crates/serving/tests/common/batches.rs
+++ b/crates/serving/tests/common/batches.rs
@@ -1,4 +1,4 @@
-//! A batcher of one service, with its makers and orders.
+//! Fixtures: a batcher of one service with back ends and orders.
 
 use super::{batch_spec, instance};
 use silversail_decisions::DecisionLog;
@@ -9,24 +9,26 @@
 use silversail_serving::instances::InstanceTable;
 use silversail_serving::policy::Policy;
 
-pub fn table(makers: &[(&str, &str)]) -> InstanceTable {
-    let mut table = InstanceTable::new(DecisionLog::off());
-    let listed = makers.iter().map(|(id, zone)| instance(id, "encode", zone));
-    table.replace(&listed.collect::<Vec<_>>());
+pub fn table(backends: &[(&str, &str)]) -> InstanceTable {
+    let mut table = InstanceTable::new(DecisionLog::disabled());
+    let listed = backends
+        .iter()
+        .map(|(id, zone)| instance(id, "encode", zone));
+    table.replace_list(&listed.collect::<Vec<_>>());
     table
 }
 
 pub fn whole() -> Shard {
-    Shard::whole("encode")
+    Shard::whole_service("encode")
 }
 
-/// A batcher that fills 85 in 100 of the makers' room.
+/// A batcher that uses 85 % of the result memory of each back end.
 pub fn batcher() -> Batcher {
     let policy = Policy {
         room_share: 0.85,
         ..Policy::default()
     };
-    let mut batcher = Batcher::new(policy, DecisionLog::off());
+    let mut batcher = Batcher::new(policy, DecisionLog::disabled());
     batcher.set_specs([("encode".to_owned(), batch_spec())].into());
     batcher
 }
@@ -54,7 +56,7 @@
         zone: String::new(),
         moved_bytes: 0,
         regions: RegionFilter::any(),
-        wanted_in_ms: 1_000,
+        target_remaining_ms: 1_000,
         remaining_ms: 4_000,
     }
 }
--- a/crates/simulation/tests/evacuations.rs
+++ b/crates/simulation/tests/evacuations.rs
@@ -36,7 +36,7 @@
     let order = EvacuationOrder {
         zone,
         evacuated,
-        seen,
+        known_revision: seen,
     };
     let command = ControlCommand::Evacuate(order).encode();
     let acknowledged = Rc::new(Cell::new(false));
@@ -174,7 +174,7 @@
         topology: Arc::new(topology.expect("a valid topology")),
         state: node.state.clone(),
         proposer: (*node.actors.control_proposer).clone(),
-        log: DecisionLog::off(),
+        log: DecisionLog::disabled(),
     };
     let stakker = &mut node.stakker;
     let actor = actor!(stakker, EvacuationActor::init(setup), ret_nop!());
