--- a/crates/daemon/src/actors.rs
+++ b/crates/daemon/src/actors.rs
@@ -184,7 +184,7 @@
             PeerMessage::Discovery(message) => call!([self.discovery], message(from, message)),
             PeerMessage::Work(message) => {
                 if let Some(gateway) = &self.gateway {
-                    call!([gateway], work(from, message));
+                    call!([gateway], handle_work_message(from, message));
                 }
             }
             PeerMessage::Limits(LimitMessage::Announce(announcement)) => {
@@ -194,7 +194,7 @@
             }
             PeerMessage::Limits(message) => {
                 if let Some(gateway) = &self.gateway {
-                    call!([gateway], limits(from, message));
+                    call!([gateway], handle_limit_message(from, message));
                 }
             }
         }
--- a/crates/daemon/src/actors/builder.rs
+++ b/crates/daemon/src/actors/builder.rs
@@ -72,7 +72,7 @@
         let session = self.session(requests.as_ref(), gateway.as_ref(), rollout.as_ref());
         if let Some(gateway) = &gateway {
             let tell_at_once = fwd_to!([session], tell_crash() as ());
-            call!([gateway], set_tell_at_once(tell_at_once));
+            call!([gateway], set_heartbeat_trigger(tell_at_once));
         }
         if let Some(requests) = &requests {
             let tell_at_once = fwd_to!([session], tell_crash() as ());
--- a/crates/daemon/src/call_guard.rs
+++ b/crates/daemon/src/call_guard.rs
@@ -1,6 +1,6 @@
 //! Keeps calls of pipelines from back ends that rest or leave by their own word.
 
-use crate::gateway::notices::NoticeListener;
+use crate::gateway::notices::NoticeRecorder;
 use silversail_backend::{CallGuard, HeadReport};
 use silversail_serving::notices::ExchangeKind;
 use silversail_serving::ports::SelfReport;
@@ -15,7 +15,7 @@
 /// Stands between one kind of exchange and one back end, which is known by its address.
 pub struct AddressGuard<'a> {
     /// What back ends said.
-    pub listener: &'a NoticeListener,
+    pub listener: &'a NoticeRecorder,
     /// The back end.
     pub address: &'a str,
     /// What is exchanged.
@@ -24,7 +24,9 @@
 
 impl CallGuard for AddressGuard<'_> {
     fn takes_calls(&self) -> bool {
-        self.listener.withheld(self.address, self.path).is_none()
+        self.listener
+            .unavailable_reason(self.address, self.path)
+            .is_none()
     }
 
     fn heard(&self, report: &HeadReport) {
@@ -35,6 +37,6 @@
             limit: report.limit,
             ..SelfReport::default()
         };
-        self.listener.heard(self.address, self.path, &said);
+        self.listener.record_report(self.address, self.path, &said);
     }
 }
--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -3,7 +3,7 @@
 
 use crate::call_guard::AddressGuard;
 use crate::event::{Event, EventSender};
-use crate::gateway::notices::NoticeListener;
+use crate::gateway::notices::NoticeRecorder;
 use silversail_backend::order::EngineOrder;
 use silversail_backend::{engine, order, service, Agents, StageCall, TokenSink};
 use silversail_control::OrderId;
@@ -69,7 +69,7 @@
 #[derive(Clone)]
 pub struct CallRunner {
     agents: Agents,
-    listener: NoticeListener,
+    listener: NoticeRecorder,
     events: EventSender,
     jobs: Sender<Job>,
     waiting_jobs: Arc<Mutex<Receiver<Job>>>,
@@ -79,7 +79,7 @@
 
 impl CallRunner {
     /// A runner without threads.
-    pub fn new(agents: Agents, listener: NoticeListener, events: EventSender) -> Self {
+    pub fn new(agents: Agents, listener: NoticeRecorder, events: EventSender) -> Self {
         let (jobs, waiting_jobs) = channel();
         Self {
             agents,
--- a/crates/daemon/src/gateway/actor.rs
+++ b/crates/daemon/src/gateway/actor.rs
@@ -204,8 +204,8 @@
     }
 
     /// Takes what has a heartbeat sent at once.
-    pub fn set_tell_at_once(&mut self, _: CX![], tell_at_once: Fwd<()>) {
-        self.crashes.set_tell_at_once(tell_at_once);
+    pub fn set_heartbeat_trigger(&mut self, _: CX![], heartbeat_trigger: Fwd<()>) {
+        self.crashes.set_tell_at_once(heartbeat_trigger);
     }
 
     pub(super) fn tick(&mut self, cx: CX![]) {
@@ -248,7 +248,7 @@
     }
 
     /// Something that a task of the gateway tells.
-    pub fn event(&mut self, cx: CX![], event: GatewayEvent) {
+    pub fn handle_event(&mut self, cx: CX![], event: GatewayEvent) {
         let now = self.now(cx);
         self.renew_rollout_permit(now);
         match event {
--- a/crates/daemon/src/gateway/batching.rs
+++ b/crates/daemon/src/gateway/batching.rs
@@ -226,7 +226,7 @@
     }
 
     /// Work that another node hands to this one, or an answer to work of its own.
-    pub fn work(&mut self, cx: CX![], from: NodeName, message: WorkMessage) {
+    pub fn handle_work_message(&mut self, cx: CX![], from: NodeName, message: WorkMessage) {
         let now = self.now(cx);
         self.renew_rollout_permit(now);
         self.owner_watch.heard(&from, now);
--- a/crates/daemon/src/gateway/calls.rs
+++ b/crates/daemon/src/gateway/calls.rs
@@ -3,7 +3,7 @@
 
 use crate::event::{Event, EventSender};
 use crate::gateway::event::GatewayEvent;
-use crate::gateway::notices::{NoticeListener, SendPermit};
+use crate::gateway::notices::{NoticeRecorder, SendPermit};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use silversail_http::ConnectionPool;
@@ -117,7 +117,7 @@
     /// The outside protocols.
     pub protocols: Protocols,
     /// Takes what back ends say of themselves.
-    pub listener: NoticeListener,
+    pub listener: NoticeRecorder,
     /// Where ends of calls are told.
     pub events: EventSender,
     /// Where limits on callers go.
@@ -288,7 +288,7 @@
                 permit: permit.as_ref().and_then(SendPermit::serial),
                 is_success: status == 200,
             };
-            self.listener.heard(instance, answer, &head.report);
+            self.listener.record_report(instance, answer, &head.report);
         }
         let body = Limited::new(response.into_body(), MAX_ANSWER);
         let body = body
--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::{self, Clock};
 use crate::gateway::calls::CONNECT_TIMEOUT;
-use crate::gateway::notices::NoticeListener;
+use crate::gateway::notices::NoticeRecorder;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Either, Full, Limited};
 use hyper::body::Incoming;
@@ -71,7 +71,7 @@
     /// Time.
     pub clock: Clock,
     /// Takes what back ends say of themselves.
-    pub listener: NoticeListener,
+    pub listener: NoticeRecorder,
 }
 
 /// What a stream's relay tells, once it began.
@@ -129,7 +129,8 @@
             permit,
             is_success: is_sound(status, &head) && status < 500,
         };
-        self.listener.heard(&plan.instance, answer, &head.report);
+        self.listener
+            .record_report(&plan.instance, answer, &head.report);
         if head.not_run {
             let reason = not_run_reason(status);
             keep_after_refusal(connection, response.into_body()).await;
--- a/crates/daemon/src/gateway/limits.rs
+++ b/crates/daemon/src/gateway/limits.rs
@@ -10,7 +10,7 @@
 
 impl GatewayActor {
     /// A message of another node on limits.
-    pub fn limits(&mut self, cx: CX![], from: NodeName, message: LimitMessage) {
+    pub fn handle_limit_message(&mut self, cx: CX![], from: NodeName, message: LimitMessage) {
         let now = self.now(cx);
         match message {
             LimitMessage::Request(request) if self.issues_for(&request.backend) => {
--- a/crates/daemon/src/gateway/notices.rs
+++ b/crates/daemon/src/gateway/notices.rs
@@ -9,7 +9,7 @@
 
 /// Takes what back ends say of themselves, at the moment at which it is read.
 #[derive(Clone)]
-pub struct NoticeListener {
+pub struct NoticeRecorder {
     /// What they said.
     pub notices: BackendNotices,
     /// Counters.
@@ -18,10 +18,14 @@
     pub clock: Clock,
 }
 
-impl NoticeListener {
+impl NoticeRecorder {
     /// Why nothing may be sent to a back end now by its own word; none where it may get what is
     /// to be sent.
-    pub fn withheld(&self, instance: &str, path: ExchangeKind) -> Option<UnavailableReason> {
+    pub fn unavailable_reason(
+        &self,
+        instance: &str,
+        path: ExchangeKind,
+    ) -> Option<UnavailableReason> {
         let now = self.clock.millis(clock::now());
         let reason = self.notices.of(instance).unavailable_reason(now)?;
         self.count_withheld(reason, path);
@@ -54,7 +58,12 @@
     }
 
     /// A back end said something of itself in an answer.
-    pub fn heard(&self, instance: &str, answer: impl Into<AnswerContext>, said: &SelfReport) {
+    pub fn record_report(
+        &self,
+        instance: &str,
+        answer: impl Into<AnswerContext>,
+        said: &SelfReport,
+    ) {
         let now = self.clock.millis(clock::now());
         let answer = answer.into();
         let path = answer.path;
@@ -88,7 +97,7 @@
 /// The permission to send one request to a back end. Dropped before the request was sent, it gives
 /// its permit back.
 pub struct SendPermit {
-    listener: NoticeListener,
+    listener: NoticeRecorder,
     instance: String,
     path: ExchangeKind,
     /// None where the back end has no limit.
@@ -102,7 +111,7 @@
     pub fn renew(self) -> Result<Self, UnavailableReason> {
         let now = self.listener.clock.millis(clock::now());
         let is_lapsed = self.permit.is_some_and(|permit| permit.expires_at <= now);
-        let reason = self.listener.withheld(&self.instance, self.path);
+        let reason = self.listener.unavailable_reason(&self.instance, self.path);
         let is_limited_since =
             self.permit.is_none() && self.listener.notices.of(&self.instance).is_limited();
         match reason {
--- a/crates/daemon/src/gateway/runtime.rs
+++ b/crates/daemon/src/gateway/runtime.rs
@@ -4,7 +4,7 @@
 use crate::gateway::callers::CallerService;
 use crate::gateway::calls::RuntimeCalls;
 use crate::gateway::exchange::Exchanger;
-use crate::gateway::notices::NoticeListener;
+use crate::gateway::notices::NoticeRecorder;
 use crate::gateway::surface::SurfaceService;
 use crate::settings::GatewaySettings;
 use silversail_http::{serve, AsyncService, ConnectionPool, HeldBodies};
@@ -29,7 +29,7 @@
         settings: &GatewaySettings,
         protocols: &Protocols,
         events: &EventSender,
-        listener: NoticeListener,
+        listener: NoticeRecorder,
     ) -> io::Result<Self> {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -185,7 +185,7 @@
             Event::Operator { request, reply } => self.operator(request, reply),
             Event::Gateway(event) => {
                 if let Some(gateway) = &self.actors.gateway {
-                    call!([gateway], event(event));
+                    call!([gateway], handle_event(event));
                 }
             }
             Event::Reload => self.reload(),
--- a/crates/daemon/src/node/start.rs
+++ b/crates/daemon/src/node/start.rs
@@ -6,7 +6,7 @@
 use crate::clock::{self, wall_clock_ms, Clock, SuspensionWatch};
 use crate::event::{Event, EventSender};
 use crate::gateway::calls::RuntimeCalls;
-use crate::gateway::notices::NoticeListener;
+use crate::gateway::notices::NoticeRecorder;
 use crate::gateway::runtime::GatewayRuntime;
 use crate::metrics::Metrics;
 use crate::outbox::{Outbox, SharedOutbox};
@@ -59,7 +59,7 @@
     let log = parts.log;
     let outbox = open_outbox(&settings, topology.clone(), &events, &metrics, incarnation)?;
     let agents = Agents::new();
-    let listener = |notices| NoticeListener {
+    let listener = |notices| NoticeRecorder {
         notices,
         metrics: metrics.clone(),
         clock,
@@ -192,7 +192,7 @@
     settings: &GatewaySettings,
     protocols: &Protocols,
     events: &EventSender,
-    listener: NoticeListener,
+    listener: NoticeRecorder,
 ) -> Result<GatewayRuntime, NodeError> {
     GatewayRuntime::start(settings, protocols, events, listener).map_err(|error| {
         let message = format!("gateway {}: {error}", settings.callers);
@@ -289,7 +289,7 @@
     settings: &Settings,
     events: &EventSender,
     agents: Agents,
-    listener: &NoticeListener,
+    listener: &NoticeRecorder,
 ) -> EngineTargets {
     let targets = EngineTargets::default();
     if settings.gateway.is_some() {
--- a/crates/daemon/src/pollers.rs
+++ b/crates/daemon/src/pollers.rs
@@ -2,7 +2,7 @@
 
 use crate::call_guard::AddressGuard;
 use crate::event::{Event, EventSender};
-use crate::gateway::notices::NoticeListener;
+use crate::gateway::notices::NoticeRecorder;
 use silversail_backend::{engine, platform, Agents};
 use silversail_model::{BackendName, NodeName};
 use silversail_serving::notices::ExchangeKind;
@@ -28,7 +28,7 @@
     agents: Agents,
     targets: EngineTargets,
     interval: Duration,
-    listener: &NoticeListener,
+    listener: &NoticeRecorder,
     events: EventSender,
 ) {
     for part in 0..LOAD_THREADS {
