--- a/crates/daemon/src/gateway/actor.rs
+++ b/crates/daemon/src/gateway/actor.rs
@@ -1,18 +1,18 @@
-//! The actor that decides for the gateway.
+//! Actor that holds the gateway's state and makes its routing decisions.
 
 use crate::clock::Clock;
 use crate::crashes::CrashReporter;
 use crate::directory::SharedDirectory;
 use crate::evacuation::EvacuationActor;
 use crate::gateway::calls::GatewayCalls;
-use crate::gateway::counting::outcome_label;
-use crate::gateway::early::{EarlyRequest, EarlyRequests};
 use crate::gateway::event::{Decision, GatewayEvent};
-use crate::gateway::following::OwnListReads;
-use crate::gateway::frees::DelayedFrees;
-use crate::gateway::owners::OwnerWatch;
-use crate::gateway::waiting::WaitingOrders;
-use crate::gateway::works::Works;
+use crate::gateway::owners::OwnerMonitor;
+use crate::gateway::result_freeing::DelayedFrees;
+use crate::gateway::send_metrics::outcome_label;
+use crate::gateway::startup_queue::{QueuedRequest, StartupQueue};
+use crate::gateway::state_updates::LocalListReads;
+use crate::gateway::submitted_orders::SubmittedOrders;
+use crate::gateway::waiting_orders::WaitingOrders;
 use crate::metrics::Metrics;
 use crate::outbox::SharedOutbox;
 use crate::replica::{ProposerActor, SharedStatus};
@@ -39,61 +39,61 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Interval while there is work.
+/// Tick interval while requests, orders or batch calls are open.
 const BUSY_TICK: Duration = Duration::from_millis(25);
-/// Interval while there is none.
+/// Tick interval while the gateway is idle.
 const IDLE_TICK: Duration = Duration::from_millis(250);
 
-/// Label of the gateway's requests beside those of pipelines.
-const GATEWAY: &str = "gateway";
+/// Label value that separates gateway requests from pipeline requests in metrics.
+const REQUEST_KIND: &str = "gateway";
 
-/// What the gateway is made of.
+/// Dependencies of [`GatewayActor`].
 pub struct GatewaySetup {
-    /// Settings.
+    /// Addresses, rates and retry limits of the gateway.
     pub settings: GatewaySettings,
-    /// When requests that crash back ends are refused.
+    /// Thresholds from which requests that crash back ends are rejected.
     pub quarantine: silversail_quarantine::QuarantineLimits,
-    /// Where this node and all zones lie.
+    /// Zones and regions of the cluster, and the zone of this node.
     pub topology: Arc<Topology>,
-    /// What the node has in force.
+    /// Configuration, view and backend list that this node currently applies.
     pub state: SharedNodeState,
-    /// The nodes that it knows.
+    /// Known nodes and their addresses.
     pub directory: SharedDirectory,
-    /// Sending to other nodes.
+    /// Queue of messages to other nodes.
     pub outbox: SharedOutbox,
-    /// Proposes to the control group.
+    /// Proposes commands to the control group.
     pub proposer: Actor<ProposerActor>,
-    /// Takes operators' orders on zones.
+    /// Handles operators' requests to evacuate zones.
     pub evacuation: Actor<EvacuationActor>,
-    /// Takes operators' orders on rollouts.
+    /// Handles operators' requests for rollouts.
     pub rollout: Actor<RolloutActor>,
-    /// Tells all nodes the list of back ends; none on a node that is no relay.
+    /// Distributes the backend list to all nodes; `None` on a node that is not a relay.
     pub relay: Option<Actor<RelayActor>>,
-    /// Status of the control group's replica.
+    /// Status of the local replica of the control group.
     pub control: SharedStatus,
-    /// The outside protocols.
+    /// Adapters for the external protocols.
     pub protocols: Protocols,
-    /// Calls to back ends.
+    /// Makes calls to back ends.
     pub calls: Box<dyn GatewayCalls>,
-    /// What back ends say of themselves, as the calls hear it.
+    /// State that back ends reported about themselves, shared with the tasks that make calls.
     pub notices: BackendNotices,
-    /// Decisions.
+    /// Decision log.
     pub log: DecisionLog,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
-    /// Time.
+    /// Monotonic clock of the process.
     pub clock: Clock,
 }
 
-/// A request whose task waits for decisions.
+/// An open request whose task waits for decisions.
 pub(super) struct OpenRequest {
     pub(super) decisions: mpsc::UnboundedSender<Decision>,
     pub(super) arrived_at: Millis,
-    /// Counts a failure of the send under way.
-    pub(super) failures: Option<IntCounter>,
+    /// Counter to increment if the current send fails.
+    pub(super) failure_counter: Option<IntCounter>,
 }
 
-/// Decides for the gateway.
+/// Dispatches requests, batches orders of pipeline phases and answers the operators' surface.
 pub struct GatewayActor {
     pub(super) setup: GatewaySetup,
     pub(super) node: NodeName,
@@ -101,50 +101,50 @@
     pub(super) batcher: Batcher,
     pub(super) started_at: Millis,
     /// Requests that wait for the first traffic configuration.
-    pub(super) early: EarlyRequests,
-    pub(super) works: Works,
-    /// Orders of this node whose service has no batching node yet.
-    pub(super) unowned: WaitingOrders<WorkId>,
-    /// Orders that came before this node knew the makers of their service.
-    pub(super) unready: WaitingOrders<OrderKey>,
-    pub(super) open: BTreeMap<RequestNumber, OpenRequest>,
-    /// Which node batches which shard.
-    pub(super) owners: BTreeMap<Shard, NodeName>,
-    /// Nodes that were told of orders of this node that are still to come.
+    pub(super) startup_queue: StartupQueue,
+    pub(super) submitted_orders: SubmittedOrders,
+    /// Orders of this node whose service has no shard owner yet.
+    pub(super) orders_without_owner: WaitingOrders<WorkId>,
+    /// Orders that arrived before this node knew a back end of their service.
+    pub(super) orders_without_backend: WaitingOrders<OrderKey>,
+    pub(super) open_requests: BTreeMap<RequestNumber, OpenRequest>,
+    /// Owner of each shard, as this node sees it.
+    pub(super) shard_owners: BTreeMap<Shard, NodeName>,
+    /// Node to which each of this node's upcoming orders was announced.
     pub(super) announced_to: BTreeMap<WorkId, NodeName>,
-    /// Results whose makers rest.
+    /// Results to free once the back-off of their back ends ends.
     pub(super) delayed_frees: DelayedFrees,
-    pub(super) told_waits_at: Millis,
-    pub(super) told_far_waits_at: Millis,
-    /// How long the shards of this node took when they were last looked at.
-    pub(super) own_waits: BTreeMap<Shard, (ShardWaitEstimates, Millis)>,
-    pub(super) owner_watch: OwnerWatch,
+    pub(super) wait_estimates_sent_at: Millis,
+    pub(super) remote_wait_estimates_sent_at: Millis,
+    /// Wait estimates of local shards, with the time of their computation.
+    pub(super) local_wait_estimates: BTreeMap<Shard, (ShardWaitEstimates, Millis)>,
+    pub(super) owner_monitor: OwnerMonitor,
     pub(super) traffic_version: Option<u64>,
-    /// Revision of the evacuated zones that the back ends are marked by.
+    /// Revision of the evacuated zones applied to the backend table.
     pub(super) evacuations_revision: Option<EvacuationRevision>,
-    /// Revision of the rollouts that versions are chosen by.
+    /// Revision of the rollouts applied to the selection of versions.
     pub(super) rollouts_revision: Option<RolloutsRevision>,
-    pub(super) evidence_told_at: Millis,
-    /// For each batch call what counts its failure.
-    pub(super) call_failures: BTreeMap<CallId, IntCounter>,
-    /// Why connections to back ends broke off.
-    pub(super) crashes: CrashReporter,
-    /// Revision of the list of refused requests that is obeyed.
+    pub(super) evidence_reported_at: Millis,
+    /// Counter to increment if a batch call fails, by call.
+    pub(super) call_failure_counters: BTreeMap<CallId, IntCounter>,
+    /// Diagnoses lost connections to back ends and reports crashes.
+    pub(super) crash_reporter: CrashReporter,
+    /// Revision of the applied list of refused requests.
     pub(super) quarantine_revision: Option<QuarantineRevision>,
-    pub(super) view_changes: u64,
-    /// The usable nodes of the last view.
+    pub(super) applied_view_changes: u64,
+    /// Usable nodes of the last applied view.
     pub(super) usable_nodes: BTreeSet<String>,
-    /// Permits for the back ends whose issuer this node is.
+    /// Issues permits for the back ends assigned to this node.
     pub(super) permit_issuer: PermitIssuer,
-    /// The processes of the last view, by node.
-    pub(super) processes: BTreeMap<NodeName, u64>,
-    pub(super) listing_version: Option<BackendListVersion>,
-    pub(super) list_works: bool,
-    pub(super) own_list: OwnListReads,
+    /// Incarnation of each node in the last applied view.
+    pub(super) node_incarnations: BTreeMap<NodeName, u64>,
+    pub(super) backend_list_version: Option<BackendListVersion>,
+    pub(super) is_list_available: bool,
+    pub(super) local_list_reads: LocalListReads,
 }
 
 impl GatewayActor {
-    /// Starts without configuration or back ends.
+    /// Creates the actor without a traffic configuration or back ends, and starts its tick.
     pub fn init(cx: CX![], setup: GatewaySetup) -> Option<Self> {
         let limits = RetryLimits {
             ratio: setup.settings.retry_ratio,
@@ -155,7 +155,7 @@
             let outbox = setup.outbox.borrow();
             (outbox.node().clone(), outbox.incarnation())
         };
-        let first_work = first_work_of(incarnation);
+        let first_work = first_work_id(incarnation);
         let log = setup.log.clone();
         let policy = setup.settings.policy;
         after!(IDLE_TICK, [cx], tick());
@@ -169,32 +169,32 @@
             dispatcher,
             batcher: Batcher::new(policy, log).with_topology(setup.topology.clone()),
             started_at: setup.clock.millis(cx.now()),
-            early: EarlyRequests::default(),
-            works: Works::default(),
-            unowned: WaitingOrders::default(),
-            unready: WaitingOrders::default(),
-            open: BTreeMap::new(),
-            owners: BTreeMap::new(),
+            startup_queue: StartupQueue::default(),
+            submitted_orders: SubmittedOrders::default(),
+            orders_without_owner: WaitingOrders::default(),
+            orders_without_backend: WaitingOrders::default(),
+            open_requests: BTreeMap::new(),
+            shard_owners: BTreeMap::new(),
             announced_to: BTreeMap::new(),
             delayed_frees: DelayedFrees::default(),
-            told_waits_at: 0,
-            told_far_waits_at: 0,
-            own_waits: BTreeMap::new(),
-            owner_watch: OwnerWatch::default(),
+            wait_estimates_sent_at: 0,
+            remote_wait_estimates_sent_at: 0,
+            local_wait_estimates: BTreeMap::new(),
+            owner_monitor: OwnerMonitor::default(),
             traffic_version: None,
             evacuations_revision: None,
             rollouts_revision: None,
-            evidence_told_at: 0,
-            call_failures: BTreeMap::new(),
-            crashes: CrashReporter::new(setup.state.clone(), setup.metrics.clone()),
+            evidence_reported_at: 0,
+            call_failure_counters: BTreeMap::new(),
+            crash_reporter: CrashReporter::new(setup.state.clone(), setup.metrics.clone()),
             quarantine_revision: None,
-            view_changes: 0,
+            applied_view_changes: 0,
             usable_nodes: BTreeSet::new(),
             permit_issuer: PermitIssuer::default(),
-            processes: BTreeMap::new(),
-            listing_version: None,
-            list_works: true,
-            own_list: OwnListReads::default(),
+            node_incarnations: BTreeMap::new(),
+            backend_list_version: None,
+            is_list_available: true,
+            local_list_reads: LocalListReads::default(),
             setup,
         })
     }
@@ -203,110 +203,114 @@
         self.setup.clock.millis(cx.now())
     }
 
-    /// Takes what has a heartbeat sent at once.
+    /// Sets the forwarder that triggers an immediate heartbeat.
     pub fn set_heartbeat_trigger(&mut self, _: CX![], heartbeat_trigger: Fwd<()>) {
-        self.crashes.set_tell_at_once(heartbeat_trigger);
+        self.crash_reporter.set_tell_at_once(heartbeat_trigger);
     }
 
     pub(super) fn tick(&mut self, cx: CX![]) {
         let is_busy = self.dispatcher.open_requests() > 0
             || self.batcher.order_and_call_counts() != (0, 0)
-            || !self.unready.is_empty()
+            || !self.orders_without_backend.is_empty()
             || self.permit_issuer.has_waiting()
-            || !self.early.is_empty();
+            || !self.startup_queue.is_empty();
         let interval = if is_busy { BUSY_TICK } else { IDLE_TICK };
         after!(interval, [cx], tick());
         let now = self.now(cx);
         self.renew_rollout_permit(now);
-        self.tell_evidence_if_due(now);
-        self.admit_early(now);
+        self.report_evidence_if_due(now);
+        self.dispatch_queued_requests(now);
         self.setup.notices.log_ended_rests(now);
         self.issue_permits(now);
         let expired = self.dispatcher.expire(now);
-        self.carry_out(expired, now);
-        let waiting = self.dispatcher.send_waiting(now);
-        self.carry_out(waiting, now);
-        let late = self.batcher.expire(now);
-        self.orders_finished(late, now);
-        let unstaffed = self
+        self.apply_actions(expired, now);
+        let sends = self.dispatcher.send_waiting(now);
+        self.apply_actions(sends, now);
+        let expired_orders = self.batcher.expire(now);
+        self.handle_finished_orders(expired_orders, now);
+        let without_backend = self
             .batcher
             .reject_orders_without_backend(&self.dispatcher.instances);
-        self.orders_finished(unstaffed, now);
+        self.handle_finished_orders(without_backend, now);
         let instances = &self.dispatcher.instances;
-        let too_late = self.batcher.reject_orders_delayed_by_rest(instances, now);
-        self.orders_finished(too_late, now);
-        self.choose_list_reader(now);
-        self.tell_inputs_read(now);
-        self.tell_waits(now);
-        self.watch_owners(now);
-        self.resubmit(now);
-        self.place_waiting(now);
-        self.start_batches(now);
-        self.ask_for_permits(now);
+        let delayed_by_back_off = self.batcher.reject_orders_delayed_by_rest(instances, now);
+        self.handle_finished_orders(delayed_by_back_off, now);
+        self.update_list_reader(now);
+        self.report_inputs_read(now);
+        self.send_wait_estimates(now);
+        self.check_silent_owners(now);
+        self.resubmit_orders(now);
+        self.place_waiting_orders(now);
+        self.start_batch_calls(now);
+        self.request_permits(now);
         self.free_delayed_results(now);
         self.free_results(now);
     }
 
-    /// Something that a task of the gateway tells.
+    /// Handles an event from one of the gateway's tasks.
     pub fn handle_event(&mut self, cx: CX![], event: GatewayEvent) {
         let now = self.now(cx);
         self.renew_rollout_permit(now);
         match event {
-            GatewayEvent::Arrived {
+            GatewayEvent::RequestArrived {
                 number,
                 call,
                 decisions,
-            } => self.arrived(number, *call, decisions, now),
+            } => self.handle_arrival(number, *call, decisions, now),
             GatewayEvent::HeadReceived { number, load } => {
                 let actions = self.dispatcher.head_received(number, load, now);
-                self.carry_out(actions, now);
+                self.apply_actions(actions, now);
             }
             GatewayEvent::SendEnded {
                 number,
                 outcome,
                 load,
             } => {
-                self.note_end(number, outcome);
+                self.record_send_success(number, outcome);
                 let actions = self.dispatcher.send_ended(number, outcome, load, now);
-                self.count_send(number, outcome, &actions);
-                self.carry_out(actions, now);
+                self.count_send_end(number, outcome, &actions);
+                self.apply_actions(actions, now);
                 if !self.dispatcher.is_open(number) {
-                    self.close(number, outcome_label(outcome), now);
+                    self.finish_request(number, outcome_label(outcome), now);
                 }
             }
-            GatewayEvent::CallerGone { number } => {
-                self.early.remove(number);
+            GatewayEvent::CallerDisconnected { number } => {
+                self.startup_queue.remove(number);
                 let actions = self.dispatcher.caller_disconnected(number, now);
-                self.carry_out(actions, now);
-                self.close(number, "caller_gone", now);
+                self.apply_actions(actions, now);
+                self.finish_request(number, "caller_gone", now);
             }
             GatewayEvent::BatchEnded { call, outcome } => {
-                self.count_call(call, &outcome);
+                self.count_call_end(call, &outcome);
                 if outcome == CallOutcome::Unknown {
-                    if let Some(broken) = self.batcher.break_off(call) {
-                        self.broke_off(broken, now);
+                    if let Some(connection_loss) = self.batcher.break_off(call) {
+                        self.handle_connection_loss(connection_loss, now);
                     }
                 }
                 let finished = self.batcher.call_ended(call, outcome, now);
-                self.orders_finished(finished, now);
+                self.handle_finished_orders(finished, now);
+            }
+            GatewayEvent::ProbeFinished { instance, result } => {
+                self.handle_probe_result(&instance, result, now)
             }
-            GatewayEvent::Probed { instance, answer } => self.probed(&instance, answer, now),
             GatewayEvent::ResultsFreed { handles } => self.batcher.results_freed(&handles),
-            GatewayEvent::Listed(read) => self.list_read(cx, read, now),
-            GatewayEvent::ListFailed(why) => self.list_failed(&why),
-            GatewayEvent::Surface { request, reply } => self.surface(cx, request, reply, now),
+            GatewayEvent::BackendListRead(read) => self.handle_list_read(cx, read, now),
+            GatewayEvent::BackendListFailed(reason) => self.handle_list_failure(&reason),
+            GatewayEvent::SurfaceRequested { request, reply } => {
+                self.handle_surface_request(cx, request, reply, now)
+            }
         }
-        self.start_batches(now);
-        self.ask_for_permits(now);
+        self.start_batch_calls(now);
+        self.request_permits(now);
         self.free_results(now);
-        // Orders of other nodes count too: a stop must not leave them behind.
+        // Orders of other nodes count too: a graceful stop waits for them.
         let open = self.dispatcher.open_requests() + self.batcher.order_and_call_counts().0;
         let metrics = &self.setup.metrics;
         metrics.gateway_requests.set(open as i64);
         metrics.take_log_counts(&self.setup.log.counts());
     }
 
-    pub(super) fn arrived(
+    pub(super) fn handle_arrival(
         &mut self,
         number: RequestNumber,
         call: silversail_serving::ports::CallAttributes,
@@ -316,22 +320,22 @@
         let open = OpenRequest {
             decisions,
             arrived_at: now,
-            failures: None,
+            failure_counter: None,
         };
-        self.open.insert(number, open);
+        self.open_requests.insert(number, open);
         for name in &call.stripped_headers {
-            let withheld = &self.setup.metrics.withheld_headers;
-            withheld.with_label_values(&[name]).inc();
+            let counter = &self.setup.metrics.withheld_headers;
+            counter.with_label_values(&[name]).inc();
         }
         let is_refusing = self.setup.state.borrow().refusing;
         let uptime = now.saturating_sub(self.started_at);
-        let may_wait = !self.dispatcher.has_routes() && self.early.may_wait(uptime);
+        let may_wait = !self.dispatcher.has_routes() && self.startup_queue.may_wait(uptime);
         if may_wait && !is_refusing {
-            let since = now;
-            self.early.add(EarlyRequest {
+            let arrived_at = now;
+            self.startup_queue.add(QueuedRequest {
                 number,
                 call,
-                since,
+                arrived_at,
             });
             return;
         }
@@ -340,45 +344,47 @@
         } else {
             self.dispatcher.handle_request(number, call, now)
         };
-        self.carry_out(actions, now);
+        self.apply_actions(actions, now);
     }
 
-    /// Takes in the requests that waited for a traffic configuration; those that waited
-    /// too long are refused.
-    pub(super) fn admit_early(&mut self, now: Millis) {
-        let due = self.early.take_due(self.dispatcher.has_routes(), now);
-        for EarlyRequest {
+    /// Dispatches queued requests once a traffic configuration is applied, and rejects those
+    /// whose wait has expired.
+    pub(super) fn dispatch_queued_requests(&mut self, now: Millis) {
+        let due = self
+            .startup_queue
+            .take_due(self.dispatcher.has_routes(), now);
+        for QueuedRequest {
             number,
             call,
-            since,
+            arrived_at,
         } in due
         {
             let actions = self
                 .dispatcher
-                .handle_delayed_request(number, call, since, now);
-            self.carry_out(actions, now);
+                .handle_delayed_request(number, call, arrived_at, now);
+            self.apply_actions(actions, now);
         }
     }
 
-    /// Counts a request or a phase by how far it goes.
-    pub(super) fn count_distance(&self, work: &str, distance: Distance) {
-        let counted = &self.setup.metrics.work_by_distance;
-        counted.with_label_values(&[work, distance.name()]).inc();
+    /// Counts a request or a phase by network distance.
+    pub(super) fn count_distance(&self, kind: &str, distance: Distance) {
+        let counter = &self.setup.metrics.work_by_distance;
+        counter.with_label_values(&[kind, distance.name()]).inc();
     }
 
-    /// A request ended: its time is counted by how.
-    pub(super) fn close(&mut self, number: RequestNumber, outcome: &str, now: Millis) {
-        if let Some(open) = self.open.remove(&number) {
+    /// Removes a finished request and records its duration under `outcome`.
+    pub(super) fn finish_request(&mut self, number: RequestNumber, outcome: &str, now: Millis) {
+        if let Some(open) = self.open_requests.remove(&number) {
             let seconds = now.saturating_sub(open.arrived_at) as f64 / 1_000.0;
             self.setup
                 .metrics
                 .request_seconds
-                .with_label_values(&[GATEWAY, outcome])
+                .with_label_values(&[REQUEST_KIND, outcome])
                 .observe(seconds);
         }
     }
 
-    pub(super) fn carry_out(&mut self, actions: Vec<Action>, now: Millis) {
+    pub(super) fn apply_actions(&mut self, actions: Vec<Action>, now: Millis) {
         for action in actions {
             match action {
                 Action::Answer { number, refusal } => {
@@ -388,42 +394,41 @@
                         .refusals
                         .with_label_values(&[reason])
                         .inc();
-                    self.decide(number, Decision::Answer(refusal));
-                    self.close(number, reason, now);
+                    self.send_decision(number, Decision::Answer(refusal));
+                    self.finish_request(number, reason, now);
                 }
                 Action::Send { number, plan } => {
                     self.count_distance("request", plan.distance);
-                    self.note_send(number, &plan);
-                    self.decide(number, Decision::Send(plan.into()));
+                    self.count_send_start(number, &plan);
+                    self.send_decision(number, Decision::Send(plan.into()));
                 }
                 Action::Submit {
                     work,
                     request,
                     phase,
-                } => self.submit(work, &request, phase, now),
+                } => self.submit_order(work, &request, phase, now),
                 Action::Announce {
                     work,
                     order,
                     regions,
-                } => self.announce(work, order, &regions, now),
-                Action::Diagnose { broken } => self.broke_off(broken, now),
-                Action::Cancel { work } => self.cancel(work),
-                Action::Release { service, handles } => self.release(&service, handles),
+                } => self.announce_order(work, order, &regions, now),
+                Action::Diagnose { broken } => self.handle_connection_loss(broken, now),
+                Action::Cancel { work } => self.cancel_order(work),
+                Action::Release { service, handles } => self.release_results(&service, handles),
             }
         }
     }
 
-    pub(super) fn decide(&mut self, number: RequestNumber, decision: Decision) {
-        if let Some(open) = self.open.get(&number) {
-            // A task that is gone has told so.
+    pub(super) fn send_decision(&mut self, number: RequestNumber, decision: Decision) {
+        if let Some(open) = self.open_requests.get(&number) {
+            // A task that has ended sends an event of its own.
             let _ = open.decisions.send(decision);
         }
     }
 }
 
-/// The first number of the orders of a process: a number of the process stands in the
-/// high bits, so that answers to a former process of a node are not taken for the
-/// present one's.
-pub(super) fn first_work_of(incarnation: u64) -> WorkId {
+/// First work identifier of a process. The incarnation is stored in the high bits, so that
+/// answers to orders of an earlier process are not attributed to this one.
+pub(super) fn first_work_id(incarnation: u64) -> WorkId {
     incarnation << 20
 }
--- a/crates/daemon/src/gateway/batching.rs
+++ b/crates/daemon/src/gateway/batching.rs
@@ -1,9 +1,8 @@
-//! The actor's part in shared batches: orders that it gives to batching nodes, and
-//! orders that it batches for others.
+//! Orders that this node sends to shard owners, and orders that it batches as a shard owner.
 
 use crate::gateway::actor::GatewayActor;
-use crate::gateway::owners::OwnerStep;
-use crate::gateway::works::Answered;
+use crate::gateway::owners::OwnerAction;
+use crate::gateway::submitted_orders::OrderAnswer;
 use silversail_consensus::Millis;
 use silversail_decisions::Event as LogEvent;
 use silversail_model::topology::RegionFilter;
@@ -15,70 +14,82 @@
 use stakker::CX;
 
 impl GatewayActor {
-    /// Passes over batching nodes that owe an answer and give no sign.
-    pub(super) fn watch_owners(&mut self, now: Millis) {
-        let mut changed = self.owner_watch.expire(now);
-        for (owner, (work, since)) in self.works.owing() {
+    /// Probes shard owners that have not answered an order, and ejects those that stay silent.
+    pub(super) fn check_silent_owners(&mut self, now: Millis) {
+        let mut has_changed = self.owner_monitor.expire(now);
+        for (owner, (work, since)) in self.submitted_orders.oldest_by_owner() {
             if owner == self.node {
                 continue;
             }
-            match self.owner_watch.look(&owner, since, now) {
-                OwnerStep::Wait => {}
-                OwnerStep::Ask => {
-                    if let Some(phase) = self.works.phase_of(work, now) {
-                        self.send_work(&owner, WorkMessage::Submit { work, phase });
+            match self.owner_monitor.check(&owner, since, now) {
+                OwnerAction::Wait => {}
+                OwnerAction::Probe => {
+                    if let Some(phase) = self.submitted_orders.current_phase(work, now) {
+                        self.send_work_message(&owner, WorkMessage::Submit { work, phase });
                     }
                 }
-                OwnerStep::PassOver => {
-                    changed = true;
+                OwnerAction::Eject => {
+                    has_changed = true;
                     self.setup.log.record(LogEvent::Dependency {
                         name: format!("batching node {owner}"),
                         works: false,
-                        detail: format!("owes an answer for {} ms", now.saturating_sub(since)),
+                        detail: format!(
+                            "has not answered an order for {} ms",
+                            now.saturating_sub(since)
+                        ),
                     });
                 }
             }
         }
-        if changed {
-            self.refresh_owners(now);
+        if has_changed {
+            self.refresh_shard_owners(now);
         }
     }
 
-    pub(super) fn tell_inputs_read(&mut self, now: Millis) {
+    pub(super) fn report_inputs_read(&mut self, now: Millis) {
         for OrderKey { node, work } in self.batcher.inputs_read(now) {
             if node == self.node {
-                self.inputs_read(work, now);
+                self.handle_inputs_read(work, now);
             } else {
-                self.send_work(&node, WorkMessage::InputsRead { work });
+                self.send_work_message(&node, WorkMessage::InputsRead { work });
             }
         }
     }
 
-    pub(super) fn inputs_read(&mut self, work: WorkId, now: Millis) {
+    pub(super) fn handle_inputs_read(&mut self, work: WorkId, now: Millis) {
         let actions = self.dispatcher.inputs_read(work);
-        self.carry_out(actions, now);
+        self.apply_actions(actions, now);
     }
 
-    pub(super) fn submit(&mut self, work: WorkId, request: &str, phase: PhaseWork, now: Millis) {
-        let placed = self.place_work(work, &phase, now);
-        self.note_submitted(request, &phase, placed.as_ref());
-        match placed {
-            Some((shard, owner)) => self.give(work, owner, PhaseWork { shard, ..phase }, now),
-            None => self.unowned.add(work, phase, now),
+    pub(super) fn submit_order(
+        &mut self,
+        work: WorkId,
+        request: &str,
+        phase: PhaseWork,
+        now: Millis,
+    ) {
+        let placement = self.place_order(work, &phase, now);
+        self.record_submission(request, &phase, placement.as_ref());
+        match placement {
+            Some((shard, owner)) => {
+                self.assign_order(work, owner, PhaseWork { shard, ..phase }, now)
+            }
+            None => self.orders_without_owner.add(work, phase, now),
         }
     }
 
-    fn give(&mut self, work: WorkId, owner: NodeName, phase: PhaseWork, now: Millis) {
+    fn assign_order(&mut self, work: WorkId, owner: NodeName, phase: PhaseWork, now: Millis) {
         let announced_to = self.announced_to.remove(&work);
-        if let Some(other) = announced_to.filter(|other| *other != owner) {
-            self.cancel_at(&other, work);
+        if let Some(former_owner) = announced_to.filter(|announced_owner| *announced_owner != owner)
+        {
+            self.cancel_order_at(&former_owner, work);
         }
-        self.works
-            .submitted(work, owner.clone(), phase.clone(), now);
-        self.hand_over(work, &owner, phase, now);
+        self.submitted_orders
+            .record_submission(work, owner.clone(), phase.clone(), now);
+        self.send_order(work, &owner, phase, now);
     }
 
-    pub(super) fn hand_over(
+    pub(super) fn send_order(
         &mut self,
         work: WorkId,
         owner: &NodeName,
@@ -87,84 +98,89 @@
     ) {
         let phase = self.with_current_regions(work, phase);
         if *owner != self.node {
-            self.send_work(owner, WorkMessage::Submit { work, phase });
+            self.send_work_message(owner, WorkMessage::Submit { work, phase });
             return;
         }
         let key = OrderKey {
             node: self.node.clone(),
             work,
         };
-        self.take_order(key, phase, now);
+        self.accept_order(key, phase, now);
     }
 
-    /// Places the orders that waited for a batching node or for makers; those that waited
-    /// too long fail.
-    pub(super) fn place_waiting(&mut self, now: Millis) {
-        let owners = &self.owners;
+    /// Places orders that waited for a shard owner or for back ends. Those whose wait has expired
+    /// fail.
+    pub(super) fn place_waiting_orders(&mut self, now: Millis) {
+        let owners = &self.shard_owners;
         let is_owned = |service: &str| owners.keys().any(|shard| shard.service == service);
         let due = self
-            .unowned
+            .orders_without_owner
             .take_due(|phase| is_owned(&phase.shard.service), now);
         for (work, phase) in due {
-            match self.place_work(work, &phase, now) {
-                Some((shard, owner)) => self.give(work, owner, PhaseWork { shard, ..phase }, now),
+            match self.place_order(work, &phase, now) {
+                Some((shard, owner)) => {
+                    self.assign_order(work, owner, PhaseWork { shard, ..phase }, now)
+                }
                 None => {
-                    let nowhere = Err(PieceFailure::NoBackend);
-                    let actions = self.dispatcher.phase_done(work, nowhere, now);
-                    self.carry_out(actions, now);
+                    let no_backend = Err(PieceFailure::NoBackend);
+                    let actions = self.dispatcher.phase_done(work, no_backend, now);
+                    self.apply_actions(actions, now);
                 }
             }
         }
-        let makers = &self.dispatcher.instances;
-        let is_ready = |phase: &PhaseWork| knows_makers(self.traffic_version, makers, &phase.shard);
-        for (key, phase) in self.unready.take_due(is_ready, now) {
+        let instances = &self.dispatcher.instances;
+        let is_ready =
+            |phase: &PhaseWork| has_known_backend(self.traffic_version, instances, &phase.shard);
+        for (key, phase) in self.orders_without_backend.take_due(is_ready, now) {
             self.batch_order(key, phase, now);
         }
     }
 
-    /// Takes an order for this node to batch. A process that has just started does not
-    /// know all makers yet: the order waits a while for them.
-    pub(super) fn take_order(&mut self, key: OrderKey, phase: PhaseWork, now: Millis) {
-        let makers = &self.dispatcher.instances;
-        if knows_makers(self.traffic_version, makers, &phase.shard) {
+    /// Batches an order on this node. A process that has just started may not know the back ends
+    /// of the shard yet, so that the order waits for them.
+    pub(super) fn accept_order(&mut self, key: OrderKey, phase: PhaseWork, now: Millis) {
+        let instances = &self.dispatcher.instances;
+        if has_known_backend(self.traffic_version, instances, &phase.shard) {
             self.batch_order(key, phase, now);
         } else {
-            self.unready.add(key, phase, now);
+            self.orders_without_backend.add(key, phase, now);
         }
     }
 
     fn batch_order(&mut self, key: OrderKey, phase: PhaseWork, now: Millis) {
         let table = &self.dispatcher.instances;
         let shard = phase.shard.clone();
-        let submitted = match self.dispatcher.quarantine.refuses(&phase.fingerprint) {
+        let result = match self.dispatcher.quarantine.refuses(&phase.fingerprint) {
             true => Err(PieceFailure::Quarantined),
             false => self.batcher.submit(key.clone(), phase, table, now),
         };
-        if let Err(failure) = submitted {
-            let refused = FinishedOrder {
+        if let Err(failure) = result {
+            let rejected = FinishedOrder {
                 key,
                 shard,
                 result: Err(failure),
             };
-            self.orders_finished(vec![refused], now);
+            self.handle_finished_orders(vec![rejected], now);
         }
     }
 
-    /// Tells the batching node of an order to come.
-    pub(super) fn announce(
+    /// Announces an upcoming order to its shard owner.
+    pub(super) fn announce_order(
         &mut self,
         work: WorkId,
         order: AnnouncedOrder,
         regions: &RegionFilter,
         now: Millis,
     ) {
-        let to_place = PlacementRequest {
+        let placement_request = PlacementRequest {
             zone: "",
             moved_bytes: 0,
             rank: order.priority,
             lot: work,
         };
-        let Some((shard, owner)) = self.place(&order.shard.service, &to_place, regions, now) else {
+        let Some((shard, owner)) =
+            self.choose_shard(&order.shard.service, &placement_request, regions, now)
+        else {
             return;
         };
         let order = AnnouncedOrder { shard, ..order };
@@ -180,61 +196,61 @@
             pieces: order.pieces as u32,
             priority: order.priority,
         };
-        self.send_work(&owner, message);
+        self.send_work_message(&owner, message);
     }
 
-    /// Drops an order that was given or announced.
-    pub(super) fn cancel(&mut self, work: WorkId) {
+    /// Cancels an order that was sent or announced.
+    pub(super) fn cancel_order(&mut self, work: WorkId) {
         let announced_to = self.announced_to.remove(&work);
-        if self.unowned.remove(&work) {
+        if self.orders_without_owner.remove(&work) {
             return;
         }
-        let given_to = self.works.ended(work);
-        if let Some(owner) = given_to.or(announced_to) {
-            self.cancel_at(&owner, work);
+        let submitted_to = self.submitted_orders.remove(work);
+        if let Some(owner) = submitted_to.or(announced_to) {
+            self.cancel_order_at(&owner, work);
         }
     }
 
-    fn cancel_at(&mut self, owner: &NodeName, work: WorkId) {
+    fn cancel_order_at(&mut self, owner: &NodeName, work: WorkId) {
         if *owner == self.node {
             let node = self.node.clone();
-            self.drop_order(&OrderKey { node, work });
+            self.remove_order(&OrderKey { node, work });
         } else {
-            self.send_work(owner, WorkMessage::Cancel { work });
+            self.send_work_message(owner, WorkMessage::Cancel { work });
         }
     }
 
-    fn drop_order(&mut self, key: &OrderKey) {
-        self.unready.remove(key);
+    fn remove_order(&mut self, key: &OrderKey) {
+        self.orders_without_backend.remove(key);
         self.batcher.cancel(key);
     }
 
-    pub(super) fn release_at(&mut self, owner: &NodeName, handles: Vec<ResultHandle>) {
+    pub(super) fn release_results_at(&mut self, owner: &NodeName, handles: Vec<ResultHandle>) {
         if handles.is_empty() {
             return;
         }
         if *owner == self.node {
             self.batcher.release(&handles);
         } else {
-            self.send_work(owner, WorkMessage::Release { handles });
+            self.send_work_message(owner, WorkMessage::Release { handles });
         }
     }
 
-    pub(super) fn send_work(&mut self, to: &NodeName, message: WorkMessage) {
+    pub(super) fn send_work_message(&mut self, to: &NodeName, message: WorkMessage) {
         let mut outbox = self.setup.outbox.borrow_mut();
         outbox.send(to, PeerMessage::Work(message));
     }
 
-    /// Work that another node hands to this one, or an answer to work of its own.
+    /// Handles an order from another node, or an answer to an order of this node.
     pub fn handle_work_message(&mut self, cx: CX![], from: NodeName, message: WorkMessage) {
         let now = self.now(cx);
         self.renew_rollout_permit(now);
-        self.owner_watch.heard(&from, now);
+        self.owner_monitor.record_message(&from, now);
         match message {
             WorkMessage::Submit { work, phase } => {
-                let waits = self.waits_of(&phase.shard, now);
-                self.send_work(&from, WorkMessage::Accepted { work, waits });
-                self.take_order(OrderKey { node: from, work }, phase, now);
+                let waits = self.wait_estimates_of(&phase.shard, now);
+                self.send_work_message(&from, WorkMessage::Accepted { work, waits });
+                self.accept_order(OrderKey { node: from, work }, phase, now);
             }
             WorkMessage::Announce {
                 work,
@@ -242,8 +258,8 @@
                 pieces,
                 priority,
             } => {
-                let waits = self.waits_of(&shard, now);
-                self.send_work(&from, WorkMessage::Accepted { work, waits });
+                let waits = self.wait_estimates_of(&shard, now);
+                self.send_work_message(&from, WorkMessage::Accepted { work, waits });
                 let order = AnnouncedOrder {
                     shard,
                     pieces: pieces as usize,
@@ -261,112 +277,122 @@
                 waits,
             } => {
                 self.dispatcher.set_waits(waits, now);
-                self.work_done(&from, work, result, now);
+                self.handle_order_result(&from, work, result, now);
             }
-            WorkMessage::InputsRead { work } => self.inputs_read(work, now),
-            WorkMessage::Cancel { work } => self.drop_order(&OrderKey { node: from, work }),
+            WorkMessage::InputsRead { work } => self.handle_inputs_read(work, now),
+            WorkMessage::Cancel { work } => self.remove_order(&OrderKey { node: from, work }),
             WorkMessage::Release { handles } => self.batcher.release(&handles),
         }
-        self.start_batches(now);
-        self.ask_for_permits(now);
+        self.start_batch_calls(now);
+        self.request_permits(now);
         self.free_results(now);
     }
 
-    /// Gives an order that found no maker in its zone's shard to another shard. False where
-    /// none is left.
-    fn move_order(&mut self, owner: &NodeName, work: WorkId, now: Millis) -> bool {
-        if !self.works.is_owed_by(work, owner) || !self.dispatcher.has_order(work) {
+    /// Sends an order whose shard has no back end to another shard. Returns `false` if there is
+    /// none.
+    fn move_order_to_other_shard(&mut self, owner: &NodeName, work: WorkId, now: Millis) -> bool {
+        if !self.submitted_orders.is_assigned_to(work, owner) || !self.dispatcher.has_order(work) {
             return false;
         }
-        let Some(phase) = self.works.movable_phase(work, now) else {
+        let Some(phase) = self.submitted_orders.movable_phase(work, now) else {
             return false;
         };
-        let placed = self.place_work(work, &phase, now);
-        let Some(placed) = placed.filter(|(shard, _)| *shard != phase.shard) else {
+        let placement = self.place_order(work, &phase, now);
+        let Some(placement) = placement.filter(|(shard, _)| *shard != phase.shard) else {
             return false;
         };
-        let Some((owner, phase)) = self.works.moved(work, placed, now) else {
+        let Some((owner, phase)) = self.submitted_orders.move_to(work, placement, now) else {
             return false;
         };
-        self.hand_over(work, &owner, phase, now);
+        self.send_order(work, &owner, phase, now);
         true
     }
 
-    pub(super) fn work_done(
+    pub(super) fn handle_order_result(
         &mut self,
         owner: &NodeName,
         work: WorkId,
         result: Result<Vec<ResultHandle>, PieceFailure>,
         now: Millis,
     ) {
-        if result == Err(PieceFailure::NoBackend) && self.move_order(owner, work, now) {
+        if result == Err(PieceFailure::NoBackend)
+            && self.move_order_to_other_shard(owner, work, now)
+        {
             return;
         }
-        let answered = self.works.answered(work, owner, result.is_ok());
-        match &answered {
-            Answered::FailedElsewhere => return,
-            Answered::MadeElsewhere { present } => self.cancel_at(present, work),
-            Answered::Ended | Answered::Unknown => {}
+        let answer = self
+            .submitted_orders
+            .record_answer(work, owner, result.is_ok());
+        match &answer {
+            OrderAnswer::FailedByFormerOwner => return,
+            OrderAnswer::CompletedByFormerOwner { current_owner } => {
+                self.cancel_order_at(current_owner, work)
+            }
+            OrderAnswer::Completed | OrderAnswer::Unknown => {}
         }
-        let is_wanted = answered != Answered::Unknown && self.dispatcher.has_order(work);
-        if !is_wanted {
-            // Cancelled meanwhile.
-            self.release_at(owner, result.unwrap_or_default());
+        let is_needed = answer != OrderAnswer::Unknown && self.dispatcher.has_order(work);
+        if !is_needed {
+            // The order was cancelled in the meantime.
+            self.release_results_at(owner, result.unwrap_or_default());
             return;
         }
         let actions = self.dispatcher.phase_done(work, result, now);
-        self.carry_out(actions, now);
+        self.apply_actions(actions, now);
     }
 
-    pub(super) fn orders_finished(&mut self, finished: Vec<FinishedOrder>, now: Millis) {
+    pub(super) fn handle_finished_orders(&mut self, finished: Vec<FinishedOrder>, now: Millis) {
         for FinishedOrder { key, shard, result } in finished {
             let work = key.work;
-            let waits = self.waits_of(&shard, now);
+            let waits = self.wait_estimates_of(&shard, now);
             if key.node == self.node {
-                self.work_done(&key.node, work, result, now);
+                self.handle_order_result(&key.node, work, result, now);
                 continue;
             }
-            let done = WorkMessage::Done {
+            let message = WorkMessage::Done {
                 work,
                 result,
                 waits,
             };
-            self.send_work(&key.node, done);
+            self.send_work_message(&key.node, message);
         }
     }
 
-    /// Gives orders again whose owner is gone or silent.
-    pub(super) fn resubmit(&mut self, now: Millis) {
-        if self.works.is_empty() {
+    /// Resubmits orders whose owner is gone or silent.
+    pub(super) fn resubmit_orders(&mut self, now: Millis) {
+        if self.submitted_orders.is_empty() {
             return;
         }
-        let (present, watch) = (&self.processes, &self.owner_watch);
-        let is_reached = |owner: &NodeName| {
-            let is_live = *owner == self.node || present.contains_key(owner);
-            is_live && !watch.is_passed_over(owner, now)
+        let (live_nodes, monitor) = (&self.node_incarnations, &self.owner_monitor);
+        let is_responsive = |owner: &NodeName| {
+            let is_live = *owner == self.node || live_nodes.contains_key(owner);
+            is_live && !monitor.is_ejected(owner, now)
         };
-        let due = self.works.due(now, is_reached);
+        let due = self
+            .submitted_orders
+            .due_for_resubmission(now, is_responsive);
         for work in due {
-            let Some(phase) = self.works.phase_of(work, now) else {
+            let Some(phase) = self.submitted_orders.current_phase(work, now) else {
                 continue;
             };
-            // The shard keeps the order while a node batches it.
-            let kept = self.present_place(work, &phase);
-            let placed = kept.or_else(|| self.place_work(work, &phase, now));
-            let Some((former, owner, phase)) = self.works.renew(work, placed, now) else {
+            // An order stays in its shard while the shard has an owner.
+            let current = self.current_placement(work, &phase);
+            let placement = current.or_else(|| self.place_order(work, &phase, now));
+            let Some((former_owner, owner, phase)) =
+                self.submitted_orders.resubmit(work, placement, now)
+            else {
                 continue;
             };
-            if former != owner {
-                self.cancel_at(&former, work);
+            if former_owner != owner {
+                self.cancel_order_at(&former_owner, work);
             }
-            self.hand_over(work, &owner, phase, now);
+            self.send_order(work, &owner, phase, now);
         }
     }
 
-    pub(super) fn start_batches(&mut self, now: Millis) {
+    pub(super) fn start_batch_calls(&mut self, now: Millis) {
         let calls = self.batcher.next_calls(&self.dispatcher.instances, now);
         for call in calls {
-            self.note_call(&call);
+            self.count_call_start(&call);
             let protocol = &self.setup.protocols.batches;
             let request = protocol.run_call(&call.name, &call.pieces);
             self.setup.calls.run_batch(call, request);
@@ -374,8 +400,8 @@
     }
 }
 
-/// Whether this node can batch for a shard: it has a configuration and a list that
-/// names makers.
-fn knows_makers(traffic: Option<u64>, makers: &InstanceTable, shard: &Shard) -> bool {
-    traffic.is_some() && makers.of_shard(shard).next().is_some()
+/// Whether this node can batch for the shard, which takes a traffic configuration and a known
+/// back end.
+fn has_known_backend(traffic: Option<u64>, instances: &InstanceTable, shard: &Shard) -> bool {
+    traffic.is_some() && instances.of_shard(shard).next().is_some()
 }
--- a/crates/daemon/src/gateway/callers.rs
+++ b/crates/daemon/src/gateway/callers.rs
@@ -1,8 +1,8 @@
-//! The callers' side of the gateway: one task for each request.
+//! HTTP service for callers, with one task per request.
 
 use crate::event::{Event, EventSender};
 use crate::gateway::event::{Decision, GatewayEvent};
-use crate::gateway::exchange::{Exchanger, StreamWatch};
+use crate::gateway::request_sender::{RequestSender, StreamCallbacks};
 use bytes::Bytes;
 use http_body_util::{Either, Full};
 use hyper::http::request::Parts;
@@ -20,46 +20,45 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Limits until a traffic configuration tells them.
-const FIRST_LIMITS: ServiceLimits = ServiceLimits {
+/// Limits until the first traffic configuration is applied.
+const DEFAULT_LIMITS: ServiceLimits = ServiceLimits {
     head_bytes: 16 << 10,
     body_bytes: 4 << 20,
     body_timeout: Duration::from_secs(10),
     idle_timeout: Duration::from_secs(15),
 };
 
-/// When callers are told to come back where the process holds as many bodies as it may: slow
-/// back ends read them in seconds.
-const RETRY_AFTER_FULL: Duration = Duration::from_secs(1);
+/// Retry delay sent to callers when the memory for request bodies is exhausted.
+const BODY_MEMORY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Serves callers.
+/// HTTP service that accepts callers' requests.
 #[derive(Clone)]
 pub struct CallerService {
-    /// Where requests are told.
+    /// Channel to the gateway actor.
     pub events: EventSender,
-    /// Sends requests to engines.
-    pub exchanger: Exchanger,
-    /// Numbers requests.
+    /// Sends requests to back ends.
+    pub request_sender: RequestSender,
+    /// Next request number, shared by all clones.
     pub next_number: Arc<AtomicU64>,
-    /// Limits of the traffic configuration.
+    /// Limits from the traffic configuration.
     pub limits: watch::Receiver<Option<CallerLimits>>,
     /// Whether the process is stopping.
     pub stopping: watch::Receiver<bool>,
 }
 
-/// Tells that the caller left, unless the request ended before.
-struct GoneGuard {
+/// Reports that the caller disconnected if it is dropped before the request ends.
+struct DisconnectGuard {
     number: RequestNumber,
     events: EventSender,
-    armed: bool,
+    is_armed: bool,
 }
 
-impl Drop for GoneGuard {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
-        if self.armed {
-            tell(
+        if self.is_armed {
+            send_event(
                 &self.events,
-                GatewayEvent::CallerGone {
+                GatewayEvent::CallerDisconnected {
                     number: self.number,
                 },
             );
@@ -67,8 +66,8 @@
     }
 }
 
-fn tell(events: &EventSender, event: GatewayEvent) {
-    // The main thread is gone only when the process ends.
+fn send_event(events: &EventSender, event: GatewayEvent) {
+    // The receiver is dropped only when the process ends.
     let _ = events.send(Event::Gateway(event));
 }
 
@@ -85,20 +84,20 @@
             RejectReason::BodyBroken => ResultCode::MalformedRequest,
             RejectReason::TooManyConnections | RejectReason::NoRoom => ResultCode::TooManyRequests,
         };
-        let refusals = &self.exchanger.listener.metrics.refusals;
+        let refusals = &self.request_sender.notice_recorder.metrics.refusals;
         refusals.with_label_values(&[code.reason()]).inc();
-        let wait = (code == ResultCode::TooManyRequests).then_some(RETRY_AFTER_FULL);
-        Ok(self.own_answer("", code, wait))
+        let retry_after = (code == ResultCode::TooManyRequests).then_some(BODY_MEMORY_RETRY_AFTER);
+        Ok(self.local_response("", code, retry_after))
     }
 
     fn limits(&self) -> ServiceLimits {
         match &*self.limits.borrow() {
-            None => FIRST_LIMITS,
+            None => DEFAULT_LIMITS,
             Some(limits) => ServiceLimits {
                 head_bytes: limits.header_bytes,
                 body_bytes: limits.body_bytes,
                 idle_timeout: Duration::from_millis(limits.idle_timeout_ms),
-                ..FIRST_LIMITS
+                ..DEFAULT_LIMITS
             },
         }
     }
@@ -106,11 +105,11 @@
 
 impl CallerService {
     async fn serve(self, request: IncomingRequest) -> ServedResponse {
-        let protocol = &self.exchanger.protocols.requests;
+        let protocol = &self.request_sender.protocols.requests;
         let parts = &request.parts;
         let mut call = match protocol.read_request(&parts.uri, &parts.headers) {
             Ok(call) => call,
-            Err(_) => return Ok(self.own_answer("", ResultCode::MissingIdentifier, None)),
+            Err(_) => return Ok(self.local_response("", ResultCode::MissingIdentifier, None)),
         };
         let target = parts.uri.path_and_query();
         let target = target.map_or("", |target| target.as_str());
@@ -118,14 +117,14 @@
         let id = call.id.clone();
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let (sender, mut decisions) = mpsc::unbounded_channel();
-        let mut guard = GoneGuard {
+        let mut guard = DisconnectGuard {
             number,
             events: self.events.clone(),
-            armed: true,
+            is_armed: true,
         };
-        tell(
+        send_event(
             &self.events,
-            GatewayEvent::Arrived {
+            GatewayEvent::RequestArrived {
                 number,
                 call: Box::new(call),
                 decisions: sender,
@@ -135,26 +134,29 @@
             let plan = match decisions.recv().await {
                 Some(Decision::Send(plan)) => plan,
                 Some(Decision::Answer(refusal)) => {
-                    guard.armed = false;
-                    return Ok(self.refusal(&id, refusal));
+                    guard.is_armed = false;
+                    return Ok(self.refusal_response(&id, refusal));
                 }
-                // The process ends: the cut says nothing.
+                // The process is ending; the connection is closed without an answer.
                 None => return Err(io::ErrorKind::ConnectionAborted.into()),
             };
-            let watch = self.watch(number);
-            let result = self.exchanger.send(&request, &id, &plan, watch).await;
+            let callbacks = self.stream_callbacks(number);
+            let result = self
+                .request_sender
+                .send(&request, &id, &plan, callbacks)
+                .await;
             if let Some(answer) = result.answer {
-                guard.armed = false;
+                guard.is_armed = false;
                 if matches!(answer.body(), Either::Left(_)) {
-                    self.ended(number, result.outcome, result.load);
+                    self.report_send_end(number, result.outcome, result.load);
                 }
-                return Ok(self.closing_when_stopping(answer));
+                return Ok(self.with_close_while_stopping(answer));
             }
-            self.ended(number, result.outcome, result.load);
+            self.report_send_end(number, result.outcome, result.load);
         }
     }
 
-    fn ended(
+    fn report_send_end(
         &self,
         number: RequestNumber,
         outcome: SendOutcome,
@@ -165,25 +167,27 @@
             outcome,
             load,
         };
-        tell(&self.events, event);
+        send_event(&self.events, event);
     }
 
-    fn watch(&self, number: RequestNumber) -> StreamWatch {
+    fn stream_callbacks(&self, number: RequestNumber) -> StreamCallbacks {
         let (on_head, on_end) = (self.events.clone(), self.events.clone());
-        StreamWatch {
+        StreamCallbacks {
             on_head: Box::new(move |load| {
-                tell(&on_head, GatewayEvent::HeadReceived { number, load });
+                send_event(&on_head, GatewayEvent::HeadReceived { number, load });
+            }),
+            on_end: Box::new(move |status, end| {
+                send_event(&on_end, stream_end_event(number, status, end))
             }),
-            on_end: Box::new(move |status, end| tell(&on_end, stream_end(number, status, end))),
         }
     }
 
-    fn refusal(&self, id: &str, refusal: Refusal) -> Response<OutgoingBody> {
-        let wait = refusal.retry_after_ms.map(Duration::from_millis);
-        self.own_answer(id, refusal.code, wait)
+    fn refusal_response(&self, id: &str, refusal: Refusal) -> Response<OutgoingBody> {
+        let retry_after = refusal.retry_after_ms.map(Duration::from_millis);
+        self.local_response(id, refusal.code, retry_after)
     }
 
-    fn own_answer(
+    fn local_response(
         &self,
         id: &str,
         code: ResultCode,
@@ -194,13 +198,14 @@
             .status(code.http_status())
             .body(Either::Left(Full::new(Bytes::from(body))))
             .expect("statuses of codes are valid");
-        let protocol = &self.exchanger.protocols.requests;
+        let protocol = &self.request_sender.protocols.requests;
         *response.headers_mut() = protocol.own_answer_headers(id, retry_after);
-        self.closing_when_stopping(response)
+        self.with_close_while_stopping(response)
     }
 
-    /// Callers of a process that is stopping are told to connect elsewhere.
-    fn closing_when_stopping(
+    /// Adds `Connection: close` while the process is stopping, so that callers connect to another
+    /// node.
+    fn with_close_while_stopping(
         &self,
         mut response: Response<OutgoingBody>,
     ) -> Response<OutgoingBody> {
@@ -214,10 +219,10 @@
     }
 }
 
-fn stream_end(number: RequestNumber, status: u16, end: RelayEnd) -> GatewayEvent {
+fn stream_end_event(number: RequestNumber, status: u16, end: RelayEnd) -> GatewayEvent {
     let is_whole = end == RelayEnd::Whole;
     match end {
-        RelayEnd::CallerLeft => GatewayEvent::CallerGone { number },
+        RelayEnd::CallerLeft => GatewayEvent::CallerDisconnected { number },
         RelayEnd::Whole | RelayEnd::Broken | RelayEnd::TimeOver => GatewayEvent::SendEnded {
             number,
             outcome: SendOutcome::Delivered { status, is_whole },
--- a/crates/daemon/src/gateway/calls.rs
+++ b/crates/daemon/src/gateway/calls.rs
@@ -1,5 +1,5 @@
-//! Calls of the gateway to back ends that no caller's task makes: batches, freed
-//! results. The list of back ends is read in [`super::list_reading`].
+//! Calls to back ends that are not made for a single caller: batches, result freeing and probes.
+//! The backend list is read in [`super::list_fetch`].
 
 use crate::event::{Event, EventSender};
 use crate::gateway::event::GatewayEvent;
@@ -21,61 +21,60 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Longest wait for a connection to a back end.
+/// Maximum wait for a connection to a back end.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest wait for a batch: a call, and those that may wait before it.
+/// Maximum duration of a batch call, including the calls queued before it at the back end.
 const BATCH_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Longest wait for other calls.
+/// Maximum duration of other calls.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Largest answer to such a call, in bytes.
-const MAX_ANSWER: usize = 4 << 20;
-/// Calls to back ends, whose ends are told as events.
+/// Maximum size of an answer to such a call, in bytes.
+const MAX_ANSWER_BYTES: usize = 4 << 20;
+/// Makes calls to back ends and reports their outcomes as events.
 pub trait GatewayCalls {
-    /// Makes a batch call.
+    /// Starts a batch call.
     fn run_batch(&self, batch: BatchCall, request: BackendCall);
 
-    /// Frees results at a back end; told when they are freed.
-    fn free(&self, at: CalledBackend, handles: Vec<ResultHandle>, request: BackendCall);
+    /// Frees results at a back end. Success is reported as an event.
+    fn free(&self, backend: CalledBackend, handles: Vec<ResultHandle>, request: BackendCall);
 
-    /// Tries to connect to a back end, without a request.
+    /// Opens a connection to a back end without sending a request.
     fn probe(&self, probe: Probe);
 
-    /// Takes other limits on callers.
+    /// Replaces the limits for callers.
     fn set_limits(&self, limits: CallerLimits);
 
-    /// Tells whether this node reads the list of back ends.
+    /// Sets whether this node reads the backend list.
     fn set_list_reader(&self, reads: bool);
 }
 
-/// The back end that a call goes to.
+/// Identity and address of the back end that a call goes to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CalledBackend {
-    /// Its identity.
+    /// Identifier in the backend list.
     pub instance: InstanceId,
-    /// Its address.
+    /// Host and port.
     pub address: String,
 }
 
-/// What a call of the gateway's own goes to.
+/// Destination of a call that the gateway makes on its own behalf.
 pub enum CallTarget<'a> {
-    /// The source of the list of back ends.
+    /// The source of the backend list.
     ListSource {
-        /// Its address.
+        /// Host and port.
         address: &'a str,
     },
     /// A back end.
     Backend {
-        /// Its address.
+        /// Host and port.
         address: &'a str,
-        /// Its identity.
+        /// Identifier in the backend list.
         instance: &'a str,
-        /// What is asked of it.
+        /// Kind of exchange, for metrics and notices.
         path: ExchangeKind,
     },
 }
 
 impl CallTarget<'_> {
-    /// The address.
     fn address(&self) -> &str {
         match self {
             CallTarget::ListSource { address } | CallTarget::Backend { address, .. } => address,
@@ -83,47 +82,48 @@
     }
 }
 
-/// What an answered call gave.
+/// Answer to a call.
 pub struct CallAnswer {
-    /// Status.
+    /// HTTP status.
     pub status: u16,
-    /// Whether the back end says that it did not run the call.
+    /// Whether the back end states that it did not execute the call.
     pub not_run: bool,
-    /// Body.
+    /// The whole body.
     pub body: Bytes,
 }
 
-/// Why a call gave nothing.
+/// Reason why a call returned no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// Nothing was sent.
-    #[error("not sent: {0}")]
+    /// The call was not sent.
+    #[error("the call was not sent: {0}")]
     NotSent(String),
-    /// Nothing was sent, as the back end rests or leaves by its own word.
-    #[error("withheld: the back end is {}", .0.name())]
-    Withheld(UnavailableReason),
-    /// It may have run.
-    #[error("no answer: {0}")]
+    /// The call was not sent because the back end asked for back-off, is draining or is out of
+    /// permits.
+    #[error("the call was not sent because the back end is {}", .0.name())]
+    BackendUnavailable(UnavailableReason),
+    /// The call was sent and may have been executed.
+    #[error("the call got no answer: {0}")]
     NoAnswer(String),
 }
 
-/// Makes calls on the gateway's runtime.
+/// Makes calls on the gateway's Tokio runtime.
 #[derive(Clone)]
 pub struct RuntimeCalls {
-    /// The runtime.
+    /// Runtime that executes the calls.
     pub runtime: Handle,
     /// Connections to back ends.
     pub pool: ConnectionPool,
-    /// The outside protocols.
+    /// Adapters for the external protocols.
     pub protocols: Protocols,
-    /// Takes what back ends say of themselves.
-    pub listener: NoticeRecorder,
-    /// Where ends of calls are told.
+    /// Records what back ends report about themselves.
+    pub notice_recorder: NoticeRecorder,
+    /// Channel to the gateway actor, for outcomes of calls.
     pub events: EventSender,
-    /// Where limits on callers go.
+    /// Publishes the limits for callers to the HTTP service.
     pub limits: Arc<watch::Sender<Option<CallerLimits>>>,
-    /// Whether this node reads the list of back ends.
-    pub reads_list: Arc<watch::Sender<bool>>,
+    /// Publishes whether this node reads the backend list.
+    pub is_list_reader: Arc<watch::Sender<bool>>,
 }
 
 impl GatewayCalls for RuntimeCalls {
@@ -138,22 +138,22 @@
             let answer = calls.call(&target, request, BATCH_TIMEOUT).await;
             let outcome = calls.batch_outcome(answer, batch.pieces.len());
             let call = batch.call;
-            calls.tell(GatewayEvent::BatchEnded { call, outcome });
+            calls.send_event(GatewayEvent::BatchEnded { call, outcome });
         });
     }
 
-    fn free(&self, at: CalledBackend, handles: Vec<ResultHandle>, request: BackendCall) {
+    fn free(&self, backend: CalledBackend, handles: Vec<ResultHandle>, request: BackendCall) {
         let calls = self.clone();
         self.runtime.spawn(async move {
             let target = CallTarget::Backend {
-                address: &at.address,
-                instance: &at.instance,
+                address: &backend.address,
+                instance: &backend.instance,
                 path: ExchangeKind::Free,
             };
-            // Results that are not freed end by themselves.
+            // Results that are not freed expire at the back end.
             let answer = calls.call(&target, request, CALL_TIMEOUT).await;
             if answer.is_ok_and(|answer| answer.status == 200) {
-                calls.tell(GatewayEvent::ResultsFreed { handles });
+                calls.send_event(GatewayEvent::ResultsFreed { handles });
             }
         });
     }
@@ -162,7 +162,7 @@
         let calls = self.clone();
         self.runtime.spawn(async move {
             let connecting = calls.pool.connect(&probe.address, CONNECT_TIMEOUT);
-            let answer = match connecting.await {
+            let result = match connecting.await {
                 Ok(_) => ProbeResult::Accepted,
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
                     ProbeResult::Refused
@@ -170,7 +170,7 @@
                 Err(_) => ProbeResult::Silent,
             };
             let instance = probe.instance;
-            calls.tell(GatewayEvent::Probed { instance, answer });
+            calls.send_event(GatewayEvent::ProbeFinished { instance, result });
         });
     }
 
@@ -179,17 +179,17 @@
     }
 
     fn set_list_reader(&self, reads: bool) {
-        self.reads_list.send_if_modified(|known| {
-            let is_news = *known != reads;
-            *known = reads;
-            is_news
+        self.is_list_reader.send_if_modified(|is_reader| {
+            let is_changed = *is_reader != reads;
+            *is_reader = reads;
+            is_changed
         });
     }
 }
 
 impl RuntimeCalls {
-    pub(super) fn tell(&self, event: GatewayEvent) {
-        // The main thread is gone only when the process ends.
+    pub(super) fn send_event(&self, event: GatewayEvent) {
+        // The receiver is dropped only when the process ends.
         let _ = self.events.send(Event::Gateway(event));
     }
 
@@ -203,38 +203,38 @@
                 }
             }
             Err(CallError::NotSent(_)) => CallOutcome::Unreachable,
-            Err(CallError::Withheld(_)) => CallOutcome::Withheld,
+            Err(CallError::BackendUnavailable(_)) => CallOutcome::Withheld,
             Ok(_) | Err(CallError::NoAnswer(_)) => CallOutcome::Unknown,
         }
     }
 
-    /// Makes a call and reads its whole answer.
+    /// Makes a call and reads the whole answer.
     pub async fn call(
         &self,
         target: &CallTarget<'_>,
         call: BackendCall,
-        longest: Duration,
+        max_duration: Duration,
     ) -> Result<CallAnswer, CallError> {
-        let exchanged = timeout(longest, self.exchange(target, call)).await;
-        exchanged.unwrap_or_else(|_| {
+        let result = timeout(max_duration, self.send_call(target, call)).await;
+        result.unwrap_or_else(|_| {
             self.pool.discard_idle(target.address());
-            Err(CallError::NoAnswer("time over".into()))
+            Err(CallError::NoAnswer("timed out".into()))
         })
     }
 
-    /// Whether a back end takes what is to be sent, by its own word, with the permit that the call
-    /// takes; none for what is no back end.
+    /// Checks whether the back end accepts the call, and takes a permit for it. Calls to the list
+    /// source need none.
     fn admit(&self, target: &CallTarget<'_>) -> Result<Option<SendPermit>, CallError> {
         match target {
             CallTarget::ListSource { .. } => Ok(None),
             CallTarget::Backend { instance, path, .. } => {
-                let permit = self.listener.admit(instance, *path);
-                permit.map(Some).map_err(CallError::Withheld)
+                let permit = self.notice_recorder.admit(instance, *path);
+                permit.map(Some).map_err(CallError::BackendUnavailable)
             }
         }
     }
 
-    async fn exchange(
+    async fn send_call(
         &self,
         target: &CallTarget<'_>,
         call: BackendCall,
@@ -250,12 +250,12 @@
         };
         let mut permit = match self.admit(target) {
             Ok(permit) => permit,
-            Err(withheld) => {
+            Err(error) => {
                 connection.keep();
-                return Err(withheld);
+                return Err(error);
             }
         };
-        let request = build(address, &call);
+        let request = build_request(address, &call);
         permit.iter_mut().for_each(SendPermit::spend);
         let response = match connection.send(request).await {
             Ok(response) => response,
@@ -265,14 +265,14 @@
                 connection = connecting.await.map_err(not_sent)?;
                 permit = match permit.map(SendPermit::renew).transpose() {
                     Ok(permit) => permit,
-                    Err(withheld) => {
+                    Err(reason) => {
                         connection.keep();
-                        return Err(CallError::Withheld(withheld));
+                        return Err(CallError::BackendUnavailable(reason));
                     }
                 };
                 permit.iter_mut().for_each(SendPermit::spend);
-                let again = connection.send(build(address, &call)).await;
-                again.map_err(|error| CallError::NoAnswer(error.to_string()))?
+                let response = connection.send(build_request(address, &call)).await;
+                response.map_err(|error| CallError::NoAnswer(error.to_string()))?
             }
             Err(error) => return Err(CallError::NoAnswer(error.to_string())),
         };
@@ -288,9 +288,10 @@
                 permit: permit.as_ref().and_then(SendPermit::serial),
                 is_success: status == 200,
             };
-            self.listener.record_report(instance, answer, &head.report);
+            self.notice_recorder
+                .record_report(instance, answer, &head.report);
         }
-        let body = Limited::new(response.into_body(), MAX_ANSWER);
+        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES);
         let body = body
             .collect()
             .await
@@ -304,13 +305,13 @@
     }
 }
 
-fn build(address: &str, call: &BackendCall) -> hyper::Request<Full<Bytes>> {
+fn build_request(address: &str, call: &BackendCall) -> hyper::Request<Full<Bytes>> {
     let mut request = hyper::Request::builder()
         .method(call.method.clone())
         .uri(&call.path)
         .header(hyper::header::HOST, address)
         .body(Full::new(Bytes::from(call.body.clone())))
-        .expect("paths are made by the adapters and valid");
+        .expect("the adapters produce valid paths");
     request.headers_mut().extend(call.headers.clone());
     request
 }
--- a/crates/daemon/src/gateway/crashes.rs
+++ b/crates/daemon/src/gateway/crashes.rs
@@ -1,5 +1,4 @@
-//! The actor's part against requests that crash back ends: why connections break off, and what is
-//! not sent any more.
+//! Diagnosis of lost connections, and rejection of requests that crash back ends.
 
 use crate::crashes::Finding;
 use crate::gateway::actor::GatewayActor;
@@ -9,40 +8,41 @@
 use silversail_serving::dispatcher::{RequestNumber, SendOutcome};
 
 impl GatewayActor {
-    /// Requests broke off at a back end: whether it has ended is asked at once.
-    pub(super) fn broke_off(&mut self, broken: ConnectionLoss, now: Millis) {
-        match self.crashes.broke_off(broken, now) {
+    /// Handles lost connections to a back end, which is probed to find out whether it crashed.
+    pub(super) fn handle_connection_loss(&mut self, connection_loss: ConnectionLoss, now: Millis) {
+        match self.crash_reporter.broke_off(connection_loss, now) {
             Finding::Ask(probe) => self.setup.calls.probe(probe),
             Finding::Pending => {}
-            Finding::Known(diagnosis) => self.diagnosed(&diagnosis, now),
+            Finding::Known(diagnosis) => self.handle_diagnosis(&diagnosis, now),
         }
     }
 
-    pub(super) fn probed(&mut self, instance: &str, answer: ProbeResult, now: Millis) {
-        if let Some(diagnosis) = self.crashes.probed(instance, answer) {
-            self.diagnosed(&diagnosis, now);
+    pub(super) fn handle_probe_result(&mut self, instance: &str, result: ProbeResult, now: Millis) {
+        if let Some(diagnosis) = self.crash_reporter.probed(instance, result) {
+            self.handle_diagnosis(&diagnosis, now);
         }
     }
 
-    fn diagnosed(&mut self, diagnosis: &Diagnosis, now: Millis) {
+    fn handle_diagnosis(&mut self, diagnosis: &Diagnosis, now: Millis) {
         let sends = diagnosis.sends.iter();
         self.setup.log.record(LogEvent::BrokeOff {
             backend: diagnosis.instance.clone(),
             service: diagnosis.service.clone(),
             cause: diagnosis.answer.cause().to_owned(),
             after_ms: now.saturating_sub(diagnosis.lost_at),
-            requests: sends.clone().map(|one| one.request.clone()).collect(),
-            fingerprints: sends.map(|one| one.fingerprint.to_string()).collect(),
+            requests: sends.clone().map(|send| send.request.clone()).collect(),
+            fingerprints: sends.map(|send| send.fingerprint.to_string()).collect(),
         });
         let quarantine = &mut self.dispatcher.quarantine;
-        if self.crashes.report(diagnosis, quarantine, now) {
-            self.end_quarantined(now);
+        if self.crash_reporter.report(diagnosis, quarantine, now) {
+            self.reject_quarantined(now);
         }
     }
 
-    /// A send ended. A whole answer says that the request crashes nothing.
-    pub(super) fn note_end(&mut self, number: RequestNumber, outcome: SendOutcome) {
-        let is_good = matches!(
+    /// Records a complete, successful answer as evidence that the request does not crash back
+    /// ends.
+    pub(super) fn record_send_success(&mut self, number: RequestNumber, outcome: SendOutcome) {
+        let is_success = matches!(
             outcome,
             SendOutcome::Delivered {
                 status: 200..=299,
@@ -50,14 +50,14 @@
             }
         );
         let fingerprint = self.dispatcher.fingerprint_of(number);
-        if let Some(fingerprint) = fingerprint.filter(|_| is_good) {
+        if let Some(fingerprint) = fingerprint.filter(|_| is_success) {
             let quarantine = &mut self.dispatcher.quarantine;
-            self.crashes.ended_well(fingerprint, quarantine);
+            self.crash_reporter.ended_well(fingerprint, quarantine);
         }
     }
 
-    /// Takes the list of refused requests in force.
-    pub(super) fn follow_quarantine(&mut self, now: Millis) {
+    /// Applies the current list of refused requests.
+    pub(super) fn apply_quarantine(&mut self, now: Millis) {
         let Some(list) = self.setup.state.borrow().quarantine.clone() else {
             return;
         };
@@ -75,14 +75,14 @@
             refused,
             watched,
         });
-        self.end_quarantined(now);
+        self.reject_quarantined(now);
     }
 
-    /// Ends what waits here and is refused by now.
-    fn end_quarantined(&mut self, now: Millis) {
+    /// Rejects waiting requests and orders that are now quarantined.
+    fn reject_quarantined(&mut self, now: Millis) {
         let actions = self.dispatcher.reject_quarantined(now);
-        self.carry_out(actions, now);
+        self.apply_actions(actions, now);
         let finished = self.batcher.reject_quarantined(&self.dispatcher.quarantine);
-        self.orders_finished(finished, now);
+        self.handle_finished_orders(finished, now);
     }
 }
--- a/crates/daemon/src/gateway/entry_points.rs
+++ b/crates/daemon/src/gateway/entry_points.rs
@@ -1,5 +1,5 @@
-//! Which nodes callers are sent to: those of their region where it has enough of them, and
-//! as many of other regions as it lacks.
+//! Selection of the nodes whose addresses callers are given: the nodes of the caller's region,
+//! and nodes of other regions if there are too few.
 
 use silversail_control::NodeStatus;
 use silversail_model::topology::{RegionFilter, Topology};
@@ -7,17 +7,16 @@
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
-/// A region has enough nodes for its callers where it has this share of what all regions have
-/// in the mean. With a zone of two lost it just has: its nodes have twice their load then, and
-/// what is late by 40 ms elsewhere is late by less here.
-const ENOUGH_OF_MEAN: f64 = 0.5;
-/// It has no fewer than this, so that callers have others to try where one fails.
-const ENOUGH_AT_LEAST: usize = 3;
+/// Minimum number of nodes in a region, as a share of the mean over all regions. A region that
+/// lost one of two zones still meets it, so that its callers stay local.
+const MIN_SHARE_OF_MEAN: f64 = 0.5;
+/// Minimum number of nodes, so that callers have alternatives when one fails.
+const MIN_NODES: usize = 3;
 
-/// Who asks where to go.
+/// Lookup of entry points by a caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct EntryCaller {
-    /// The host that the caller wants to reach.
+pub struct EntryPointLookup {
+    /// Host that the caller wants to reach.
     pub host: Option<String>,
     /// Region of the caller.
     pub region: Option<String>,
@@ -25,53 +24,53 @@
     pub zone: Option<String>,
 }
 
-impl EntryCaller {
-    /// The caller's region: the one that it names, else that of its zone; none where the
-    /// topology does not know it.
+impl EntryPointLookup {
+    /// The named region if the topology has it, otherwise the region of the zone.
     fn region<'a>(&'a self, topology: &'a Topology) -> Option<&'a str> {
-        let of_zone = self
+        let zone_region = self
             .zone
             .as_deref()
             .and_then(|zone| topology.region_of(zone));
-        let named = self.region.as_deref();
-        let known = named.filter(|region| topology.regions().contains(region));
-        known.or(of_zone)
+        let named_region = self.region.as_deref();
+        let known_region = named_region.filter(|region| topology.regions().contains(region));
+        known_region.or(zone_region)
     }
 
-    /// Orders nodes for this caller: callers of one host and zone get the same nodes from
-    /// whomever they ask, as they leave those that a newer answer does not name; those of
-    /// others get different ones where not all nodes fit into an answer.
-    fn order_of(&self, node: &NodeStatus) -> u64 {
+    /// Sort key of a node. Callers of the same host and zone get the same nodes from every node
+    /// that they ask, as they drop connections to nodes that a newer answer does not name. Other
+    /// callers get a different selection, which spreads the load.
+    fn sort_key(&self, node: &NodeStatus) -> u64 {
         let mut hasher = DefaultHasher::new();
         (&self.host, &self.zone, node.node.as_str()).hash(&mut hasher);
         hasher.finish()
     }
 }
 
-/// The nodes of `usable` that `caller` is told, at most `most`: those of its region. Where
-/// these are too few for its callers, others come on top. Only nodes of regions that
-/// `allowed` names, and of the caller's own, are told. Callers whose region is not known, or
-/// has no node, get those of all.
+/// Selects at most `max_nodes` of the usable nodes for a lookup. Only nodes in the caller's
+/// region and in `allowed` regions are eligible. Those of the caller's region come first; nodes
+/// of other regions are added if there are too few. If the region is unknown or has no node, all
+/// eligible nodes are used.
 pub fn choose_entry_points<'a>(
     usable: impl Iterator<Item = &'a NodeStatus>,
-    caller: &EntryCaller,
+    caller: &EntryPointLookup,
     allowed: &RegionFilter,
     topology: &Topology,
-    most: usize,
+    max_nodes: usize,
 ) -> Vec<&'a NodeStatus> {
     let own_region = caller.region(topology);
     let region_of = |node: &NodeStatus| topology.region_of(&node.zone);
-    let is_own = |node: &NodeStatus| own_region.is_some() && region_of(node) == own_region;
-    let told = usable.filter(|node| is_own(node) || allowed.allows(region_of(node)));
-    let mut told: Vec<&NodeStatus> = told.collect();
-    told.sort_by_cached_key(|node| (!is_own(node), caller.order_of(node)));
-    let own = told.iter().filter(|node| is_own(node)).count();
-    if own > 0 {
-        let regions: BTreeSet<Option<&str>> = told.iter().map(|node| region_of(node)).collect();
-        let mean = told.len() as f64 / regions.len().max(1) as f64;
-        let enough = (mean * ENOUGH_OF_MEAN).ceil() as usize;
-        told.truncate(own.max(enough).max(ENOUGH_AT_LEAST));
+    let is_in_own_region =
+        |node: &NodeStatus| own_region.is_some() && region_of(node) == own_region;
+    let nodes = usable.filter(|node| is_in_own_region(node) || allowed.allows(region_of(node)));
+    let mut nodes: Vec<&NodeStatus> = nodes.collect();
+    nodes.sort_by_cached_key(|node| (!is_in_own_region(node), caller.sort_key(node)));
+    let own_region_nodes = nodes.iter().filter(|node| is_in_own_region(node)).count();
+    if own_region_nodes > 0 {
+        let regions: BTreeSet<Option<&str>> = nodes.iter().map(|node| region_of(node)).collect();
+        let mean = nodes.len() as f64 / regions.len().max(1) as f64;
+        let min_by_mean = (mean * MIN_SHARE_OF_MEAN).ceil() as usize;
+        nodes.truncate(own_region_nodes.max(min_by_mean).max(MIN_NODES));
     }
-    told.truncate(most);
-    told
+    nodes.truncate(max_nodes);
+    nodes
 }
--- a/crates/daemon/src/gateway/event.rs
+++ b/crates/daemon/src/gateway/event.rs
@@ -1,7 +1,7 @@
-//! What the gateway's tasks tell its actor, and what they are told.
+//! Messages between the gateway's tasks and its actor.
 
 use crate::evacuation::ZoneOrder;
-use crate::gateway::entry_points::EntryCaller;
+use crate::gateway::entry_points::EntryPointLookup;
 use crate::rollout::RolloutOutcome;
 use silversail_control::{EvacuationRevision, PublishReply, PublishedTraffic};
 use silversail_model::ResultCode;
@@ -15,91 +15,91 @@
 use std::collections::BTreeMap;
 use tokio::sync::{mpsc, oneshot};
 
-/// What a request's task is to do.
+/// Instruction to the task of a request.
 #[derive(Debug)]
 pub enum Decision {
-    /// Answer the caller and end.
+    /// Send this refusal to the caller and end.
     Answer(Refusal),
-    /// Send the request, and tell what came of it.
+    /// Send the request to a back end and report the outcome.
     Send(Box<SendPlan>),
 }
 
-/// A whole read of the list of back ends.
+/// A complete read of the backend list.
 #[derive(Debug)]
 pub struct ListRead {
-    /// All entries, each back end once.
+    /// All valid entries, one per back end.
     pub entries: Vec<BackendListEntry>,
-    /// Entries that name no back end, by why.
+    /// Number of malformed entries, by reason.
     pub malformed: BTreeMap<String, usize>,
-    /// Calls that the read took.
+    /// Number of calls that the read took.
     pub calls: usize,
 }
 
-/// What the gateway's tasks tell.
+/// Events from the gateway's tasks.
 pub enum GatewayEvent {
     /// A request arrived.
-    Arrived {
-        /// Its number.
+    RequestArrived {
+        /// Number of the request in this process.
         number: RequestNumber,
-        /// What routing needs to know.
+        /// Attributes used for routing.
         call: Box<CallAttributes>,
-        /// Where decisions go.
+        /// Channel for the actor's decisions.
         decisions: mpsc::UnboundedSender<Decision>,
     },
-    /// The head of an answer came.
+    /// The head of an answer was received.
     HeadReceived {
-        /// The request.
+        /// Number of the request.
         number: RequestNumber,
-        /// Load that the engine told.
+        /// Load that the back end reported.
         load: Option<ReportedLoad>,
     },
     /// A send ended.
     SendEnded {
-        /// The request.
+        /// Number of the request.
         number: RequestNumber,
-        /// What came of it.
+        /// Whether and how the send was answered.
         outcome: SendOutcome,
-        /// Load that the engine told.
+        /// Load that the back end reported.
         load: Option<ReportedLoad>,
     },
-    /// The caller of a request left.
-    CallerGone {
-        /// The request.
+    /// The caller of a request disconnected.
+    CallerDisconnected {
+        /// Number of the request.
         number: RequestNumber,
     },
     /// A batch call ended.
     BatchEnded {
-        /// The call.
+        /// Identifier of the call.
         call: CallId,
-        /// What came of it.
+        /// Whether and how the call was answered.
         outcome: CallOutcome,
     },
-    /// A back end at which connections broke off was tried anew.
-    Probed {
-        /// The back end.
+    /// A back end was probed after lost connections.
+    ProbeFinished {
+        /// Identifier of the back end.
         instance: String,
-        /// What came of it.
-        answer: ProbeResult,
+        /// Whether it accepted the connection.
+        result: ProbeResult,
     },
-    /// Makers freed results.
+    /// Back ends freed results.
     ResultsFreed {
-        /// The results.
+        /// Handles of the freed results.
         handles: Vec<ResultHandle>,
     },
-    /// The whole list of back ends was read.
-    Listed(ListRead),
-    /// The list of back ends could not be read.
-    ListFailed(String),
-    /// A question of the operator, the platform or a caller.
-    Surface {
-        /// The question.
+    /// The backend list was read completely.
+    BackendListRead(ListRead),
+    /// The backend list could not be read; carries the reason.
+    BackendListFailed(String),
+    /// A request on the surface for operators, the platform and callers.
+    SurfaceRequested {
+        /// What is requested.
         request: SurfaceRequest,
-        /// Where the answer goes.
+        /// Channel for the reply.
         reply: oneshot::Sender<SurfaceReply>,
     },
 }
 
-/// Questions of the operator, the platform and callers.
+/// Requests from operators, the platform and callers.
 pub enum SurfaceRequest {
     /// Publish a traffic configuration.
     Publish(Box<PublishedTraffic>),
@@ -107,40 +107,40 @@
     Evacuate(ZoneOrder),
     /// Begin a rollout.
     BeginRollout(RolloutOrder),
-    /// Tell the latest rollout of a service.
+    /// Read the latest rollout of a service.
     ReadRollout {
-        /// The service.
+        /// Name of the service.
         service: String,
     },
-    /// Read the traffic configuration.
+    /// Read the applied traffic configuration.
     ReadTraffic,
-    /// Whether this process is ready.
+    /// Check whether this process is ready.
     Readiness,
-    /// Which addresses to use.
-    EntryPoints(EntryCaller),
+    /// Look up the addresses that a caller should connect to.
+    EntryPoints(EntryPointLookup),
 }
 
-/// Answers to [`SurfaceRequest`].
+/// Replies to a [`SurfaceRequest`].
 #[derive(Debug)]
 pub enum SurfaceReply {
-    /// The publication is committed.
+    /// The configuration is committed.
     Published(PublishReply),
-    /// The order on a zone is committed, as this revision.
+    /// The evacuation is committed under this revision.
     ZoneOrdered(EvacuationRevision),
-    /// The rollout of this number is as ordered, or the order is refused.
+    /// Number of the committed rollout, or the reason for its rejection.
     RolloutOrdered(RolloutOutcome),
-    /// The latest rollout of a service.
+    /// Latest rollout of the service.
     Rollout(Box<Rollout>),
-    /// The question is refused.
+    /// The request is rejected with this code.
     Refused(ResultCode),
-    /// The configuration is not valid here, and why.
+    /// The configuration is not valid for this cluster; carries the reason.
     Invalid(String),
-    /// The document in force.
+    /// Document of the applied configuration.
     Traffic(Vec<u8>),
-    /// Ready.
+    /// The process is ready.
     Ready,
-    /// The addresses to use.
+    /// Addresses that the caller should connect to.
     EntryPoints(Vec<String>),
-    /// No answer can be given now.
+    /// The request cannot be answered at present.
     Unavailable(ResultCode),
 }
--- a/crates/daemon/src/gateway/limits.rs
+++ b/crates/daemon/src/gateway/limits.rs
@@ -1,5 +1,5 @@
-//! Permits for back ends that have a limit for all nodes together: those that this node asks for,
-//! and those that it issues.
+//! Permits for back ends with a cluster-wide rate limit: requests for permits, and their issuance
+//! by this node.
 
 use crate::gateway::actor::GatewayActor;
 use silversail_consensus::Millis;
@@ -9,27 +9,27 @@
 use stakker::CX;
 
 impl GatewayActor {
-    /// A message of another node on limits.
+    /// Handles a message about rate limits from another node.
     pub fn handle_limit_message(&mut self, cx: CX![], from: NodeName, message: LimitMessage) {
         let now = self.now(cx);
         match message {
-            LimitMessage::Request(request) if self.issues_for(&request.backend) => {
+            LimitMessage::Request(request) if self.is_issuer_for(&request.backend) => {
                 let grants = self.permit_issuer.handle_request(&from, &request, now);
                 self.send_grants(grants, now);
                 self.announce_limits();
             }
-            // Who asked has another view; it asks again.
+            // The sender applies another view; it repeats its request.
             LimitMessage::Request(_) => {}
-            LimitMessage::Grant(grant) => self.take_grant(&from, &grant, now),
+            LimitMessage::Grant(grant) => self.apply_grant(&from, &grant, now),
             LimitMessage::Announced(announced) => {
                 let notices = &self.setup.notices;
                 notices.apply_announcement(from.as_str(), &announced);
             }
-            // For this node's relay.
+            // Handled by the relay of this node.
             LimitMessage::Announce(_) => {}
         }
-        self.start_batches(now);
-        self.ask_for_permits(now);
+        self.start_batch_calls(now);
+        self.request_permits(now);
     }
 
     fn issuer_for(&self, backend: &str) -> Option<NodeName> {
@@ -37,22 +37,22 @@
         issuer_of(nodes, backend).map(|name| NodeName(name.to_owned()))
     }
 
-    fn issues_for(&self, backend: &str) -> bool {
+    fn is_issuer_for(&self, backend: &str) -> bool {
         self.issuer_for(backend).as_ref() == Some(&self.node)
     }
 
-    /// Asks for the permits that requests and batches of this node wait for, and tells what was
-    /// heard of limits.
-    pub(super) fn ask_for_permits(&mut self, now: Millis) {
+    /// Requests permits for waiting requests and batches, and forwards rate limits that back ends
+    /// reported.
+    pub(super) fn request_permits(&mut self, now: Millis) {
         if !self.setup.notices.has_limits() {
             return;
         }
-        let mut waiting = self.dispatcher.permits_wanted();
+        let mut wanted = self.dispatcher.permits_wanted();
         let instances = &self.dispatcher.instances;
-        for maker in self.batcher.permits_wanted(instances, now) {
-            *waiting.entry(maker).or_default() += 1;
+        for backend in self.batcher.permits_wanted(instances, now) {
+            *wanted.entry(backend).or_default() += 1;
         }
-        for request in self.setup.notices.permit_requests(&waiting, now) {
+        for request in self.setup.notices.permit_requests(&wanted, now) {
             let Some(issuer) = self.issuer_for(&request.backend) else {
                 continue;
             };
@@ -61,12 +61,12 @@
                 self.send_grants(grants, now);
                 self.announce_limits();
             } else {
-                self.send_limits(&issuer, LimitMessage::Request(request));
+                self.send_limit_message(&issuer, LimitMessage::Request(request));
             }
         }
     }
 
-    /// Tells the relays of limits that this node began to issue for.
+    /// Informs the relays of back ends for which this node has started to issue permits.
     fn announce_limits(&mut self) {
         let announcements = self.permit_issuer.take_announcements();
         if announcements.is_empty() {
@@ -76,12 +76,12 @@
         for announcement in announcements {
             for relay in &relays {
                 let message = LimitMessage::Announce(announcement.clone());
-                self.send_limits(relay, message);
+                self.send_limit_message(relay, message);
             }
         }
     }
 
-    /// Gives the permits that are due now.
+    /// Issues the permits that are due.
     pub(super) fn issue_permits(&mut self, now: Millis) {
         let grants = self.permit_issuer.issue_due(now);
         self.send_grants(grants, now);
@@ -89,27 +89,28 @@
 
     fn send_grants(&mut self, grants: Vec<(NodeName, PermitGrant)>, now: Millis) {
         for (to, grant) in grants {
-            let issued = &self.setup.metrics.permits_issued;
-            issued.inc_by(u64::from(grant.count));
+            let counter = &self.setup.metrics.permits_issued;
+            counter.inc_by(u64::from(grant.count));
             if to == self.node {
-                self.take_grant(&to, &grant, now);
+                self.apply_grant(&to, &grant, now);
             } else {
-                self.send_limits(&to, LimitMessage::Grant(grant));
+                self.send_limit_message(&to, LimitMessage::Grant(grant));
             }
         }
     }
 
-    /// Requests that waited for permits go, or are refused where they would get none in time.
-    fn take_grant(&mut self, from: &NodeName, grant: &PermitGrant, now: Millis) {
+    /// Applies granted permits: sends waiting requests, and rejects those that would get no
+    /// permit before their deadline.
+    fn apply_grant(&mut self, from: &NodeName, grant: &PermitGrant, now: Millis) {
         self.setup.notices.apply_grant(from.as_str(), grant, now);
-        let sent = self.dispatcher.send_waiting(now);
-        self.carry_out(sent, now);
-        let refused = self.dispatcher.refuse_without_permit(&grant.backend, now);
-        self.carry_out(refused, now);
+        let sends = self.dispatcher.send_waiting(now);
+        self.apply_actions(sends, now);
+        let refusals = self.dispatcher.refuse_without_permit(&grant.backend, now);
+        self.apply_actions(refusals, now);
     }
 
-    /// Another view names other issuers.
-    pub(super) fn follow_issuers(&mut self) {
+    /// Keeps only those back ends for which this node is the issuer in the new view.
+    pub(super) fn update_issued_backends(&mut self) {
         let nodes = &self.usable_nodes;
         let own = self.node.as_str();
         let is_issuer =
@@ -117,7 +118,7 @@
         self.permit_issuer.keep_only(is_issuer);
     }
 
-    fn send_limits(&mut self, to: &NodeName, message: LimitMessage) {
+    fn send_limit_message(&mut self, to: &NodeName, message: LimitMessage) {
         let mut outbox = self.setup.outbox.borrow_mut();
         outbox.send(to, PeerMessage::Limits(message));
     }
--- a/crates/daemon/src/gateway/list_reader.rs
+++ b/crates/daemon/src/gateway/list_reader.rs
@@ -1,8 +1,7 @@
-//! Which nodes read the list of back ends, and when. Its source takes few calls a
-//! second from all nodes together, and a list of many back ends takes several calls,
-//! so that reading is the work of few: the leader of the control group reads for all.
-//! Where its reads do not arrive, the other nodes step in one after the other,
-//! the replicating ones first, as they pass on what they read.
+//! Selection of the nodes that read the backend list. The source limits the rate of calls from
+//! the whole cluster, so that normally only the leader of the control group reads it. If no
+//! recent read arrives, other nodes take over one by one, beginning with the replicating nodes,
+//! which distribute what they read.
 
 use crate::session::ListingLease;
 use silversail_consensus::Millis;
@@ -10,48 +9,46 @@
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-/// A replicating node waits for each one before it in the order so much longer, in
-/// milliseconds: it takes as long to read the list and to spread what was read.
-const STEP_OF_REPLICATING: Millis = 500;
-/// Other nodes wait so much longer than the lease before the first of them reads, in
-/// milliseconds: any replicating node that can be reached has read by then.
-const OTHERS_AFTER: Millis = 1_500;
-/// Each of the other nodes steps in later than the one before it by so many times the
-/// share that one read takes of the allowed rate. A node reads again when as much time
-/// has passed since its own read, so that hundreds of nodes that are all cut off from each
-/// other keep within that rate (`daemon/tests/list_reader.rs`).
+/// Takeover delay between successive replicating nodes, in milliseconds. Covers a read and the
+/// distribution of its result.
+const REPLICATING_NODE_STEP: Millis = 500;
+/// Takeover delay of the first other node after the end of the lease, in milliseconds. Reachable
+/// replicating nodes have read the list by then.
+const OTHER_NODES_DELAY: Millis = 1_500;
+/// Takeover delay between successive other nodes, as a multiple of the time that one read takes
+/// at the allowed rate. Keeps hundreds of isolated nodes within that rate together.
 const READS_PER_STEP: f64 = 5.0;
 
-/// What a node knows of the list when it decides whether to read it.
+/// Input to the decision whether a node reads the backend list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ListKnowledge {
-    /// Whether it leads the control group.
-    pub leads: bool,
-    /// How long ago any node read what it holds, or since its start where it holds
-    /// nothing, in milliseconds.
+pub struct ListReaderInput {
+    /// Whether the node leads the control group.
+    pub is_leader: bool,
+    /// Milliseconds since any node read the list that this node holds, or since the start if it
+    /// holds none.
     pub age: Millis,
-    /// Its place in the order in which nodes step in.
-    pub place: ReaderPlace,
-    /// Calls that one read of the list takes.
-    pub calls_of_read: usize,
-    /// Calls that all nodes together may make in a second.
+    /// Position of the node in the takeover order.
+    pub position: ReaderPosition,
+    /// Number of calls per read of the list.
+    pub calls_per_read: usize,
+    /// Maximum rate of calls by the whole cluster, per second.
     pub calls_per_second: f64,
-    /// For how long nodes rely on a read.
+    /// Time for which a read stays valid.
     pub lease: ListingLease,
 }
 
-/// A place in the order in which nodes step in for the leader.
+/// Position in the order in which nodes take over from the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReaderPlace {
-    /// Among the nodes that replicate the state, which pass on what they read.
+pub enum ReaderPosition {
+    /// Among the replicating nodes, which distribute what they read.
     Replicating(usize),
-    /// Among the others, which read for themselves.
+    /// Among the other nodes, which read only for themselves.
     Other(usize),
 }
 
-impl ReaderPlace {
-    /// The place of `own`, by rendezvous hash. `others` are the nodes that do not
-    /// replicate the state, as far as they are known.
+impl ReaderPosition {
+    /// Position of `own` by rendezvous hash. `others` are the known nodes that do not replicate
+    /// the state.
     pub fn of<'a>(
         own: &NodeName,
         replicating: &'a [NodeName],
@@ -76,21 +73,21 @@
     hasher.finish()
 }
 
-impl ListKnowledge {
-    /// Whether the node reads the list now.
-    pub fn reads(&self) -> bool {
-        self.leads || self.age > self.steps_in_at()
+impl ListReaderInput {
+    /// Whether the node should read the list now.
+    pub fn should_read(&self) -> bool {
+        self.is_leader || self.age > self.takeover_age()
     }
 
-    /// Age of the list at which this node reads it, in milliseconds.
-    fn steps_in_at(&self) -> Millis {
+    /// Age of the list from which this node reads it, in milliseconds.
+    fn takeover_age(&self) -> Millis {
         let ListingLease(lease) = self.lease;
-        match self.place {
-            ReaderPlace::Replicating(place) => lease + STEP_OF_REPLICATING * place as Millis,
-            ReaderPlace::Other(place) => {
-                let seconds_of_read = self.calls_of_read as f64 / self.calls_per_second.max(0.1);
-                let step = seconds_of_read * 1_000.0 * READS_PER_STEP;
-                lease + OTHERS_AFTER + (step * place as f64) as Millis
+        match self.position {
+            ReaderPosition::Replicating(index) => lease + REPLICATING_NODE_STEP * index as Millis,
+            ReaderPosition::Other(index) => {
+                let read_seconds = self.calls_per_read as f64 / self.calls_per_second.max(0.1);
+                let step = read_seconds * 1_000.0 * READS_PER_STEP;
+                lease + OTHER_NODES_DELAY + (step * index as f64) as Millis
             }
         }
     }
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -1,34 +1,34 @@
-//! The gateway: pass-through requests from callers to back ends.
+//! Gateway that forwards requests from callers to back ends.
 //!
-//! [`GatewayActor`] owns all state and decides; tasks on the server's runtime do
-//! the I/O and ask it. Chunks of answers go from back end to caller inside such a
-//! task and do not pass the actor's thread.
+//! [`GatewayActor`] owns all state and makes the decisions. Tasks on the gateway's Tokio runtime
+//! do the I/O; bodies of answers are streamed within these tasks and do not pass through the
+//! actor's thread.
 
 pub mod actor;
-pub mod allowed;
-mod answers;
+pub mod allowed_locations;
 mod batching;
 pub mod callers;
 pub mod calls;
-mod counting;
 mod crashes;
-pub mod early;
 pub mod entry_points;
 pub mod event;
-pub mod exchange;
-mod following;
-mod frees;
 mod limits;
+mod list_fetch;
 pub mod list_reader;
-mod list_reading;
 pub mod notices;
 pub mod owners;
-mod placing;
+mod placement;
+pub mod request_sender;
+mod result_freeing;
+mod rollouts;
 pub mod runtime;
+mod send_metrics;
+pub mod startup_queue;
+mod state_updates;
+pub mod submitted_orders;
 pub mod surface;
-mod versions;
-pub mod waiting;
-pub mod works;
+mod surface_requests;
+pub mod waiting_orders;
 
 pub use actor::{GatewayActor, GatewaySetup};
 pub use calls::GatewayCalls;
--- a/crates/daemon/src/gateway/notices.rs
+++ b/crates/daemon/src/gateway/notices.rs
@@ -1,4 +1,4 @@
-//! Where every path that reads an answer's head tells what the back end says of itself.
+//! Records what back ends report about themselves in the heads of their answers.
 
 use crate::clock::{self, Clock};
 use crate::metrics::Metrics;
@@ -7,20 +7,19 @@
 use silversail_serving::ports::SelfReport;
 use std::sync::Arc;
 
-/// Takes what back ends say of themselves, at the moment at which it is read.
+/// Updates [`BackendNotices`] with the current time, and counts the reports.
 #[derive(Clone)]
 pub struct NoticeRecorder {
-    /// What they said.
+    /// Latest reports of the back ends.
     pub notices: BackendNotices,
-    /// Counters.
+    /// Counters of reports, withheld sends and permits.
     pub metrics: Arc<Metrics>,
-    /// Time.
+    /// Clock by which reports are timestamped.
     pub clock: Clock,
 }
 
 impl NoticeRecorder {
-    /// Why nothing may be sent to a back end now by its own word; none where it may get what is
-    /// to be sent.
+    /// Reason why the back end is unavailable by its own reports; `None` if it is available.
     pub fn unavailable_reason(
         &self,
         instance: &str,
@@ -33,23 +32,24 @@
     }
 
     fn count_withheld(&self, reason: UnavailableReason, path: ExchangeKind) {
-        let counted = &self.metrics.sends_withheld;
+        let counter = &self.metrics.sends_withheld;
         let labels = [reason.name(), path.name()];
-        counted.with_label_values(&labels).inc();
+        counter.with_label_values(&labels).inc();
     }
 
-    /// Whether a request may leave for a back end, with the permit that it takes. Asked directly
-    /// before bytes leave: since the choice a request may have waited for a connection.
+    /// Checks whether a request may be sent to a back end, and takes a permit for it. Must be
+    /// called just before the send, as the request may have waited for a connection since the
+    /// back end was selected.
     pub fn admit(
         &self,
         instance: &str,
         path: ExchangeKind,
     ) -> Result<SendPermit, UnavailableReason> {
         let now = self.clock.millis(clock::now());
-        let admitted = self.notices.admit(instance, now);
-        let permit = admitted.inspect_err(|reason| self.count_withheld(*reason, path))?;
+        let permit = self.notices.admit(instance, now);
+        let permit = permit.inspect_err(|reason| self.count_withheld(*reason, path))?;
         Ok(SendPermit {
-            listener: self.clone(),
+            notice_recorder: self.clone(),
             instance: instance.to_owned(),
             path,
             permit,
@@ -57,81 +57,84 @@
         })
     }
 
-    /// A back end said something of itself in an answer.
+    /// Records what a back end reported about itself in an answer.
     pub fn record_report(
         &self,
         instance: &str,
         answer: impl Into<AnswerContext>,
-        said: &SelfReport,
+        report: &SelfReport,
     ) {
         let now = self.clock.millis(clock::now());
         let answer = answer.into();
         let path = answer.path;
-        let news = self.notices.record_report(instance, answer, said, now);
-        let counted = &self.metrics.backend_notices;
-        let count = |kind| counted.with_label_values(&[kind, path.name()]).inc();
-        if said.has_unreadable_rest {
+        let changes = self.notices.record_report(instance, answer, report, now);
+        let counter = &self.metrics.backend_notices;
+        let count = |kind| counter.with_label_values(&[kind, path.name()]).inc();
+        if report.has_unreadable_rest {
             count("unreadable_rest");
         }
-        if said.has_unreadable_pace {
+        if report.has_unreadable_pace {
             count("unreadable_pace");
         }
-        if news.is_longer_rest {
+        if changes.is_longer_rest {
             count("rest");
         }
-        if news.is_leaving {
+        if changes.is_leaving {
             count("leaving");
         }
-        if news.is_other_limit {
+        if changes.is_other_limit {
             count("limit");
         }
-        if said.limit.is_unreadable {
+        if report.limit.is_unreadable {
             count("unreadable_limit");
         }
-        if !said.unknown.is_empty() {
+        if !report.unknown.is_empty() {
             count("unknown_header");
         }
     }
 }
 
-/// The permission to send one request to a back end. Dropped before the request was sent, it gives
-/// its permit back.
+/// Permission to send one request to a back end. Returns its permit when it is dropped unused.
 pub struct SendPermit {
-    listener: NoticeRecorder,
+    notice_recorder: NoticeRecorder,
     instance: String,
     path: ExchangeKind,
-    /// None where the back end has no limit.
+    /// `None` if the back end has no rate limit.
     permit: Option<Permit>,
     is_spent: bool,
 }
 
 impl SendPermit {
-    /// Asks once more, after a wait: whether the back end still takes the request, and whether the
-    /// permit still holds.
+    /// Checks again, after a wait, that the back end is available and that the permit has not
+    /// expired.
     pub fn renew(self) -> Result<Self, UnavailableReason> {
-        let now = self.listener.clock.millis(clock::now());
-        let is_lapsed = self.permit.is_some_and(|permit| permit.expires_at <= now);
-        let reason = self.listener.unavailable_reason(&self.instance, self.path);
-        let is_limited_since =
-            self.permit.is_none() && self.listener.notices.of(&self.instance).is_limited();
+        let now = self.notice_recorder.clock.millis(clock::now());
+        let has_expired = self.permit.is_some_and(|permit| permit.expires_at <= now);
+        let reason = self
+            .notice_recorder
+            .unavailable_reason(&self.instance, self.path);
+        let has_new_limit =
+            self.permit.is_none() && self.notice_recorder.notices.of(&self.instance).is_limited();
         match reason {
             Some(reason) => Err(reason),
-            None if is_lapsed || is_limited_since => self.listener.admit(&self.instance, self.path),
+            None if has_expired || has_new_limit => {
+                self.notice_recorder.admit(&self.instance, self.path)
+            }
             None => Ok(self),
         }
     }
 
-    /// The request leaves now.
+    /// Marks the permit as used; call it just before the request is sent.
     pub fn spend(&mut self) {
         self.is_spent = true;
     }
 
-    /// The request did not leave after all.
+    /// Marks the permit as unused because the request was not sent.
     pub fn unspend(&mut self) {
         self.is_spent = false;
     }
 
-    /// The serial of the permit that was spent.
+    /// Serial number of the permit.
     pub fn serial(&self) -> Option<Serial> {
         self.permit.map(|permit| permit.serial)
     }
@@ -143,10 +146,12 @@
             return;
         };
         if self.is_spent {
-            let counted = &self.listener.metrics.permits_spent;
-            counted.with_label_values(&[self.path.name()]).inc();
+            let counter = &self.notice_recorder.metrics.permits_spent;
+            counter.with_label_values(&[self.path.name()]).inc();
         } else {
-            self.listener.notices.return_permit(&self.instance, permit);
+            self.notice_recorder
+                .notices
+                .return_permit(&self.instance, permit);
         }
     }
 }
--- a/crates/daemon/src/gateway/owners.rs
+++ b/crates/daemon/src/gateway/owners.rs
@@ -1,4 +1,4 @@
-//! Which node batches which shard, and which of those nodes give no sign.
+//! Owners of shards, and detection of owners that do not respond.
 
 use silversail_consensus::Millis;
 use silversail_control::batch_owners::rendezvous_owner;
@@ -6,29 +6,28 @@
 use silversail_model::{NodeName, Shard};
 use std::collections::BTreeMap;
 
-/// A batching node that owes an answer and gave no sign for so long is asked, in
-/// milliseconds; it answers at once.
-const ASK_AFTER: Millis = 450;
-/// One that was asked and gave no sign is passed over after this silence; much
-/// shorter than a lease in the view.
-const SILENT_AFTER: Millis = 900;
-/// How long it is passed over the first time, in milliseconds; each further time without
-/// a sign of it doubles that.
-const PASSED_OVER_FOR: Millis = 2_500;
-/// Most doublings of it.
+/// Silence after which an owner that has not answered an order is probed, in milliseconds.
+const PROBE_AFTER: Millis = 450;
+/// Silence after which a probed owner is ejected, in milliseconds. Much shorter than a lease in
+/// the view.
+const EJECT_AFTER: Millis = 900;
+/// Duration of the first ejection, in milliseconds. Doubles with each further ejection until the
+/// owner sends a message.
+const BASE_EJECTION_TIME: Millis = 2_500;
+/// Maximum number of doublings of the ejection time.
 const MAX_DOUBLINGS: u32 = 2;
 
-/// The node that batches `shard`: the one that `view` names, or, where that one is not
-/// usable or `is_excluded`, the first of the others; `own` where none remains.
+/// Returns the owner of `shard`: the node assigned by `view`, or, for a whole service, a
+/// replacement among the usable nodes if that one is unusable or `is_excluded`, or `own` if none
+/// remains.
 ///
-/// A part of a service stays with its owner while that is live, and has no substitute: orders
-/// go to the service's other shards until the leader names another owner. Nodes that pass
-/// over different owners would name different substitutes, and several nodes fill the same
-/// makers' calls, whose inputs are freed while they wait for each other.
+/// A shard of a zone has no replacement while its owner is unavailable; orders go to the other
+/// shards of the service until the leader assigns another owner. Nodes that eject different
+/// owners would pick different replacements, which would compete for the same back ends with
+/// partly filled batches.
 ///
-/// None where the view names no usable node, as many nodes that batch alone, each with few
-/// pieces, would keep all makers busy; and none before the leader has assigned the shard,
-/// as views that name few nodes yet would lead each node to another owner.
+/// `None` if the view has no usable node or no assignment for the shard: nodes that batch alone,
+/// or that pick an owner from an incomplete view, would fragment the batches.
 pub fn batch_owner(
     view: &ClusterView,
     shard: &Shard,
@@ -44,108 +43,108 @@
     }
     let mut nodes = view.usable_nodes().map(|status| &status.node).peekable();
     nodes.peek()?;
-    let named = Some(assigned).filter(|node| view.is_usable(node) && !is_excluded(node));
-    let others = nodes.filter(|node| !is_excluded(node));
-    let owner = named.or_else(|| rendezvous_owner(others, shard));
+    let assigned_usable = Some(assigned).filter(|node| view.is_usable(node) && !is_excluded(node));
+    let replacements = nodes.filter(|node| !is_excluded(node));
+    let owner = assigned_usable.or_else(|| rendezvous_owner(replacements, shard));
     Some(owner.unwrap_or(own).clone())
 }
 
-/// The nodes that batch the shards which `view` assigns, without those that are
-/// `is_excluded` where another shard of the service remains. Where none does, as after a
-/// restart of all nodes, an order may as well wait for an owner that gave no sign yet.
+/// Returns the owners of all shards that `view` assigns, without owners that are `is_excluded` if
+/// another shard of the service remains. If none does, the silent owners are kept, as orders may
+/// as well wait for them.
 pub fn batch_owners(
     view: &ClusterView,
     own: &NodeName,
     is_excluded: impl Fn(&NodeName) -> bool,
 ) -> BTreeMap<Shard, NodeName> {
-    let of_shard = |shard: &Shard, is_excluded: &dyn Fn(&NodeName) -> bool| {
+    let owner_of_shard = |shard: &Shard, is_excluded: &dyn Fn(&NodeName) -> bool| {
         let owner = batch_owner(view, shard, own, is_excluded)?;
         Some((shard.clone(), owner))
     };
     let shards = view.batch_owners.keys();
     let mut owners: BTreeMap<Shard, NodeName> = shards
         .clone()
-        .filter_map(|shard| of_shard(shard, &is_excluded))
+        .filter_map(|shard| owner_of_shard(shard, &is_excluded))
         .collect();
     let is_owned = |service: &str| owners.keys().any(|shard| shard.service == service);
     let unowned = shards.filter(|shard| !is_owned(&shard.service));
     let silent: Vec<(Shard, NodeName)> = unowned
-        .filter_map(|shard| of_shard(shard, &|_| false))
+        .filter_map(|shard| owner_of_shard(shard, &|_| false))
         .collect();
     owners.extend(silent);
     owners
 }
 
-/// What to do about a batching node that owes an answer.
+/// Action for an owner that has not answered an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OwnerStep {
-    /// Nothing.
+pub enum OwnerAction {
+    /// Keep waiting.
     Wait,
-    /// Give it its oldest order again: it answers.
-    Ask,
-    /// Pass it over.
-    PassOver,
+    /// Resubmit its oldest order, which it acknowledges at once.
+    Probe,
+    /// Stop sending orders to it for a while.
+    Eject,
 }
 
-/// Which batching nodes give signs: one that is cut off from here may stand in the
-/// view for long.
+/// Detects unresponsive shard owners. A node that this one cannot reach may stay in the view for
+/// long.
 #[derive(Default)]
-pub struct OwnerWatch {
-    heard_at: BTreeMap<NodeName, Millis>,
-    asked_at: BTreeMap<NodeName, Millis>,
-    passed_over_until: BTreeMap<NodeName, Millis>,
-    /// How often a node was passed over since its last sign.
-    passed_over: BTreeMap<NodeName, u32>,
+pub struct OwnerMonitor {
+    last_message_at: BTreeMap<NodeName, Millis>,
+    probed_at: BTreeMap<NodeName, Millis>,
+    ejected_until: BTreeMap<NodeName, Millis>,
+    /// Number of ejections since the last message of a node.
+    ejections: BTreeMap<NodeName, u32>,
 }
 
-impl OwnerWatch {
-    /// A message of a node came.
-    pub fn heard(&mut self, node: &NodeName, now: Millis) {
-        self.heard_at.insert(node.clone(), now);
-        self.passed_over_until.remove(node);
-        self.passed_over.remove(node);
+impl OwnerMonitor {
+    /// Records a message from a node, which ends its ejection.
+    pub fn record_message(&mut self, node: &NodeName, now: Millis) {
+        self.last_message_at.insert(node.clone(), now);
+        self.ejected_until.remove(node);
+        self.ejections.remove(node);
     }
 
-    /// Whether a message of a node came within `span` milliseconds.
-    pub fn was_heard_within(&self, node: &NodeName, span: Millis, now: Millis) -> bool {
-        let heard_at = self.heard_at.get(node);
-        heard_at.is_some_and(|at| now.saturating_sub(*at) <= span)
+    /// Whether a message of a node arrived within the last `span` milliseconds.
+    pub fn has_message_within(&self, node: &NodeName, span: Millis, now: Millis) -> bool {
+        let last_message_at = self.last_message_at.get(node);
+        last_message_at.is_some_and(|at| now.saturating_sub(*at) <= span)
     }
 
-    /// Whether a node is passed over.
-    pub fn is_passed_over(&self, node: &NodeName, now: Millis) -> bool {
-        let until = self.passed_over_until.get(node);
+    /// Whether a node is ejected at `now`.
+    pub fn is_ejected(&self, node: &NodeName, now: Millis) -> bool {
+        let until = self.ejected_until.get(node);
         until.is_some_and(|until| *until > now)
     }
 
-    /// Looks at a node that owes an answer since `owed_since`.
-    pub fn look(&mut self, node: &NodeName, owed_since: Millis, now: Millis) -> OwnerStep {
-        let heard_at = self.heard_at.get(node).copied().unwrap_or_default();
-        let quiet_since = heard_at.max(owed_since);
-        let silence = now.saturating_sub(quiet_since);
-        if self.is_passed_over(node, now) || silence < ASK_AFTER {
-            return OwnerStep::Wait;
+    /// Checks a node that has not answered an order since `pending_since`, and ejects it if it
+    /// stays silent.
+    pub fn check(&mut self, node: &NodeName, pending_since: Millis, now: Millis) -> OwnerAction {
+        let last_message_at = self.last_message_at.get(node).copied().unwrap_or_default();
+        let silent_since = last_message_at.max(pending_since);
+        let silence = now.saturating_sub(silent_since);
+        if self.is_ejected(node, now) || silence < PROBE_AFTER {
+            return OwnerAction::Wait;
         }
-        let asked_at = self.asked_at.get(node).copied().unwrap_or_default();
-        if asked_at < quiet_since {
-            self.asked_at.insert(node.clone(), now);
-            return OwnerStep::Ask;
+        let probed_at = self.probed_at.get(node).copied().unwrap_or_default();
+        if probed_at < silent_since {
+            self.probed_at.insert(node.clone(), now);
+            return OwnerAction::Probe;
         }
-        if silence < SILENT_AFTER {
-            return OwnerStep::Wait;
+        if silence < EJECT_AFTER {
+            return OwnerAction::Wait;
         }
-        let times = self.passed_over.entry(node.clone()).or_default();
-        let until = now + (PASSED_OVER_FOR << (*times).min(MAX_DOUBLINGS));
-        *times += 1;
-        self.passed_over_until.insert(node.clone(), until);
-        OwnerStep::PassOver
+        let ejection_count = self.ejections.entry(node.clone()).or_default();
+        let until = now + (BASE_EJECTION_TIME << (*ejection_count).min(MAX_DOUBLINGS));
+        *ejection_count += 1;
+        self.ejected_until.insert(node.clone(), until);
+        OwnerAction::Eject
     }
 
-    /// Ends the times of those that were passed over long enough. True when there
-    /// were any.
+    /// Ends expired ejections. Returns `true` if there were any.
     pub fn expire(&mut self, now: Millis) -> bool {
-        let before = self.passed_over_until.len();
-        self.passed_over_until.retain(|_, until| *until > now);
-        self.passed_over_until.len() != before
+        let before = self.ejected_until.len();
+        self.ejected_until.retain(|_, until| *until > now);
+        self.ejected_until.len() != before
     }
 }
--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/request_sender.rs
@@ -1,4 +1,4 @@
-//! One send of a caller's request to an engine, and what comes back.
+//! One send of a caller's request to a back end, and its answer.
 
 use crate::clock::{self, Clock};
 use crate::gateway::calls::CONNECT_TIMEOUT;
@@ -21,32 +21,34 @@
 use std::time::{Duration, Instant};
 use tokio::time::{timeout, timeout_at};
 
-/// Answers up to this size are taken in whole before the caller gets them.
-const MAX_WHOLE: usize = 1 << 20;
-/// Longest wait for the body of an engine's refusal, to keep its connection.
-const REFUSAL_BODY: Duration = Duration::from_millis(100);
+/// Maximum size of answers that are buffered before they are forwarded, in bytes. Longer ones are
+/// streamed.
+const MAX_BUFFERED_ANSWER_BYTES: usize = 1 << 20;
+/// Maximum wait for the body of a refusal, which must be read before the connection can be
+/// reused.
+const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(100);
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
-/// Statuses which promise that the request did not run.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+/// Statuses by which a back end guarantees that it did not run the request.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// What came of a send.
+/// Outcome of a send.
 pub struct SendResult {
-    /// For the dispatcher.
+    /// Outcome for the dispatcher.
     pub outcome: SendOutcome,
-    /// Load that the engine told.
+    /// Load that the back end reported.
     pub load: Option<ReportedLoad>,
-    /// The answer for the caller, where there is one.
+    /// Answer to forward to the caller; `None` if the dispatcher decides what follows.
     pub answer: Option<Response<OutgoingBody>>,
 }
 
-/// How a send ended early.
-struct Ended {
+/// End of a send without an answer for the caller.
+struct FailedSend {
     outcome: SendOutcome,
     load: Option<ReportedLoad>,
 }
 
-impl From<SendOutcome> for Ended {
+impl From<SendOutcome> for FailedSend {
     fn from(outcome: SendOutcome) -> Self {
         Self {
             outcome,
@@ -55,50 +57,54 @@
     }
 }
 
-impl From<UnavailableReason> for Ended {
+impl From<UnavailableReason> for FailedSend {
     fn from(_: UnavailableReason) -> Self {
         SendOutcome::NotRun(NotRunReason::Withheld).into()
     }
 }
 
-/// Sends requests.
+/// Sends callers' requests to back ends.
 #[derive(Clone)]
-pub struct Exchanger {
+pub struct RequestSender {
     /// Connections to back ends.
     pub pool: ConnectionPool,
-    /// The outside protocols.
+    /// Adapters for the external protocols.
     pub protocols: Protocols,
-    /// Time.
+    /// Clock by which deadlines are measured.
     pub clock: Clock,
-    /// Takes what back ends say of themselves.
-    pub listener: NoticeRecorder,
+    /// Records what back ends report about themselves.
+    pub notice_recorder: NoticeRecorder,
 }
 
-/// What a stream's relay tells, once it began.
-pub struct StreamWatch {
-    /// Told when the head came.
+/// Callbacks for the progress of a streamed answer.
+pub struct StreamCallbacks {
+    /// Called with the reported load when the head is received.
     pub on_head: Box<dyn FnOnce(Option<ReportedLoad>) + Send>,
-    /// Told when the stream ended, with the engine's status.
+    /// Called with the back end's status when the stream ends.
     pub on_end: Box<dyn FnOnce(u16, RelayEnd) + Send>,
 }
 
-impl Exchanger {
-    /// Sends the request `id` by `plan`, until the plan's end at the longest. `watch`
-    /// is told of the head and the end of an answer that is relayed as it comes.
+impl RequestSender {
+    /// Sends the request `id` to the back end of `plan`, until the plan's deadline. The callbacks
+    /// are used for streamed answers only.
     pub async fn send(
         &self,
         request: &IncomingRequest,
         id: &str,
         plan: &SendPlan,
-        watch: StreamWatch,
+        callbacks: StreamCallbacks,
     ) -> SendResult {
-        let end = clock::steady(self.clock.instant(plan.end));
-        let sent = timeout_at(end.into(), self.try_send(request, id, plan, watch, end)).await;
-        match sent {
+        let deadline = clock::steady(self.clock.instant(plan.end));
+        let result = timeout_at(
+            deadline.into(),
+            self.try_send(request, id, plan, callbacks, deadline),
+        )
+        .await;
+        match result {
             Ok(Ok(result)) => result,
-            Ok(Err(ended)) => SendResult {
-                outcome: ended.outcome,
-                load: ended.load,
+            Ok(Err(failed_send)) => SendResult {
+                outcome: failed_send.outcome,
+                load: failed_send.load,
                 answer: None,
             },
             Err(_) => SendResult {
@@ -114,10 +120,10 @@
         request: &IncomingRequest,
         id: &str,
         plan: &SendPlan,
-        watch: StreamWatch,
-        end: Instant,
-    ) -> Result<SendResult, Ended> {
-        let (mut connection, response, permit) = self.first_head(request, plan).await?;
+        callbacks: StreamCallbacks,
+        deadline: Instant,
+    ) -> Result<SendResult, FailedSend> {
+        let (mut connection, response, permit) = self.send_until_head(request, plan).await?;
         connection.note_head(response.headers());
         let status = response.status().as_u16();
         let head = self
@@ -127,66 +133,72 @@
         let answer = AnswerContext {
             path: ExchangeKind::Request,
             permit,
-            is_success: is_sound(status, &head) && status < 500,
+            is_success: may_be_forwarded(status, &head) && status < 500,
         };
-        self.listener
+        self.notice_recorder
             .record_report(&plan.instance, answer, &head.report);
         if head.not_run {
             let reason = not_run_reason(status);
-            keep_after_refusal(connection, response.into_body()).await;
-            return Err(Ended {
+            reuse_after_refusal(connection, response.into_body()).await;
+            return Err(FailedSend {
                 outcome: SendOutcome::NotRun(reason),
                 load: head.report.load,
             });
         }
-        if !is_sound(status, &head) {
+        if !may_be_forwarded(status, &head) {
             return Err(SendOutcome::Unknown(UnknownReason::Garbled).into());
         }
         if status >= 500 && plan.may_repeat {
-            keep_after_refusal(connection, response.into_body()).await;
-            return Err(Ended {
+            reuse_after_refusal(connection, response.into_body()).await;
+            return Err(FailedSend {
                 outcome: SendOutcome::Failed { status },
                 load: head.report.load,
             });
         }
-        let is_long = content_length(response.headers()).is_some_and(|length| length > MAX_WHOLE);
+        let is_long = content_length(response.headers())
+            .is_some_and(|length| length > MAX_BUFFERED_ANSWER_BYTES);
         if plan.is_stream || is_long {
-            return Ok(relay(response, connection, head, watch, end));
+            return Ok(stream_answer(
+                response, connection, head, callbacks, deadline,
+            ));
         }
-        whole(response, connection, head).await
+        buffer_answer(response, connection, head).await
     }
 
-    /// Connects, sends, and waits for the answer's head. Tells the permit with which it was sent.
-    async fn first_head(
+    /// Connects, sends the request and waits for the head of the answer. Also returns the serial
+    /// of the permit used.
+    async fn send_until_head(
         &self,
         request: &IncomingRequest,
         plan: &SendPlan,
-    ) -> Result<(Connection, Response<Incoming>, Option<Serial>), Ended> {
-        let mut permit = self.listener.admit(&plan.instance, ExchangeKind::Request)?;
+    ) -> Result<(Connection, Response<Incoming>, Option<Serial>), FailedSend> {
+        let mut permit = self
+            .notice_recorder
+            .admit(&plan.instance, ExchangeKind::Request)?;
         if let Some(mut connection) = self.pool.take_idle(&plan.address) {
             permit.spend();
-            match connection.send(self.build(request, plan)).await {
+            match connection.send(self.build_request(request, plan)).await {
                 Ok(response) => return Ok((connection, response, permit.serial())),
-                // The engine closed it meanwhile; nothing was sent.
+                // The back end had closed the idle connection before the request was sent.
                 Err(SendError::NotSent(_)) => permit.unspend(),
                 Err(SendError::Broken(_)) => {
                     return Err(SendOutcome::Unknown(UnknownReason::Broken).into())
                 }
             }
         }
-        let unreachable = || Ended::from(SendOutcome::NotRun(NotRunReason::Unreachable));
+        let unreachable = || FailedSend::from(SendOutcome::NotRun(NotRunReason::Unreachable));
         let connecting = self.pool.connect(&plan.address, CONNECT_TIMEOUT);
         let mut connection = connecting.await.map_err(|_| unreachable())?;
-        // Other answers may have come while this one connected.
+        // Other answers may have changed the back end's state while this connection was opened.
         let mut permit = match permit.renew() {
             Ok(permit) => permit,
-            Err(withheld) => {
+            Err(reason) => {
                 connection.keep();
-                return Err(withheld.into());
+                return Err(reason.into());
             }
         };
         permit.spend();
-        match connection.send(self.build(request, plan)).await {
+        match connection.send(self.build_request(request, plan)).await {
             Ok(response) => Ok((connection, response, permit.serial())),
             Err(SendError::NotSent(_)) => {
                 permit.unspend();
@@ -196,15 +208,15 @@
         }
     }
 
-    /// Time until a plan's end.
-    fn left(&self, plan: &SendPlan) -> Duration {
-        let end = self.clock.instant(plan.end);
-        end.saturating_duration_since(clock::now())
+    /// Time left until the deadline of a plan.
+    fn time_left(&self, plan: &SendPlan) -> Duration {
+        let deadline = self.clock.instant(plan.end);
+        deadline.saturating_duration_since(clock::now())
     }
 
-    fn build(&self, request: &IncomingRequest, plan: &SendPlan) -> Request<Full<Bytes>> {
+    fn build_request(&self, request: &IncomingRequest, plan: &SendPlan) -> Request<Full<Bytes>> {
         let mut attributes = plan.attributes.clone();
-        attributes.remaining_ms = self.left(plan).as_millis() as u64;
+        attributes.remaining_ms = self.time_left(plan).as_millis() as u64;
         let mut headers = self
             .protocols
             .requests
@@ -212,13 +224,13 @@
         strip_connection_headers(&mut headers);
         headers.remove(EXPECT);
         let target = request.parts.uri.path_and_query();
-        let mut built = Request::builder()
+        let mut outgoing = Request::builder()
             .method(request.parts.method.clone())
             .uri(target.map_or("/", |target| target.as_str()))
             .body(Full::new(request.body.clone()))
             .expect("method and target came in a request that was read");
-        *built.headers_mut() = headers;
-        built
+        *outgoing.headers_mut() = headers;
+        outgoing
     }
 }
 
@@ -231,16 +243,16 @@
     }
 }
 
-/// Whether an answer can be passed on. A promise that the engine does not give
-/// itself is none: passed on it would say that the request did not run.
-fn is_sound(status: u16, head: &AnswerHead) -> bool {
+/// Whether an answer may be forwarded. A status that guarantees the request did not run may come
+/// only from the gateway: a forwarded one would be wrong.
+fn may_be_forwarded(status: u16, head: &AnswerHead) -> bool {
     let is_success = (200..300).contains(&status);
-    head.matches_request && (head.is_signed || !is_success) && !PROMISES.contains(&status)
+    head.matches_request && (head.is_signed || !is_success) && !NOT_RUN_STATUSES.contains(&status)
 }
 
-async fn keep_after_refusal(connection: Connection, body: Incoming) {
-    let body = Limited::new(body, MAX_WHOLE).collect();
-    if let Ok(Ok(_)) = timeout(REFUSAL_BODY, body).await {
+async fn reuse_after_refusal(connection: Connection, body: Incoming) {
+    let body = Limited::new(body, MAX_BUFFERED_ANSWER_BYTES).collect();
+    if let Ok(Ok(_)) = timeout(REFUSAL_BODY_TIMEOUT, body).await {
         connection.keep();
     }
 }
@@ -249,16 +261,16 @@
     headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
-/// Removes what belongs to one connection only.
+/// Removes hop-by-hop headers.
 fn strip_connection_headers(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let connection_headers: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named {
+    for name in connection_headers {
         headers.remove(name);
     }
     for name in [
@@ -275,19 +287,19 @@
     }
 }
 
-fn relay(
+fn stream_answer(
     response: Response<Incoming>,
     connection: Connection,
     head: AnswerHead,
-    watch: StreamWatch,
-    end: Instant,
+    callbacks: StreamCallbacks,
+    deadline: Instant,
 ) -> SendResult {
     let (mut parts, body) = response.into_parts();
     let status = parts.status.as_u16();
     strip_connection_headers(&mut parts.headers);
-    (watch.on_head)(head.report.load);
-    let on_end = watch.on_end;
-    let body = RelayBody::new(body, connection, end, move |end| on_end(status, end));
+    (callbacks.on_head)(head.report.load);
+    let on_end = callbacks.on_end;
+    let body = RelayBody::new(body, connection, deadline, move |end| on_end(status, end));
     SendResult {
         outcome: SendOutcome::Delivered {
             status,
@@ -298,15 +310,17 @@
     }
 }
 
-async fn whole(
+async fn buffer_answer(
     response: Response<Incoming>,
     connection: Connection,
     head: AnswerHead,
-) -> Result<SendResult, Ended> {
+) -> Result<SendResult, FailedSend> {
     let (mut parts, body) = response.into_parts();
-    let collected = Limited::new(body, MAX_WHOLE).collect().await;
+    let collected = Limited::new(body, MAX_BUFFERED_ANSWER_BYTES)
+        .collect()
+        .await;
     let Ok(body) = collected else {
-        return Err(Ended {
+        return Err(FailedSend {
             outcome: SendOutcome::Unknown(UnknownReason::Broken),
             load: head.report.load,
         });
--- a/crates/daemon/src/gateway/runtime.rs
+++ b/crates/daemon/src/gateway/runtime.rs
@@ -1,10 +1,10 @@
-//! The gateway's runtime: its servers and its calls.
+//! Tokio runtime of the gateway, with its HTTP servers and its calls to back ends.
 
 use crate::event::EventSender;
 use crate::gateway::callers::CallerService;
 use crate::gateway::calls::RuntimeCalls;
-use crate::gateway::exchange::Exchanger;
 use crate::gateway::notices::NoticeRecorder;
+use crate::gateway::request_sender::RequestSender;
 use crate::gateway::surface::SurfaceService;
 use crate::settings::GatewaySettings;
 use silversail_http::{serve, AsyncService, ConnectionPool, HeldBodies};
@@ -15,7 +15,7 @@
 use tokio::runtime::Runtime;
 use tokio::sync::watch;
 
-/// The running servers; dropped, they stop.
+/// The running servers, which stop when this is dropped.
 pub struct GatewayRuntime {
     runtime: Option<Runtime>,
     calls: RuntimeCalls,
@@ -24,41 +24,41 @@
 }
 
 impl GatewayRuntime {
-    /// Binds all addresses and starts serving.
+    /// Binds all addresses and starts the servers.
     pub fn start(
         settings: &GatewaySettings,
         protocols: &Protocols,
         events: &EventSender,
-        listener: NoticeRecorder,
+        notice_recorder: NoticeRecorder,
     ) -> io::Result<Self> {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .thread_name("gateway")
             .enable_all()
             .build()?;
-        let (stopping, is_stopping) = watch::channel(false);
-        let (closing, is_closing) = watch::channel(false);
-        let (limits, limits_seen) = watch::channel(None);
+        let (stopping, stopping_receiver) = watch::channel(false);
+        let (closing, closing_receiver) = watch::channel(false);
+        let (limits, limits_receiver) = watch::channel(None);
         let calls = RuntimeCalls {
             runtime: runtime.handle().clone(),
             pool: ConnectionPool::new(),
             protocols: protocols.clone(),
-            listener: listener.clone(),
+            notice_recorder: notice_recorder.clone(),
             events: events.clone(),
             limits: Arc::new(limits),
-            reads_list: Arc::new(watch::channel(false).0),
+            is_list_reader: Arc::new(watch::channel(false).0),
         };
         let callers = CallerService {
             events: events.clone(),
-            exchanger: Exchanger {
+            request_sender: RequestSender {
                 pool: calls.pool.clone(),
                 protocols: protocols.clone(),
-                clock: listener.clock,
-                listener,
+                clock: notice_recorder.clock,
+                notice_recorder,
             },
             next_number: Arc::new(AtomicU64::new(1)),
-            limits: limits_seen,
-            stopping: is_stopping,
+            limits: limits_receiver,
+            stopping: stopping_receiver,
         };
         let surface = SurfaceService {
             events: events.clone(),
@@ -66,22 +66,33 @@
             answer_lifetime_ms: settings.answer_lifetime_ms,
         };
         let surface: Arc<dyn AsyncService> = Arc::new(surface);
-        let held = HeldBodies::new(settings.held_body_bytes);
+        let held_bodies = HeldBodies::new(settings.held_body_bytes);
         {
-            let _entered = runtime.enter();
+            let _guard = runtime.enter();
             let callers = Arc::new(callers);
-            serve(&settings.callers, callers, held, is_closing.clone())?;
-            // Operators and callers' questions don't wait for callers' bodies.
-            let held = HeldBodies::new(settings.held_body_bytes);
+            serve(
+                &settings.callers,
+                callers,
+                held_bodies,
+                closing_receiver.clone(),
+            )?;
+            // A separate limit, so that callers' bodies cannot block operators and entry-point
+            // lookups.
+            let held_bodies = HeldBodies::new(settings.held_body_bytes);
             for address in [
                 &settings.readiness,
                 &settings.control,
                 &settings.entry_points,
             ] {
-                serve(address, surface.clone(), held.clone(), is_closing.clone())?;
+                serve(
+                    address,
+                    surface.clone(),
+                    held_bodies.clone(),
+                    closing_receiver.clone(),
+                )?;
             }
         }
-        runtime.spawn(calls.clone().follow_list(settings.clone()));
+        runtime.spawn(calls.clone().run_list_reader(settings.clone()));
         Ok(Self {
             runtime: Some(runtime),
             calls,
@@ -90,17 +101,17 @@
         })
     }
 
-    /// Calls to back ends.
+    /// Returns the handle for calls to back ends.
     pub fn calls(&self) -> RuntimeCalls {
         self.calls.clone()
     }
 
-    /// Callers are told with each answer to connect elsewhere.
+    /// Asks callers, with each answer, to close their connections.
     pub fn begin_stop(&self) {
         self.stopping.send_replace(true);
     }
 
-    /// Accepts no more connections and closes idle ones.
+    /// Stops accepting connections and closes idle ones.
     pub fn close(&self) {
         self.closing.send_replace(true);
     }
--- a/crates/daemon/src/gateway/counting.rs
+++ b/crates/daemon/src/gateway/send_metrics.rs
@@ -1,4 +1,4 @@
-//! Counts sends and calls, and what came of them.
+//! Metrics of sends and batch calls.
 
 use crate::gateway::actor::GatewayActor;
 use prometheus::IntCounter;
@@ -8,25 +8,25 @@
 };
 
 impl GatewayActor {
-    /// Counts a send by the version that it goes to.
-    pub(super) fn note_send(&mut self, number: RequestNumber, plan: &SendPlan) {
-        let failures = self.count_version(&plan.service, &plan.version);
-        if let Some(open) = self.open.get_mut(&number) {
-            open.failures = Some(failures);
+    /// Counts a send by the version of its back end.
+    pub(super) fn count_send_start(&mut self, number: RequestNumber, plan: &SendPlan) {
+        let failure_counter = self.count_version(&plan.service, &plan.version);
+        if let Some(open) = self.open_requests.get_mut(&number) {
+            open.failure_counter = Some(failure_counter);
         }
     }
 
-    /// Counts a send that failed, and whether it is followed by another.
-    pub(super) fn count_send(
+    /// Counts the end of a send by outcome, and whether a retry follows.
+    pub(super) fn count_send_end(
         &mut self,
         number: RequestNumber,
         outcome: SendOutcome,
         actions: &[Action],
     ) {
-        let open = self.open.get_mut(&number);
-        let failures = open.and_then(|open| open.failures.take());
-        if let Some(failures) = failures.filter(|_| is_failure(outcome)) {
-            failures.inc();
+        let open = self.open_requests.get_mut(&number);
+        let failure_counter = open.and_then(|open| open.failure_counter.take());
+        if let Some(failure_counter) = failure_counter.filter(|_| is_failure(outcome)) {
+            failure_counter.inc();
         }
         let is_retried = actions
             .iter()
@@ -39,24 +39,25 @@
         }
     }
 
-    /// Counts a batch call by the version that it goes to.
-    pub(super) fn note_call(&mut self, call: &BatchCall) {
+    /// Counts a batch call by the version of its back end.
+    pub(super) fn count_call_start(&mut self, call: &BatchCall) {
         let pieces = call.pieces.len() as f64;
         self.setup.metrics.batch_pieces.observe(pieces);
-        let failures = self.count_version(&call.service, &call.version);
-        self.call_failures.insert(call.call, failures);
+        let failure_counter = self.count_version(&call.service, &call.version);
+        self.call_failure_counters
+            .insert(call.call, failure_counter);
     }
 
-    /// Counts a batch call that failed.
-    pub(super) fn count_call(&mut self, call: CallId, outcome: &CallOutcome) {
-        let failures = self.call_failures.remove(&call);
-        let has_failed = matches!(outcome, CallOutcome::Unknown | CallOutcome::Unreachable);
-        if let Some(failures) = failures.filter(|_| has_failed) {
-            failures.inc();
+    /// Counts the end of a batch call if it failed.
+    pub(super) fn count_call_end(&mut self, call: CallId, outcome: &CallOutcome) {
+        let failure_counter = self.call_failure_counters.remove(&call);
+        let is_failed = matches!(outcome, CallOutcome::Unknown | CallOutcome::Unreachable);
+        if let Some(failure_counter) = failure_counter.filter(|_| is_failed) {
+            failure_counter.inc();
         }
     }
 
-    /// Counts what goes to a version of a service; the counter returned is for its failure.
+    /// Counts a send or call to a version, and returns the counter for its failure.
     fn count_version(&self, service: &str, version: &str) -> IntCounter {
         let metrics = &self.setup.metrics;
         let labels = [service, version];
@@ -65,7 +66,7 @@
     }
 }
 
-/// Whether a back end failed a request, or was not reached.
+/// Whether the back end failed the request or was unreachable.
 fn is_failure(outcome: SendOutcome) -> bool {
     match outcome {
         SendOutcome::Delivered { status, is_whole } => status >= 500 || !is_whole,
@@ -74,7 +75,7 @@
     }
 }
 
-/// Label of what came of a send.
+/// Metric label of the outcome of a send.
 pub(super) fn outcome_label(outcome: SendOutcome) -> &'static str {
     match outcome {
         SendOutcome::Delivered { is_whole: true, .. } => "whole",
--- a/crates/daemon/src/gateway/surface.rs
+++ b/crates/daemon/src/gateway/surface.rs
@@ -1,8 +1,8 @@
-//! The surfaces for the operator, for readiness and for entry points.
+//! HTTP service for operators, readiness checks and entry-point lookups.
 
 use crate::evacuation::ZoneOrder;
 use crate::event::{Event, EventSender};
-use crate::gateway::entry_points::EntryCaller;
+use crate::gateway::entry_points::EntryPointLookup;
 use crate::gateway::event::{GatewayEvent, SurfaceReply, SurfaceRequest};
 use bytes::Bytes;
 use http_body_util::{Either, Full};
@@ -19,7 +19,7 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// What these surfaces take: a document of thousands of routes is a few megabytes.
+/// Request limits. Documents with thousands of routes have a few megabytes.
 const LIMITS: ServiceLimits = ServiceLimits {
     head_bytes: 16 << 10,
     body_bytes: 32 << 20,
@@ -27,17 +27,17 @@
     idle_timeout: Duration::from_secs(30),
 };
 const BAD_REQUEST: u16 = 400;
-/// Largest order of a rollout, in bytes: two names and a number take a few hundred.
-const LARGEST_ROLLOUT_ORDER: usize = 16 << 10;
+/// Maximum size of a rollout order, in bytes.
+const MAX_ROLLOUT_ORDER_BYTES: usize = 16 << 10;
 
-/// Serves the three surfaces, each at its own address.
+/// HTTP service of the three surfaces, each of which has an address of its own.
 #[derive(Clone)]
 pub struct SurfaceService {
-    /// Where questions are told.
+    /// Channel to the gateway actor.
     pub events: EventSender,
-    /// The outside protocols.
+    /// Adapters for the external protocols.
     pub protocols: Protocols,
-    /// How long callers keep an entry-point answer, in milliseconds.
+    /// Time for which callers cache entry points, in milliseconds.
     pub answer_lifetime_ms: u64,
 }
 
@@ -53,7 +53,7 @@
             RejectReason::NoRoom => ResultCode::TooManyRequests,
             _ => ResultCode::MalformedRequest,
         };
-        Ok(plain(code.http_status(), code.reason()))
+        Ok(text_response(code.http_status(), code.reason()))
     }
 
     fn limits(&self) -> ServiceLimits {
@@ -65,101 +65,105 @@
     async fn serve(self, request: IncomingRequest) -> Response<OutgoingBody> {
         let surface = &self.protocols.surface;
         let call = surface.classify(&request.parts.method, &request.parts.uri);
-        let question = match call {
-            None => return plain(404, "no such call"),
+        let surface_request = match call {
+            None => return text_response(404, "no such call"),
             Some(SurfaceCall::Publish) => match surface.read_traffic(&request.body) {
                 Ok(traffic) => SurfaceRequest::Publish(Box::new(PublishedTraffic {
                     document: request.body.to_vec(),
                     traffic,
                 })),
-                Err(rejected) => return plain(BAD_REQUEST, &rejected.to_string()),
+                Err(rejected) => return text_response(BAD_REQUEST, &rejected.to_string()),
             },
             Some(SurfaceCall::Evacuate { .. }) if !request.body.is_empty() => {
-                return refused(ResultCode::UnexpectedBody);
+                return refusal_response(ResultCode::UnexpectedBody);
             }
             Some(SurfaceCall::Evacuate { zone, evacuated }) => {
                 SurfaceRequest::Evacuate(ZoneOrder { zone, evacuated })
             }
-            Some(SurfaceCall::BeginRollout) if request.body.len() > LARGEST_ROLLOUT_ORDER => {
-                return refused(ResultCode::BodyTooLarge);
+            Some(SurfaceCall::BeginRollout) if request.body.len() > MAX_ROLLOUT_ORDER_BYTES => {
+                return refusal_response(ResultCode::BodyTooLarge);
             }
             Some(SurfaceCall::BeginRollout) => match surface.read_rollout_order(&request.body) {
                 Ok(order) => SurfaceRequest::BeginRollout(order),
-                Err(rejected) => return plain(rejected.code.http_status(), &rejected.to_string()),
+                Err(rejected) => {
+                    return text_response(rejected.code.http_status(), &rejected.to_string())
+                }
             },
             Some(SurfaceCall::ReadRollout { service }) => SurfaceRequest::ReadRollout { service },
             Some(SurfaceCall::ReadTraffic) => SurfaceRequest::ReadTraffic,
             Some(SurfaceCall::Readiness) => SurfaceRequest::Readiness,
             Some(SurfaceCall::EntryPoints { host, region, zone }) => {
-                SurfaceRequest::EntryPoints(EntryCaller { host, region, zone })
+                SurfaceRequest::EntryPoints(EntryPointLookup { host, region, zone })
             }
         };
-        match self.ask(question).await {
-            Some(reply) => self.answer(reply),
-            None => plain(503, "stopping"),
+        match self.send_to_actor(surface_request).await {
+            Some(reply) => self.reply_response(reply),
+            None => text_response(503, "stopping"),
         }
     }
 
-    async fn ask(&self, request: SurfaceRequest) -> Option<SurfaceReply> {
+    async fn send_to_actor(&self, request: SurfaceRequest) -> Option<SurfaceReply> {
         let (reply, answer) = oneshot::channel();
-        let event = GatewayEvent::Surface { request, reply };
+        let event = GatewayEvent::SurfaceRequested { request, reply };
         self.events.send(Event::Gateway(event)).ok()?;
         answer.await.ok()
     }
 
-    fn answer(&self, reply: SurfaceReply) -> Response<OutgoingBody> {
+    fn reply_response(&self, reply: SurfaceReply) -> Response<OutgoingBody> {
         match reply {
             SurfaceReply::Published(published) => {
-                json(format!("{{\"in_force\":{}}}", published.in_force).into_bytes())
+                json_response(format!("{{\"in_force\":{}}}", published.in_force).into_bytes())
             }
             SurfaceReply::ZoneOrdered(revision) => {
-                json(format!("{{\"revision\":{revision}}}").into_bytes())
+                json_response(format!("{{\"revision\":{revision}}}").into_bytes())
             }
             SurfaceReply::RolloutOrdered(Ok(number)) => {
-                json(format!("{{\"rollout\":{number}}}").into_bytes())
+                json_response(format!("{{\"rollout\":{number}}}").into_bytes())
             }
             SurfaceReply::RolloutOrdered(Err(error)) if error.code.http_status() == 503 => {
-                unavailable(error.code)
+                unavailable_response(error.code)
             }
             SurfaceReply::RolloutOrdered(Err(error)) => {
-                plain(error.code.http_status(), &error.to_string())
+                text_response(error.code.http_status(), &error.to_string())
             }
-            SurfaceReply::Rollout(rollout) => json(self.protocols.surface.rollout(&rollout)),
-            SurfaceReply::Refused(code) => refused(code),
-            SurfaceReply::Invalid(why) => plain(BAD_REQUEST, &why),
-            SurfaceReply::Traffic(document) => json(document),
-            SurfaceReply::Ready => plain(200, "ready"),
+            SurfaceReply::Rollout(rollout) => {
+                json_response(self.protocols.surface.rollout(&rollout))
+            }
+            SurfaceReply::Refused(code) => refusal_response(code),
+            SurfaceReply::Invalid(reason) => text_response(BAD_REQUEST, &reason),
+            SurfaceReply::Traffic(document) => json_response(document),
+            SurfaceReply::Ready => text_response(200, "ready"),
             SurfaceReply::EntryPoints(addresses) => {
                 let surface = &self.protocols.surface;
-                json(surface.entry_points(&addresses, self.answer_lifetime_ms))
+                json_response(surface.entry_points(&addresses, self.answer_lifetime_ms))
             }
-            SurfaceReply::Unavailable(code) => unavailable(code),
+            SurfaceReply::Unavailable(code) => unavailable_response(code),
         }
     }
 }
 
-fn unavailable(code: ResultCode) -> Response<OutgoingBody> {
-    let mut response = plain(503, code.reason());
+fn unavailable_response(code: ResultCode) -> Response<OutgoingBody> {
+    let mut response = text_response(503, code.reason());
     let headers = response.headers_mut();
     headers.insert(RETRY_AFTER, HeaderValue::from_static("0.3"));
     response
 }
 
-fn refused(code: ResultCode) -> Response<OutgoingBody> {
+fn refusal_response(code: ResultCode) -> Response<OutgoingBody> {
     let text = format!("{} {}", code.number(), code.reason());
-    plain(code.http_status(), &text)
+    text_response(code.http_status(), &text)
 }
 
-fn plain(status: u16, text: &str) -> Response<OutgoingBody> {
+fn text_response(status: u16, text: &str) -> Response<OutgoingBody> {
     Response::builder()
         .status(status)
         .body(Either::Left(Full::new(Bytes::from(text.to_owned()))))
         .expect("statuses are constants and valid")
 }
 
-fn json(body: Vec<u8>) -> Response<OutgoingBody> {
+fn json_response(body: Vec<u8>) -> Response<OutgoingBody> {
     let mut response = Response::new(Either::Left(Full::new(Bytes::from(body))));
-    let json = HeaderValue::from_static("application/json");
-    response.headers_mut().insert(CONTENT_TYPE, json);
+    let content_type = HeaderValue::from_static("application/json");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
--- a/crates/daemon/src/gateway/answers.rs
+++ b/crates/daemon/src/gateway/surface_requests.rs
@@ -1,9 +1,8 @@
-//! The actor's answers to the operator, the platform and callers who ask for
-//! addresses.
+//! Handling of requests from operators, the platform and callers that look up entry points.
 
 use crate::evacuation::OrderCaller;
 use crate::gateway::actor::GatewayActor;
-use crate::gateway::entry_points::{choose_entry_points, EntryCaller};
+use crate::gateway::entry_points::{choose_entry_points, EntryPointLookup};
 use crate::gateway::event::{SurfaceReply, SurfaceRequest};
 use crate::replica::ProposalOutcome;
 use crate::rollout::{RolloutCaller, RolloutOutcome};
@@ -15,13 +14,13 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Longest wait for a publication to be committed.
+/// Maximum wait for a published configuration to be committed.
 const PUBLISH_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// Most addresses in an answer: no more are read.
-const MOST_ENTRY_POINTS: usize = 64;
+/// Maximum number of addresses in an answer; callers ignore any beyond it.
+const MAX_ENTRY_POINTS: usize = 64;
 
-/// An operator at the surface of the platform.
+/// An operator who waits for an answer on the platform surface.
 struct SurfaceCaller(oneshot::Sender<SurfaceReply>);
 
 impl OrderCaller for SurfaceCaller {
@@ -35,7 +34,7 @@
             Err(code) if code.http_status() == 503 => SurfaceReply::Unavailable(code),
             Err(code) => SurfaceReply::Refused(code),
         };
-        // The operator may have left.
+        // The operator may have disconnected.
         let _ = self.0.send(reply);
     }
 }
@@ -46,13 +45,13 @@
     }
 
     fn answer(self: Box<Self>, outcome: RolloutOutcome) {
-        // The operator may have left.
+        // The operator may have disconnected.
         let _ = self.0.send(SurfaceReply::RolloutOrdered(outcome));
     }
 }
 
 impl GatewayActor {
-    pub(super) fn surface(
+    pub(super) fn handle_surface_request(
         &mut self,
         cx: CX![],
         request: SurfaceRequest,
@@ -79,7 +78,7 @@
             SurfaceRequest::Readiness => self.readiness(),
             SurfaceRequest::EntryPoints(caller) => self.entry_points(&caller),
         };
-        // Whoever asked may have left.
+        // The client may have disconnected.
         let _ = reply.send(answer);
     }
 
@@ -89,22 +88,23 @@
         published: PublishedTraffic,
         reply: oneshot::Sender<SurfaceReply>,
     ) {
-        // Which regions there are only the topology tells, not the document.
-        let known = self.setup.topology.regions();
-        if let Err(error) = published.traffic.check_regions(&known) {
-            // Whoever asked may have left.
+        // The document does not define the regions, so that they are validated against the
+        // topology.
+        let regions = self.setup.topology.regions();
+        if let Err(error) = published.traffic.check_regions(&regions) {
+            // The client may have disconnected.
             let _ = reply.send(SurfaceReply::Invalid(error.to_string()));
             return;
         }
         let command = ControlCommand::Publish(published).encode();
-        let ret = ret_some_to!([cx], publication_ended(reply) as (ProposalOutcome));
+        let callback = ret_some_to!([cx], handle_publication_outcome(reply) as (ProposalOutcome));
         call!(
             [self.setup.proposer],
-            propose(command, PUBLISH_TIMEOUT, ret)
+            propose(command, PUBLISH_TIMEOUT, callback)
         );
     }
 
-    pub(super) fn publication_ended(
+    pub(super) fn handle_publication_outcome(
         &mut self,
         _: CX![],
         reply: oneshot::Sender<SurfaceReply>,
@@ -121,7 +121,7 @@
         let _ = reply.send(answer);
     }
 
-    /// The document in force, where the quorum confirmed it lately.
+    /// Returns the applied configuration document if a quorum confirmed it recently.
     pub(super) fn read_traffic(&self, now: Millis) -> SurfaceReply {
         let state = self.setup.state.borrow();
         if !state.is_current(now, self.setup.settings.read_staleness_ms) {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// The latest rollout of a service, where the quorum confirmed it lately.
+    /// Returns the latest rollout of a service if a quorum confirmed the rollouts recently.
     pub(super) fn read_rollout(&self, service: &str, now: Millis) -> SurfaceReply {
         let state = self.setup.state.borrow();
         if !state.has_current_rollouts(now, self.setup.settings.read_staleness_ms) {
@@ -157,9 +157,9 @@
         }
     }
 
-    /// Addresses of the usable nodes that a caller shall use, by the newest view that is
-    /// known; this node's own where none is.
-    pub(super) fn entry_points(&self, caller: &EntryCaller) -> SurfaceReply {
+    /// Returns the addresses for a caller from the latest known view. Falls back to the address
+    /// of this node if the view selects none.
+    pub(super) fn entry_points(&self, caller: &EntryPointLookup) -> SurfaceReply {
         let host = caller.host.as_deref();
         let allowed = host.map_or_else(RegionFilter::any, |host| {
             self.dispatcher.allowed_regions_of_host(host)
@@ -170,12 +170,12 @@
             caller,
             &allowed,
             &self.setup.topology,
-            MOST_ENTRY_POINTS,
+            MAX_ENTRY_POINTS,
         );
-        let addresses = nodes.iter().map(|one| one.caller_address.clone());
+        let addresses = nodes.iter().map(|node| node.caller_address.clone());
         let mut addresses: Vec<String> = addresses.collect();
-        let serves = state.traffic.is_some() && !state.stopping;
-        if addresses.is_empty() && serves {
+        let is_serving = state.traffic.is_some() && !state.stopping;
+        if addresses.is_empty() && is_serving {
             addresses.push(self.setup.settings.callers.clone());
         }
         match addresses.is_empty() {
--- a/crates/daemon/src/gateway/waiting.rs
+++ b/crates/daemon/src/gateway/waiting_orders.rs
@@ -1,20 +1,20 @@
-//! Orders that can't be placed yet because this process, or the cluster, has just
-//! started: their service has no batching node, or this one does not know the makers.
+//! Orders that cannot be placed right after a start, because their service has no shard owner yet
+//! or this node does not know its back ends.
 
 use silversail_consensus::Millis;
 use silversail_peer::PhaseWork;
 
-/// How long an order waits for a batching node or for makers, in milliseconds. After a
-/// restart of all nodes services are assigned 300 ms after a leader is elected.
-const WAITS_FOR: Millis = 500;
+/// Maximum wait for a shard owner or for back ends, in milliseconds. Owners are assigned about
+/// 300 ms after a leader election.
+const MAX_WAIT: Millis = 500;
 
 struct WaitingOrder<K> {
     key: K,
     phase: PhaseWork,
-    since: Millis,
+    waiting_since: Millis,
 }
 
-/// Orders that wait, each with its key.
+/// Waiting orders by key.
 pub struct WaitingOrders<K> {
     orders: Vec<WaitingOrder<K>>,
 }
@@ -26,28 +26,32 @@
 }
 
 impl<K: PartialEq> WaitingOrders<K> {
-    /// Lets an order wait; one that is given again is still the same order.
+    /// Adds an order. A resubmitted order with a known key keeps its entry.
     pub fn add(&mut self, key: K, phase: PhaseWork, now: Millis) {
         if self.orders.iter().all(|order| order.key != key) {
-            let since = now;
-            self.orders.push(WaitingOrder { key, phase, since });
+            let waiting_since = now;
+            self.orders.push(WaitingOrder {
+                key,
+                phase,
+                waiting_since,
+            });
         }
     }
 
-    /// Forgets an order. True when it waited.
+    /// Removes an order. Returns `true` if it was waiting.
     pub fn remove(&mut self, key: &K) -> bool {
         let before = self.orders.len();
         self.orders.retain(|order| order.key != *key);
         self.orders.len() != before
     }
 
-    /// Whether none waits.
+    /// Whether no order is waiting.
     pub fn is_empty(&self) -> bool {
         self.orders.is_empty()
     }
 
-    /// Takes the orders that can be placed now, and those that waited long
-    /// enough. Their times are those that remain at `now`.
+    /// Removes the orders that can be placed and those whose wait has expired. The wait is
+    /// deducted from their remaining times.
     pub fn take_due(
         &mut self,
         can_be_placed: impl Fn(&PhaseWork) -> bool,
@@ -56,14 +60,14 @@
         let (due, waiting) = std::mem::take(&mut self.orders)
             .into_iter()
             .partition(|order| {
-                let is_over = now.saturating_sub(order.since) >= WAITS_FOR;
-                is_over || can_be_placed(&order.phase)
+                let has_expired = now.saturating_sub(order.waiting_since) >= MAX_WAIT;
+                has_expired || can_be_placed(&order.phase)
             });
         self.orders = waiting;
         let due: Vec<WaitingOrder<K>> = due;
         due.into_iter()
             .map(|order| {
-                let waited = now.saturating_sub(order.since);
+                let waited = now.saturating_sub(order.waiting_since);
                 let mut phase = order.phase;
                 phase.target_remaining_ms = phase.target_remaining_ms.saturating_sub(waited);
                 phase.remaining_ms = phase.remaining_ms.saturating_sub(waited);
--- a/crates/daemon/tests/allowed_places.rs
+++ b/crates/daemon/tests/allowed_locations.rs
@@ -1,8 +1,8 @@
-//! Which shards may have the orders of a request that is restricted to regions.
+//! Shards that may process a request which is restricted to regions.
 
 use rstest::rstest;
 use silversail_control::{ClusterView, NodeStatus, ViewVersion};
-use silversail_daemon::gateway::allowed::AllowedPlaces;
+use silversail_daemon::gateway::allowed_locations::AllowedLocations;
 use silversail_decisions::DecisionLog;
 use silversail_model::topology::RegionFilter;
 use silversail_model::{NodeName, Shard, Topology};
@@ -16,7 +16,7 @@
     Topology::new(own_zone, regions.into(), Default::default()).expect("valid")
 }
 
-/// A node in each zone, named after it.
+/// One node per zone.
 fn view() -> ClusterView {
     let status = |zone: &str| NodeStatus {
         node: NodeName(format!("node-{zone}")),
@@ -34,28 +34,28 @@
     }
 }
 
-fn only(regions: &[&str]) -> RegionFilter {
+fn only_regions(regions: &[&str]) -> RegionFilter {
     let allowed = regions.iter().map(|region| (*region).to_owned()).collect();
     RegionFilter::intersection(Some(&allowed), None)
 }
 
-/// A request that came to the node in `n1`, and may be served in the south.
+/// The request arrives at the node in `n1` and may be served in the south.
 #[rstest]
-#[case::makers_and_node_allowed("s1", "node-s1", true)]
-#[case::node_in_the_callers_region("s1", "node-n1", true)]
-#[case::node_elsewhere("s1", "node-e1", false)]
-#[case::node_unknown("s1", "node-gone", false)]
-#[case::makers_in_the_callers_region_only("n1", "node-n1", false)]
-#[case::makers_elsewhere("e1", "node-s1", false)]
-#[case::makers_of_an_unknown_zone("x1", "node-s1", false)]
-fn a_shard_is_used_if_its_makers_and_its_node_may(
+#[case::backends_and_owner_allowed("s1", "node-s1", true)]
+#[case::owner_in_the_receiving_region("s1", "node-n1", true)]
+#[case::owner_elsewhere("s1", "node-e1", false)]
+#[case::owner_unknown("s1", "node-gone", false)]
+#[case::backends_in_the_receiving_region_only("n1", "node-n1", false)]
+#[case::backends_elsewhere("e1", "node-s1", false)]
+#[case::backends_in_an_unknown_zone("x1", "node-s1", false)]
+fn a_shard_is_allowed_if_its_backends_and_its_owner_are(
     #[case] zone: &str,
     #[case] owner: &str,
     #[case] expected: bool,
 ) {
     let (topology, view) = (topology("n1"), view());
-    let (own, regions) = (NodeName::from("node-n1"), only(&["south"]));
-    let places = AllowedPlaces {
+    let (own, regions) = (NodeName::from("node-n1"), only_regions(&["south"]));
+    let locations = AllowedLocations {
         topology: &topology,
         view: &view,
         own: &own,
@@ -63,26 +63,29 @@
     };
     let owner = NodeName::from(owner);
     assert_eq!(
-        places.has_shard(&Shard::in_zone("s", zone), &owner),
+        locations.allows_shard(&Shard::in_zone("s", zone), &owner),
         expected
     );
-    let unrestricted = AllowedPlaces {
+    let unrestricted = AllowedLocations {
         regions: &RegionFilter::any(),
-        ..places
+        ..locations
     };
-    assert!(unrestricted.has_shard(&Shard::in_zone("s", zone), &owner));
+    assert!(unrestricted.allows_shard(&Shard::in_zone("s", zone), &owner));
 }
 
-/// Also where one node batches for the back ends of all zones.
+/// The owner of a whole service batches for back ends of all zones.
 #[rstest]
 #[case::allowed(&["south"], true)]
-#[case::none_there(&["east"], false)]
-fn a_shard_without_allowed_makers_is_not_staffed(#[case] regions: &[&str], #[case] expected: bool) {
+#[case::none_in_the_region(&["east"], false)]
+fn a_shard_without_allowed_backends_is_not_preferred(
+    #[case] regions: &[&str],
+    #[case] expected: bool,
+) {
     let mut instances = InstanceTable::new(DecisionLog::disabled());
-    let listed = ["n1", "s1"].map(|zone| BackendListEntry {
+    let entries = ["n1", "s1"].map(|zone| BackendListEntry {
         version: "v1".to_owned(),
-        id: format!("maker-{zone}"),
-        name: format!("maker-{zone}"),
+        id: format!("backend-{zone}"),
+        name: format!("backend-{zone}"),
         service: "s".into(),
         address: format!("{zone}:80"),
         zone: zone.into(),
@@ -91,18 +94,18 @@
         cold: false,
         started_at_ms: None,
     });
-    instances.replace_list(&listed);
+    instances.replace_list(&entries);
     let (topology, view) = (topology("n1"), view());
-    let (own, regions) = (NodeName::from("node-n1"), only(regions));
-    let places = AllowedPlaces {
+    let (own, regions) = (NodeName::from("node-n1"), only_regions(regions));
+    let locations = AllowedLocations {
         topology: &topology,
         view: &view,
         own: &own,
         regions: &regions,
     };
     assert_eq!(
-        places.has_makers(&Shard::whole_service("s"), &instances),
+        locations.has_allowed_backend(&Shard::whole_service("s"), &instances),
         expected
     );
-    assert!(!places.has_makers(&Shard::in_zone("s", "n1"), &instances));
+    assert!(!locations.has_allowed_backend(&Shard::in_zone("s", "n1"), &instances));
 }
--- a/crates/daemon/tests/owners.rs
+++ b/crates/daemon/tests/owners.rs
@@ -1,9 +1,9 @@
-//! Which node batches a service, and what happens when it gives no sign.
+//! Owners of shards, and ejection of owners that do not respond.
 
 use rstest::rstest;
 use silversail_control::batch_owners::{assign, rendezvous_owner, OwnerCandidate};
 use silversail_control::{ClusterView, NodeStatus, ViewVersion};
-use silversail_daemon::gateway::owners::{batch_owner, batch_owners, OwnerStep, OwnerWatch};
+use silversail_daemon::gateway::owners::{batch_owner, batch_owners, OwnerAction, OwnerMonitor};
 use silversail_model::topology::Topology;
 use silversail_model::{NodeName, Shard};
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
 }
 
 /// A view in which the leader has assigned `services`.
-fn assigned(nodes: usize, services: &[String]) -> ClusterView {
+fn view_with_owners(nodes: usize, services: &[String]) -> ClusterView {
     let mut view = view(nodes);
     let candidates: Vec<OwnerCandidate> = view.nodes.iter().map(candidate).collect();
     assign(
@@ -58,33 +58,33 @@
 }
 
 #[test]
-fn owners_are_spread_and_only_those_of_a_node_that_left_move() {
+fn owners_are_balanced_and_only_shards_of_a_removed_node_move() {
     let services: Vec<String> = (0..200).map(|number| format!("s{number}")).collect();
-    let before = assigned(10, &services);
+    let before = view_with_owners(10, &services);
     let mut after = before.clone();
     after.nodes.remove(3);
     let mut counts: BTreeMap<NodeName, usize> = BTreeMap::new();
     for service in &services {
-        let known = owner(&before, service);
-        let moved = owner(&after, service);
-        assert!(known == moved || known == "n3".into());
-        *counts.entry(known).or_default() += 1;
+        let owner_before = owner(&before, service);
+        let owner_after = owner(&after, service);
+        assert!(owner_before == owner_after || owner_before == "n3".into());
+        *counts.entry(owner_before).or_default() += 1;
     }
     assert_eq!(counts.len(), 10);
     assert!(counts.values().all(|count| *count < 50), "{counts:?}");
 }
 
 #[test]
-fn where_all_are_passed_over_a_node_batches_for_itself_and_without_a_view_none_does() {
+fn a_node_owns_the_shard_itself_if_all_owners_are_ejected_but_not_without_a_view() {
     let services = ["s".to_owned()];
-    let passed_over = batch_owner(
-        &assigned(2, &services),
+    let owner = batch_owner(
+        &view_with_owners(2, &services),
         &Shard::whole_service("s"),
         &"own".into(),
         |_| true,
     );
-    assert_eq!(passed_over, Some("own".into()));
-    let mut empty = assigned(2, &services);
+    assert_eq!(owner, Some("own".into()));
+    let mut empty = view_with_owners(2, &services);
     empty.nodes.clear();
     assert_eq!(
         batch_owner(&empty, &Shard::whole_service("s"), &"own".into(), |_| false),
@@ -92,10 +92,10 @@
     );
 }
 
-/// Views of a new leader name few nodes at first: taking the first of them would give
-/// each node another owner.
+/// Views of a new leader name few nodes at first: an owner chosen from them would differ from
+/// node to node.
 #[test]
-fn before_the_leader_has_assigned_a_service_nobody_batches_it() {
+fn a_service_without_an_assignment_has_no_owner() {
     assert_eq!(
         batch_owner(&view(4), &Shard::whole_service("s"), &"own".into(), |_| {
             false
@@ -105,51 +105,51 @@
 }
 
 #[test]
-fn a_silent_owner_is_asked_first_and_then_passed_over_for_a_while() {
-    let (mut watch, node) = (OwnerWatch::default(), NodeName::from("n1"));
-    assert_eq!(watch.look(&node, 1_000, 1_400), OwnerStep::Wait);
-    assert_eq!(watch.look(&node, 1_000, 1_460), OwnerStep::Ask);
-    assert_eq!(watch.look(&node, 1_000, 1_500), OwnerStep::Wait);
-    assert_eq!(watch.look(&node, 1_000, 1_900), OwnerStep::PassOver);
-    assert!(watch.is_passed_over(&node, 2_000));
-    assert!(!watch.expire(2_000));
-    assert!(watch.expire(4_400));
-    assert!(!watch.is_passed_over(&node, 4_400));
+fn a_silent_owner_is_probed_first_and_then_ejected_temporarily() {
+    let (mut monitor, node) = (OwnerMonitor::default(), NodeName::from("n1"));
+    assert_eq!(monitor.check(&node, 1_000, 1_400), OwnerAction::Wait);
+    assert_eq!(monitor.check(&node, 1_000, 1_460), OwnerAction::Probe);
+    assert_eq!(monitor.check(&node, 1_000, 1_500), OwnerAction::Wait);
+    assert_eq!(monitor.check(&node, 1_000, 1_900), OwnerAction::Eject);
+    assert!(monitor.is_ejected(&node, 2_000));
+    assert!(!monitor.expire(2_000));
+    assert!(monitor.expire(4_400));
+    assert!(!monitor.is_ejected(&node, 4_400));
 }
 
 #[rstest]
 #[case(1_470)]
 #[case(1_899)]
-fn a_sign_clears_an_owner_that_only_takes_long(#[case] answered_at: u64) {
-    let (mut watch, node) = (OwnerWatch::default(), NodeName::from("n1"));
-    assert_eq!(watch.look(&node, 1_000, 1_460), OwnerStep::Ask);
-    watch.heard(&node, answered_at);
-    assert_eq!(watch.look(&node, 1_000, 1_900), OwnerStep::Wait);
-    // It is asked again before it is passed over.
-    assert_eq!(watch.look(&node, 1_000, 2_400), OwnerStep::Ask);
+fn a_message_prevents_the_ejection_of_a_slow_owner(#[case] answered_at: u64) {
+    let (mut monitor, node) = (OwnerMonitor::default(), NodeName::from("n1"));
+    assert_eq!(monitor.check(&node, 1_000, 1_460), OwnerAction::Probe);
+    monitor.record_message(&node, answered_at);
+    assert_eq!(monitor.check(&node, 1_000, 1_900), OwnerAction::Wait);
+    // It is probed again before it is ejected.
+    assert_eq!(monitor.check(&node, 1_000, 2_400), OwnerAction::Probe);
 }
 
 #[test]
-fn the_owner_that_the_leader_named_is_taken_while_it_may_be_used() {
+fn the_assigned_owner_is_used_while_it_is_usable() {
     let mut view = view(4);
     let names = view.nodes.iter().map(|status| &status.node);
     let by_hash = rendezvous_owner(names, &Shard::whole_service("s"))
         .expect("nodes")
         .clone();
-    let named: NodeName = if by_hash == "n0".into() { "n1" } else { "n0" }.into();
+    let assigned: NodeName = if by_hash == "n0".into() { "n1" } else { "n0" }.into();
     view.batch_owners
-        .insert(Shard::whole_service("s"), named.clone());
-    assert_eq!(owner(&view, "s"), named);
-    let others = batch_owner(&view, &Shard::whole_service("s"), &"own".into(), |node| {
-        *node == named
+        .insert(Shard::whole_service("s"), assigned.clone());
+    assert_eq!(owner(&view, "s"), assigned);
+    let replacement = batch_owner(&view, &Shard::whole_service("s"), &"own".into(), |node| {
+        *node == assigned
     });
-    assert_eq!(others, Some(by_hash.clone()));
-    view.nodes.retain(|status| status.node != named);
+    assert_eq!(replacement, Some(by_hash.clone()));
+    view.nodes.retain(|status| status.node != assigned);
     assert_eq!(owner(&view, "s"), by_hash);
 }
 
 #[test]
-fn a_zones_shard_has_no_substitute_for_its_owner() {
+fn a_zone_shard_has_no_replacement_owner() {
     let mut view = view(4);
     let shard = Shard::in_zone("s", "z");
     view.batch_owners.insert(shard.clone(), "n2".into());
@@ -160,11 +160,11 @@
 }
 
 #[test]
-fn a_zones_shard_stays_with_an_owner_whose_configuration_is_not_confirmed() {
+fn a_zone_shard_keeps_an_owner_whose_configuration_is_not_confirmed() {
     let mut view = view(4);
     let shard = Shard::in_zone("s", "z");
     view.batch_owners.insert(shard.clone(), "n2".into());
-    // After a while without a leader all nodes are so.
+    // After a while without a leader no node is usable.
     for status in &mut view.nodes {
         status.usable = false;
     }
@@ -175,26 +175,27 @@
 }
 
 #[test]
-fn an_owner_that_stays_silent_is_passed_over_longer_each_time_until_it_gives_a_sign() {
-    let (mut watch, node) = (OwnerWatch::default(), NodeName::from("n1"));
-    let pass_over_at = |watch: &mut OwnerWatch, since: u64| {
-        assert_eq!(watch.look(&node, since, since + 460), OwnerStep::Ask);
-        assert_eq!(watch.look(&node, since, since + 900), OwnerStep::PassOver);
-        let spans = (0..20_000).filter(|span| watch.is_passed_over(&node, since + 900 + span));
-        spans.count()
+fn the_ejection_time_doubles_until_the_owner_sends_a_message() {
+    let (mut monitor, node) = (OwnerMonitor::default(), NodeName::from("n1"));
+    let ejection_time_after = |monitor: &mut OwnerMonitor, since: u64| {
+        assert_eq!(monitor.check(&node, since, since + 460), OwnerAction::Probe);
+        assert_eq!(monitor.check(&node, since, since + 900), OwnerAction::Eject);
+        let ejected = (0..20_000).filter(|span| monitor.is_ejected(&node, since + 900 + span));
+        ejected.count()
     };
-    let spans = [10_000, 30_000, 60_000, 90_000].map(|since| pass_over_at(&mut watch, since));
-    assert_eq!(spans, [2_500, 5_000, 10_000, 10_000]);
-    watch.heard(&"n1".into(), 120_000);
-    assert_eq!(pass_over_at(&mut watch, 130_000), 2_500);
+    let durations =
+        [10_000, 30_000, 60_000, 90_000].map(|since| ejection_time_after(&mut monitor, since));
+    assert_eq!(durations, [2_500, 5_000, 10_000, 10_000]);
+    monitor.record_message(&"n1".into(), 120_000);
+    assert_eq!(ejection_time_after(&mut monitor, 130_000), 2_500);
 }
 
 #[test]
-fn where_all_owners_of_a_service_are_silent_orders_wait_for_them() {
+fn silent_owners_are_kept_if_a_service_has_no_other() {
     let mut view = view(4);
     let shards = ["a", "b"].map(|zone| Shard::in_zone("s", zone));
-    let named = [("n1", &shards[0]), ("n2", &shards[1])];
-    for (node, shard) in named {
+    let assigned = [("n1", &shards[0]), ("n2", &shards[1])];
+    for (node, shard) in assigned {
         view.batch_owners.insert(shard.clone(), node.into());
     }
     let owners = |excluded: &[&str]| {
--- a/crates/daemon/tests/waiting.rs
+++ b/crates/daemon/tests/waiting_orders.rs
@@ -1,7 +1,7 @@
-//! Orders that wait for a batching node, or for the makers, after a start.
+//! Orders that wait for a shard owner or for back ends after a start.
 
 use rstest::rstest;
-use silversail_daemon::gateway::waiting::WaitingOrders;
+use silversail_daemon::gateway::waiting_orders::WaitingOrders;
 use silversail_model::topology::RegionFilter;
 use silversail_model::{RequestFingerprint, Shard};
 use silversail_peer::PhaseWork;
@@ -20,55 +20,52 @@
     }
 }
 
-/// Keys of the orders that are due at `now`, where services can be placed or not.
-fn due(orders: &mut WaitingOrders<u64>, can_be_placed: bool, now: u64) -> Vec<u64> {
+/// Keys of the orders that are due at `now`.
+fn take_due_keys(orders: &mut WaitingOrders<u64>, can_be_placed: bool, now: u64) -> Vec<u64> {
     let due = orders.take_due(|_| can_be_placed, now);
     due.into_iter().map(|(key, _)| key).collect()
 }
 
-/// An owner that has just restarted used to answer "no back end" to all orders.
+/// Guards against a restarted owner that fails all orders for lack of back ends.
 #[test]
 fn an_order_waits_until_its_service_can_be_placed() {
     let mut orders = WaitingOrders::default();
     orders.add(1, order("s"), 1_000);
-    assert!(due(&mut orders, false, 1_100).is_empty());
-    assert_eq!(due(&mut orders, true, 1_150), [1]);
+    assert!(take_due_keys(&mut orders, false, 1_100).is_empty());
+    assert_eq!(take_due_keys(&mut orders, true, 1_150), [1]);
     assert!(orders.is_empty());
 }
 
 #[test]
-fn an_order_does_not_wait_for_ever() {
+fn the_wait_of_an_order_is_limited() {
     let mut orders = WaitingOrders::default();
     orders.add(1, order("s"), 1_000);
-    assert!(due(&mut orders, false, 1_499).is_empty());
-    assert_eq!(due(&mut orders, false, 1_500), [1]);
+    assert!(take_due_keys(&mut orders, false, 1_499).is_empty());
+    assert_eq!(take_due_keys(&mut orders, false, 1_500), [1]);
 }
 
 #[test]
-fn the_time_that_an_order_waited_is_taken_off() {
+fn the_wait_is_deducted_from_the_remaining_times() {
     let mut orders = WaitingOrders::default();
     orders.add(1, order("s"), 1_000);
-    let (_, placed) = orders.take_due(|_| true, 1_300).remove(0);
-    assert_eq!(
-        (placed.target_remaining_ms, placed.remaining_ms),
-        (0, 1_700)
-    );
+    let (_, phase) = orders.take_due(|_| true, 1_300).remove(0);
+    assert_eq!((phase.target_remaining_ms, phase.remaining_ms), (0, 1_700));
 }
 
 #[test]
-fn only_orders_of_a_service_that_can_be_placed_leave() {
+fn only_orders_that_can_be_placed_are_taken() {
     let mut orders = WaitingOrders::default();
     orders.add(1, order("a"), 0);
     orders.add(2, order("b"), 0);
-    let placed = orders.take_due(|phase| phase.shard.service == "b", 100);
-    assert_eq!(placed.len(), 1);
-    assert_eq!(placed[0].0, 2);
+    let due_orders = orders.take_due(|phase| phase.shard.service == "b", 100);
+    assert_eq!(due_orders.len(), 1);
+    assert_eq!(due_orders[0].0, 2);
 }
 
 #[rstest]
 #[case::once(1)]
-#[case::given_again(3)]
-fn an_order_waits_once_and_can_be_cancelled(#[case] times: usize) {
+#[case::resubmitted(3)]
+fn a_resubmitted_order_waits_only_once_and_can_be_removed(#[case] times: usize) {
     let mut orders = WaitingOrders::default();
     for _ in 0..times {
         orders.add(7, order("s"), 0);
