--- a/crates/daemon/tests/list_reader.rs
+++ b/crates/daemon/tests/list_reader.rs
@@ -137,10 +137,12 @@
 
 #[test]
 fn fallbacks_with_different_entries_have_different_versions() {
-    let former = backend_list(3, 7, 0).version;
-    let first = BackendListVersion::fallback_of(former, 1);
-    assert_ne!(first, BackendListVersion::fallback_of(former, 2));
-    assert!(BackendListVersion::fallback_of(first, 1) > BackendListVersion::fallback_of(former, 2));
+    let replaced = backend_list(3, 7, 0).version;
+    let first = BackendListVersion::fallback_of(replaced, 1);
+    assert_ne!(first, BackendListVersion::fallback_of(replaced, 2));
+    assert!(
+        BackendListVersion::fallback_of(first, 1) > BackendListVersion::fallback_of(replaced, 2)
+    );
 }
 
 fn gateway_settings(leaving_bound_ms: u64) -> GatewaySettings {
@@ -152,7 +154,7 @@
         "backend_list": "127.0.0.1:5",
         "leaving_bound_ms": leaving_bound_ms,
     });
-    serde_json::from_value(settings).expect("complete")
+    serde_json::from_value(settings).expect("valid settings")
 }
 
 /// If back ends may get requests for longer after they leave, the list is read less often and
--- a/crates/daemon/tests/owners.rs
+++ b/crates/daemon/tests/owners.rs
@@ -54,7 +54,7 @@
     batch_owner(view, &Shard::whole_service(service), &"own".into(), |_| {
         false
     })
-    .expect("the view names nodes")
+    .expect("the view has usable nodes")
 }
 
 #[test]
--- a/crates/daemon/tests/submitted_orders.rs
+++ b/crates/daemon/tests/submitted_orders.rs
@@ -28,7 +28,9 @@
     let mut orders = SubmittedOrders::default();
     orders.record_submission(1, node("n1"), order(), 0);
     let placement = Some((Shard::whole_service("s"), node("n2")));
-    let resubmitted = orders.resubmit(1, placement, 1_000).expect("under way");
+    let resubmitted = orders
+        .resubmit(1, placement, 1_000)
+        .expect("order is pending");
     assert_eq!((resubmitted.0, resubmitted.1), (node("n1"), node("n2")));
     assert_eq!(
         (
@@ -87,7 +89,7 @@
 fn an_order_keeps_its_owner_if_the_service_has_no_other() {
     let mut orders = SubmittedOrders::default();
     orders.record_submission(1, node("n1"), order(), 0);
-    let resubmitted = orders.resubmit(1, None, 1_000).expect("under way");
+    let resubmitted = orders.resubmit(1, None, 1_000).expect("order is pending");
     assert_eq!((resubmitted.0, resubmitted.1), (node("n1"), node("n1")));
 }
 
@@ -104,7 +106,7 @@
     for zone in ["b", "c"] {
         assert!(orders.movable_phase(1, 100).is_some());
         let moved = orders.move_to(1, (shard(zone), node("n2")), 100);
-        let (owner, phase) = moved.expect("under way");
+        let (owner, phase) = moved.expect("order is pending");
         assert_eq!((owner, phase.shard), (node("n2"), shard(zone)));
     }
     assert!(orders.movable_phase(1, 100).is_none());
