--- a/crates/daemon/src/actors.rs
+++ b/crates/daemon/src/actors.rs
@@ -19,7 +19,7 @@
 use crate::replica::{LogWriter, ProposerActor, ReplicaActor, SharedStatus};
 use crate::requests::RequestActor;
 use crate::rollout::{RolloutActor, RolloutLeaderActor};
-use crate::session::{RelayActor, SessionActor, SharedEvidence, SharedNodeState, SharedSightings};
+use crate::session::{RelayActor, SessionActor, SharedCrashTable, SharedEvidence, SharedNodeState};
 use crate::settings::Settings;
 use silversail_consensus::{ReplicaId, StoredState};
 use silversail_control::configuration_state::HistoryEntry;
@@ -110,7 +110,7 @@
     relay: ActorOwn<RelayActor>,
     /// What nodes told of rollouts, while this node leads.
     pub evidence: SharedEvidence,
-    sightings: SharedSightings,
+    sightings: SharedCrashTable,
     machine: Rc<RefCell<ControlState>>,
 }
 
@@ -156,10 +156,10 @@
         match envelope.message {
             PeerMessage::Group { group, message } => self.deliver_to_group(group, from, message),
             PeerMessage::Session(SessionMessage::Reply(reply)) => {
-                call!([self.session], reply(from, *reply));
+                call!([self.session], handle_reply(from, *reply));
             }
             PeerMessage::Session(SessionMessage::PushConfiguration(update)) => {
-                call!([self.session], push(update));
+                call!([self.session], push_configuration(update));
             }
             PeerMessage::Session(SessionMessage::PushTraffic(traffic)) => {
                 call!([self.session], push_traffic(traffic));
@@ -177,7 +177,7 @@
                 call!([self.session], push_view(view))
             }
             PeerMessage::Session(SessionMessage::BackendList(listing)) => {
-                call!([self.session], push_listing(listing.clone()));
+                call!([self.session], push_backend_list(listing.clone()));
                 self.deliver_to_relay(from, SessionMessage::BackendList(listing));
             }
             PeerMessage::Session(message) => self.deliver_to_relay(from, message),
@@ -215,10 +215,12 @@
             } => {
                 call!([voter.relay], reports(from, reports, view, listing));
             }
-            SessionMessage::View(view) => call!([voter.relay], view(view)),
-            SessionMessage::BackendList(listing) => call!([voter.relay], listing(listing)),
+            SessionMessage::View(view) => call!([voter.relay], view_update(view)),
+            SessionMessage::BackendList(listing) => {
+                call!([voter.relay], backend_list_update(listing))
+            }
             SessionMessage::BackendListConfirmed(version) => {
-                call!([voter.relay], listing_confirmed(version));
+                call!([voter.relay], backend_list_confirmed(version));
             }
             SessionMessage::Reply(_)
             | SessionMessage::PushConfiguration(_)
@@ -285,7 +287,7 @@
     /// This node read the list of back ends; on the leader all nodes hear of it.
     pub fn list_read(&self, entries: Vec<BackendListEntry>) {
         if let Some(voter) = &self.voter {
-            call!([voter.relay], list_read(entries));
+            call!([voter.relay], backend_list_read(entries));
         }
     }
 
--- a/crates/daemon/src/actors/builder.rs
+++ b/crates/daemon/src/actors/builder.rs
@@ -11,7 +11,7 @@
 use crate::requests::{RequestActor, RequestSetup};
 use crate::rollout::{RolloutActor, RolloutLeaderActor, RolloutLeaderSetup, RolloutSetup};
 use crate::session::{
-    RelayActor, RelaySetup, SessionActor, SessionSetup, SharedEvidence, SharedSightings,
+    RelayActor, RelaySetup, SessionActor, SessionSetup, SharedCrashTable, SharedEvidence,
 };
 use silversail_consensus::StateMachine;
 use silversail_control::ControlState;
@@ -51,7 +51,7 @@
     /// Opens the replicas and starts all actors.
     pub fn build(mut self) -> Result<NodeActors, NodeError> {
         let settings = self.context.settings.clone();
-        self.context.state.borrow_mut().listing_lease = settings.listing_lease();
+        self.context.state.borrow_mut().backend_list_lease = settings.listing_lease();
         let voter = match settings.is_voter() {
             true => Some(self.voter()?),
             false => None,
@@ -71,12 +71,12 @@
         let gateway = self.gateway(&control_proposer, operators, relay);
         let session = self.session(requests.as_ref(), gateway.as_ref(), rollout.as_ref());
         if let Some(gateway) = &gateway {
-            let tell_at_once = fwd_to!([session], tell_crash() as ());
+            let tell_at_once = fwd_to!([session], report_crash() as ());
             call!([gateway], set_tell_at_once(tell_at_once));
         }
         if let Some(requests) = &requests {
-            let tell_at_once = fwd_to!([session], tell_crash() as ());
-            call!([requests], set_tell_at_once(tell_at_once));
+            let tell_at_once = fwd_to!([session], report_crash() as ());
+            call!([requests], set_heartbeat_trigger(tell_at_once));
         }
         let rollout_leader = voter
             .as_ref()
@@ -116,7 +116,7 @@
         let settings = self.context.settings.clone();
         let machine = Rc::new(RefCell::new(ControlState::default()));
         let evidence = SharedEvidence::default();
-        let sightings = SharedSightings::default();
+        let sightings = SharedCrashTable::default();
         let setup = RelaySetup {
             directory: self.context.directory.clone(),
             topology: self.context.topology.clone(),
@@ -124,9 +124,9 @@
             status: self.status_of(GroupId::Control),
             outbox: self.context.outbox.clone(),
             node_lease: settings.timing.node_lease_ms,
-            listing_lease: settings.listing_lease(),
+            backend_list_lease: settings.listing_lease(),
             evidence: evidence.clone(),
-            sightings: sightings.clone(),
+            crash_table: sightings.clone(),
             clock: self.context.clock,
         };
         let relay = actor!(self.stakker, RelayActor::init(setup), ret_nop!());
--- a/crates/daemon/src/crashes.rs
+++ b/crates/daemon/src/crashes.rs
@@ -82,8 +82,8 @@
         if suspects.is_empty() {
             return false;
         }
-        let news = &mut self.state.borrow_mut().crash_news;
-        news.crashed(backend, diagnosis.lost_at, suspects, now);
+        let news = &mut self.state.borrow_mut().pending_crash_reports;
+        news.record_crash(backend, diagnosis.lost_at, suspects, now);
         fwd!([self.tell_at_once], ());
         true
     }
@@ -95,8 +95,8 @@
         quarantine: &mut RequestQuarantine,
     ) {
         if quarantine.ended_well(fingerprint) {
-            let news = &mut self.state.borrow_mut().crash_news;
-            news.answered_whole(fingerprint);
+            let news = &mut self.state.borrow_mut().pending_crash_reports;
+            news.record_completed_request(fingerprint);
         }
     }
 }
--- a/crates/daemon/src/gateway/answers.rs
+++ b/crates/daemon/src/gateway/answers.rs
@@ -124,7 +124,7 @@
     /// The document in force, where the quorum confirmed it lately.
     pub(super) fn read_traffic(&self, now: Millis) -> SurfaceReply {
         let state = self.setup.state.borrow();
-        if !state.is_current(now, self.setup.settings.read_staleness_ms) {
+        if !state.has_current_configuration(now, self.setup.settings.read_staleness_ms) {
             return SurfaceReply::Unavailable(ResultCode::NotCurrent);
         }
         match &state.traffic {
--- a/crates/daemon/src/gateway/following.rs
+++ b/crates/daemon/src/gateway/following.rs
@@ -42,10 +42,10 @@
     pub(super) fn choose_list_reader(&mut self, now: Millis) {
         let leads = self.setup.control.borrow().is_leader;
         let state = self.setup.state.borrow();
-        let heard_at = state.listing_confirmed_at;
+        let heard_at = state.backend_list_confirmed_at;
         let read_at = heard_at.max(self.own_list.read_at);
         let age = now.saturating_sub(read_at.unwrap_or(self.started_at));
-        let is_idle = !leads && age <= state.listing_lease.0;
+        let is_idle = !leads && age <= state.backend_list_lease.0;
         let reads = !is_idle && {
             let replicating = self.setup.directory.borrow().replicating();
             let nodes = state.view.nodes.iter().map(|status| &status.node);
@@ -54,9 +54,9 @@
                 leads,
                 age,
                 place: ReaderPlace::of(&self.node, &replicating, others),
-                calls_of_read: self.own_list.calls_of_read(state.listing.as_deref()),
+                calls_of_read: self.own_list.calls_of_read(state.backend_list.as_deref()),
                 calls_per_second: self.setup.settings.backend_list_rate,
-                lease: state.listing_lease,
+                lease: state.backend_list_lease,
             };
             knowledge.reads()
         };
@@ -73,7 +73,7 @@
         let listed = self.dispatcher.instances.applied_list();
         let listed = listed.with_read(read.entries.iter().cloned());
         if let Some(relay) = &self.setup.relay {
-            call!([relay], list_read(read.entries));
+            call!([relay], backend_list_read(read.entries));
         }
         self.dispatcher.apply_backend_list(&listed, now);
         self.place_waiting(now);
@@ -186,7 +186,7 @@
     }
 
     pub(super) fn follow_listing(&mut self, now: Millis) {
-        let listing = self.setup.state.borrow().listing.clone();
+        let listing = self.setup.state.borrow().backend_list.clone();
         let Some(listing) = listing.filter(|one| Some(one.version) != self.listing_version) else {
             return;
         };
--- a/crates/daemon/src/gateway/list_reader.rs
+++ b/crates/daemon/src/gateway/list_reader.rs
@@ -4,7 +4,7 @@
 //! Where its reads do not arrive, the other nodes step in one after the other,
 //! the replicating ones first, as they pass on what they read.
 
-use crate::session::ListingLease;
+use crate::session::BackendListLease;
 use silversail_consensus::Millis;
 use silversail_model::NodeName;
 use std::collections::hash_map::DefaultHasher;
@@ -37,7 +37,7 @@
     /// Calls that all nodes together may make in a second.
     pub calls_per_second: f64,
     /// For how long nodes rely on a read.
-    pub lease: ListingLease,
+    pub lease: BackendListLease,
 }
 
 /// A place in the order in which nodes step in for the leader.
@@ -84,7 +84,7 @@
 
     /// Age of the list at which this node reads it, in milliseconds.
     fn steps_in_at(&self) -> Millis {
-        let ListingLease(lease) = self.lease;
+        let BackendListLease(lease) = self.lease;
         match self.place {
             ReaderPlace::Replicating(place) => lease + STEP_OF_REPLICATING * place as Millis,
             ReaderPlace::Other(place) => {
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -132,12 +132,12 @@
             Event::StorageFailed { group, error } => self.storage_failed(group, error),
             Event::Caller(request) => {
                 if let Some(requests) = requests {
-                    call!([requests], request(request));
+                    call!([requests], handle_request(request));
                 }
             }
             Event::CallerGone(number) => {
                 if let Some(requests) = requests {
-                    call!([requests], caller_gone(number));
+                    call!([requests], caller_disconnected(number));
                 }
             }
             Event::EntryPoints { zone, responder } => {
@@ -160,7 +160,7 @@
             }
             Event::BackendProbed { backend, answer } => {
                 if let Some(requests) = requests {
-                    call!([requests], probed(backend, answer));
+                    call!([requests], probe_finished(backend, answer));
                 }
             }
             Event::Token {
@@ -169,7 +169,7 @@
                 text,
             } => {
                 if let Some(requests) = requests {
-                    call!([requests], token(attempt, sequence, text));
+                    call!([requests], handle_token(attempt, sequence, text));
                 }
             }
             Event::EngineLoad { backend, load } => self.engine_load(backend, load),
@@ -205,7 +205,7 @@
             call!([orders], engine_load(backend.clone(), load.clone()));
         }
         if let Some(requests) = &self.actors.requests {
-            call!([requests], engine_load(backend, load));
+            call!([requests], record_engine_load(backend, load));
         }
     }
 
@@ -224,7 +224,7 @@
             .filter(|backend| backend.kind == BackendKind::Engine)
             .collect();
         let table = SlotTable::new(engines.iter().map(|engine| (&engine.name, engine.slots)));
-        let (nodes, rank) = state.share(&self.settings.node);
+        let (nodes, rank) = state.node_count_and_rank(&self.settings.node);
         let is_asked = |engine: &&Backend| {
             engines.len() <= FEW_ENGINES
                 || table.home_slots(&engine.name, engine.slots, nodes, rank) > 0
--- a/crates/daemon/src/node/operators.rs
+++ b/crates/daemon/src/node/operators.rs
@@ -115,7 +115,7 @@
         let now = self.clock.millis(clock::now());
         let state = self.state.borrow();
         let age = state.freshness.age(now);
-        if !state.is_current(now, self.settings.timing.freshness_lease_ms) {
+        if !state.has_current_configuration(now, self.settings.timing.freshness_lease_ms) {
             let message = "this node can't confirm that its configuration is current";
             let details = json!({ "revision": state.configuration.revision(), "age_ms": age });
             return OperatorReply::refuse(ResultCode::NotCurrent, message, details);
@@ -190,7 +190,7 @@
         StatusBody {
             node: self.settings.node.0.clone(),
             incarnation: self.incarnation,
-            serving: state.is_current(now, self.settings.timing.freshness_lease_ms),
+            serving: state.has_current_configuration(now, self.settings.timing.freshness_lease_ms),
             stopping: state.stopping,
             revision: state.configuration.revision(),
             configuration_age_ms: state.freshness.age(now),
--- a/crates/daemon/src/quarantine/leader.rs
+++ b/crates/daemon/src/quarantine/leader.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 use crate::replica::{ProposalOutcome, ProposerActor, SharedStatus};
-use crate::session::SharedSightings;
+use crate::session::SharedCrashTable;
 use silversail_consensus::Millis;
 use silversail_control::{ControlCommand, ControlState, ReportedCrash};
 use silversail_decisions::{DecisionLog, Event as LogEvent};
@@ -32,7 +32,7 @@
     /// Status of the own replica of the control group.
     pub status: SharedStatus,
     /// What nodes told.
-    pub sightings: SharedSightings,
+    pub sightings: SharedCrashTable,
     /// Commits.
     pub proposer: Actor<ProposerActor>,
     /// What holds.
--- a/crates/daemon/src/requests/accept.rs
+++ b/crates/daemon/src/requests/accept.rs
@@ -2,7 +2,7 @@
 
 use crate::requests::active::{ActiveRequest, CallerRequest, KeyOwnership, Phase, RequestNumber};
 use crate::requests::actor::RequestActor;
-use crate::requests::answer::RefusalBody;
+use crate::requests::answer::ErrorBody;
 use serde::Deserialize;
 use serde_json::{Map, Value};
 use sha2::{Digest, Sha256};
@@ -44,7 +44,7 @@
         let (body, key) = match parse(&request) {
             Ok(parsed) => parsed,
             Err((code, message)) => {
-                let body = RefusalBody::new(&request_id, code, message);
+                let body = ErrorBody::new(&request_id, code, message);
                 self.count_refusal(code);
                 self.respond_refusal(request.responder, code, &body);
                 return;
@@ -110,12 +110,7 @@
     }
 
     /// Sends a refusal.
-    pub(crate) fn respond_refusal(
-        &self,
-        responder: Responder,
-        code: ResultCode,
-        body: &RefusalBody,
-    ) {
+    pub(crate) fn respond_refusal(&self, responder: Responder, code: ResultCode, body: &ErrorBody) {
         let (head, bytes) = crate::surface::refusal_response(code, body);
         responder.respond(head, bytes);
     }
--- a/crates/daemon/src/requests/actor.rs
+++ b/crates/daemon/src/requests/actor.rs
@@ -107,13 +107,13 @@
     }
 
     /// A caller's request.
-    pub fn request(&mut self, cx: CX![], request: CallerRequest) {
+    pub fn handle_request(&mut self, cx: CX![], request: CallerRequest) {
         self.accept(cx, request);
         self.settle(cx);
     }
 
     /// The caller of a request went away.
-    pub fn caller_gone(&mut self, cx: CX![], number: RequestNumber) {
+    pub fn caller_disconnected(&mut self, cx: CX![], number: RequestNumber) {
         if self.requests.contains_key(&number) {
             self.give_up(cx, number, ResultCode::CallerGone, "caller went away", None);
             self.settle(cx);
@@ -121,7 +121,7 @@
     }
 
     /// A token of a stream.
-    pub fn token(&mut self, cx: CX![], attempt: u64, sequence: u64, text: String) {
+    pub fn handle_token(&mut self, cx: CX![], attempt: u64, sequence: u64, text: String) {
         self.stream_token(cx, attempt, sequence, text);
         self.settle(cx);
     }
@@ -139,7 +139,7 @@
     }
 
     /// An engine's report of its load.
-    pub fn engine_load(&mut self, cx: CX![], backend: BackendName, load: EngineLoad) {
+    pub fn record_engine_load(&mut self, cx: CX![], backend: BackendName, load: EngineLoad) {
         let now = self.now_millis(cx);
         self.pools
             .load(&backend)
@@ -157,7 +157,7 @@
         self.follow_quarantine();
         {
             let state = self.setup.state.borrow();
-            let (nodes, rank) = state.share(&self.setup.node);
+            let (nodes, rank) = state.node_count_and_rank(&self.setup.node);
             self.limiter.set_share(nodes, rank);
         }
         self.deal_slots();
--- a/crates/daemon/src/requests/admit.rs
+++ b/crates/daemon/src/requests/admit.rs
@@ -55,7 +55,7 @@
         if state.refusing {
             return Err(Refusal::soon(ResultCode::Stopping, "this node is stopping"));
         }
-        if !state.is_current(now, settings.timing.freshness_lease_ms) {
+        if !state.has_current_configuration(now, settings.timing.freshness_lease_ms) {
             let message = "this node can't confirm that its configuration is current";
             return Err(Refusal::soon(ResultCode::NotCurrent, message));
         }
@@ -178,7 +178,11 @@
 
     /// The part of the cluster that this node is.
     pub(crate) fn node_share(&self) -> NodeShare {
-        let (nodes, rank) = self.setup.state.borrow().share(&self.setup.node);
+        let (nodes, rank) = self
+            .setup
+            .state
+            .borrow()
+            .node_count_and_rank(&self.setup.node);
         let routing = &self.setup.settings.routing;
         NodeShare {
             nodes,
--- a/crates/daemon/src/requests/answer.rs
+++ b/crates/daemon/src/requests/answer.rs
@@ -6,9 +6,9 @@
 use silversail_model::{Outcome, ResultCode};
 
 /// Content type of JSON answers.
-pub const JSON: &str = "application/json";
+pub const JSON_CONTENT_TYPE: &str = "application/json";
 /// Content type of streamed answers.
-pub const EVENT_STREAM: &str = "text/event-stream";
+pub const EVENT_STREAM_CONTENT_TYPE: &str = "text/event-stream";
 
 /// One stage of a whole answer.
 #[derive(Serialize)]
@@ -57,7 +57,7 @@
 
 /// An answer without output.
 #[derive(Clone, Debug, Serialize)]
-pub struct RefusalBody {
+pub struct ErrorBody {
     /// Identity of the request.
     pub request_id: String,
     /// What is known of the effect.
@@ -76,7 +76,7 @@
     pub retry_token: Option<String>,
 }
 
-impl RefusalBody {
+impl ErrorBody {
     /// The body for `code`.
     pub fn new(request_id: &str, code: ResultCode, message: impl Into<String>) -> Self {
         Self {
--- a/crates/daemon/src/requests/crashes.rs
+++ b/crates/daemon/src/requests/crashes.rs
@@ -10,7 +10,7 @@
 
 impl RequestActor {
     /// Takes what has a heartbeat sent at once.
-    pub fn set_tell_at_once(&mut self, _: CX![], tell_at_once: Fwd<()>) {
+    pub fn set_heartbeat_trigger(&mut self, _: CX![], tell_at_once: Fwd<()>) {
         self.crashes.set_tell_at_once(tell_at_once);
     }
 
@@ -42,7 +42,7 @@
     }
 
     /// A back end at which calls broke off was tried anew.
-    pub fn probed(&mut self, cx: CX![], backend: String, answer: ProbeResult) {
+    pub fn probe_finished(&mut self, cx: CX![], backend: String, answer: ProbeResult) {
         let now = self.now_millis(cx);
         if let Some(diagnosis) = self.crashes.probed(&backend, answer) {
             self.diagnosed(&diagnosis, now);
--- a/crates/daemon/src/requests/finish.rs
+++ b/crates/daemon/src/requests/finish.rs
@@ -4,7 +4,9 @@
 use crate::replica::ProposalOutcome;
 use crate::requests::active::{ActiveRequest, Phase, RequestNumber};
 use crate::requests::actor::RequestActor;
-use crate::requests::answer::{event, CompletedBody, RefusalBody, StageAnswer, EVENT_STREAM};
+use crate::requests::answer::{
+    event, CompletedBody, ErrorBody, StageAnswer, EVENT_STREAM_CONTENT_TYPE,
+};
 use crate::requests::own::ledger_reply;
 use serde_json::Value;
 use silversail_http::ResponseHead;
@@ -59,7 +61,7 @@
             return;
         };
         let code = truthful_code(code, request, effect_is_out);
-        let mut body = RefusalBody::new(&request.request_id, code, message);
+        let mut body = ErrorBody::new(&request.request_id, code, message);
         body.retry_after_ms = retry_after_ms;
         let epoch = request.key.as_ref().map(|ownership| ownership.epoch);
         match epoch {
@@ -88,7 +90,7 @@
         cx: CX![],
         number: RequestNumber,
         kept: RecordedOutcome,
-        body: RefusalBody,
+        body: ErrorBody,
     ) {
         let code = kept.code;
         let ret = ret_some_to!([cx], kept_refusal(number, code, body) as (ProposalOutcome));
@@ -132,7 +134,7 @@
         cx: CX![],
         number: RequestNumber,
         code: ResultCode,
-        mut body: RefusalBody,
+        mut body: ErrorBody,
         outcome: ProposalOutcome,
     ) {
         match ledger_reply(outcome) {
@@ -170,7 +172,7 @@
         let Some(request) = self.requests.get(&number) else {
             return;
         };
-        let mut body = RefusalBody::new(&request.request_id, code, message);
+        let mut body = ErrorBody::new(&request.request_id, code, message);
         body.retry_after_ms = retry_after_ms;
         self.answer_refusal(cx, number, code, body);
     }
@@ -180,7 +182,7 @@
         cx: CX![],
         number: RequestNumber,
         code: ResultCode,
-        body: RefusalBody,
+        body: ErrorBody,
     ) {
         let Some(mut request) = self.take_request(cx, number) else {
             return;
@@ -212,7 +214,7 @@
             return;
         }
         if !request.stream_started {
-            responder.head(ResponseHead::new(200, EVENT_STREAM));
+            responder.head(ResponseHead::new(200, EVENT_STREAM_CONTENT_TYPE));
         }
         responder.chunk(event(Outcome::Completed.as_str(), &body));
         responder.finish();
--- a/crates/daemon/src/requests/outcome.rs
+++ b/crates/daemon/src/requests/outcome.rs
@@ -2,7 +2,7 @@
 
 use crate::requests::active::{CurrentCall, RequestNumber, StageReport};
 use crate::requests::actor::RequestActor;
-use crate::requests::answer::{event, EVENT_STREAM};
+use crate::requests::answer::{event, EVENT_STREAM_CONTENT_TYPE};
 use serde_json::json;
 use silversail_backend::{CallFailure, StageOutput};
 use silversail_http::ResponseHead;
@@ -218,7 +218,7 @@
         };
         if !request.stream_started {
             request.stream_started = true;
-            responder.head(ResponseHead::new(200, EVENT_STREAM));
+            responder.head(ResponseHead::new(200, EVENT_STREAM_CONTENT_TYPE));
         }
         let data = json!({
             "request_id": request.request_id,
--- a/crates/daemon/src/requests/own.rs
+++ b/crates/daemon/src/requests/own.rs
@@ -5,7 +5,7 @@
 use crate::replica::ProposalOutcome;
 use crate::requests::active::{ActiveRequest, Phase, RequestNumber};
 use crate::requests::actor::RequestActor;
-use crate::requests::answer::RefusalBody;
+use crate::requests::answer::ErrorBody;
 use sha2::{Digest, Sha256};
 use silversail_ledger::{Begin, LedgerCommand, LedgerReply, Owner, RecordedOutcome, RequestKey};
 use silversail_model::ResultCode;
@@ -222,7 +222,7 @@
         if request.stream {
             // A repeat of a stream gets the kept answer as its one event.
             let name = outcome.code.outcome().as_str();
-            head.content_type = crate::requests::answer::EVENT_STREAM;
+            head.content_type = crate::requests::answer::EVENT_STREAM_CONTENT_TYPE;
             let body = crate::requests::answer::event(name, &outcome.body);
             responder.respond(head, body);
             return;
@@ -237,7 +237,7 @@
         &mut self,
         cx: CX![],
         number: RequestNumber,
-        body: RefusalBody,
+        body: ErrorBody,
         code: ResultCode,
     ) {
         let Some(request) = self.requests.get_mut(&number) else {
@@ -266,7 +266,7 @@
         cx: CX![],
         number: RequestNumber,
         code: ResultCode,
-        mut body: RefusalBody,
+        mut body: ErrorBody,
         outcome: ProposalOutcome,
     ) {
         match ledger_reply(outcome) {
--- a/crates/daemon/src/rollout/leader.rs
+++ b/crates/daemon/src/rollout/leader.rs
@@ -211,7 +211,7 @@
         let elapsed_ms = self.clocks.elapsed(number, now).unwrap_or_default();
         let (progress, only_version) = {
             let state = self.setup.state.borrow();
-            let listing = state.listing.as_deref();
+            let listing = state.backend_list.as_deref();
             let progress = progress_of(&rollout.order, listing, is_in_force);
             let verdict = verdict_without_baseline(&state, directive, &progress, now, elapsed_ms);
             (progress, verdict)
--- a/crates/daemon/src/rollout/orders.rs
+++ b/crates/daemon/src/rollout/orders.rs
@@ -174,7 +174,7 @@
             return Ok(());
         }
         // The service may stand in a configuration that has not come here yet.
-        match state.is_current(self.setup.clock.millis(now), ROLLOUT_PERMIT) {
+        match state.has_current_configuration(self.setup.clock.millis(now), ROLLOUT_PERMIT) {
             true => Err(RolloutOrderError::UnknownService(order.service.clone()).into()),
             false => Err(not_current()),
         }
--- a/crates/daemon/src/rollout/progress.rs
+++ b/crates/daemon/src/rollout/progress.rs
@@ -46,7 +46,7 @@
     let is_untouched = *directive == Directive::default();
     let has_only_candidates =
         progress.ready_candidate_backends > 0 && progress.baseline_versions.is_empty();
-    let is_current = state.has_current_listing(now);
+    let is_current = state.has_current_backend_list(now);
     (is_untouched && has_only_candidates && is_current).then(|| Verdict {
         reason: NO_OTHER_VERSION.to_owned(),
         route: String::new(),
--- a/crates/daemon/src/session/node_state.rs
+++ b/crates/daemon/src/session/node_state.rs
@@ -1,7 +1,7 @@
 //! What a node has in force: configuration, view, machine states and how
 //! current they are.
 
-use crate::session::crash_news::CrashNews;
+use crate::session::pending_crash_reports::PendingCrashReports;
 use silversail_consensus::{Freshness, Millis};
 use silversail_control::batch_owners::BatchOwners;
 use silversail_control::view::merge_machine;
@@ -25,7 +25,7 @@
 
 /// For how long a node relies on a read of the list of back ends where the settings do not say
 /// otherwise, in milliseconds: two of the leader's reads and a heartbeat.
-pub const LISTING_LEASE: Millis = 2_000;
+pub const DEFAULT_BACKEND_LIST_LEASE: Millis = 2_000;
 
 /// For how long after a quorum last confirmed what it holds a node may send to the candidate of a
 /// rollout, in milliseconds: three heartbeats, so that one that is lost or a relay that lags
@@ -35,11 +35,11 @@
 
 /// For how long a node relies on a read of the list of back ends, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ListingLease(pub Millis);
+pub struct BackendListLease(pub Millis);
 
-impl Default for ListingLease {
+impl Default for BackendListLease {
     fn default() -> Self {
-        Self(LISTING_LEASE)
+        Self(DEFAULT_BACKEND_LIST_LEASE)
     }
 }
 
@@ -47,7 +47,7 @@
 #[derive(Default)]
 pub struct NodeState {
     /// For how long reads of the list are relied on.
-    pub listing_lease: ListingLease,
+    pub backend_list_lease: BackendListLease,
     /// Configuration in force.
     pub configuration: AppliedConfiguration,
     /// Traffic configuration in force; none before the first.
@@ -66,13 +66,13 @@
     /// that can't confirm them goes on with what it holds.
     pub quarantine: Option<SharedQuarantineList>,
     /// What this process has to tell of crashes.
-    pub crash_news: CrashNews,
+    pub pending_crash_reports: PendingCrashReports,
     /// The list of back ends as one node read it for all; none before the first.
-    pub listing: Option<SharedBackendList>,
+    pub backend_list: Option<SharedBackendList>,
     /// When that node is known to have read the same list, at the latest.
-    pub listing_confirmed_at: Option<Millis>,
+    pub backend_list_confirmed_at: Option<Millis>,
     /// Newest view as it was told.
-    pub told_view: ClusterView,
+    pub received_view: ClusterView,
     /// Newest view, with the nodes that are carried over a change of leader.
     pub view: ClusterView,
     /// Counts the changes of `view`.
@@ -96,18 +96,18 @@
 
 impl NodeState {
     /// Whether the configuration is known to be current within `lease`.
-    pub fn is_current(&self, now: Millis, lease: Millis) -> bool {
+    pub fn has_current_configuration(&self, now: Millis, lease: Millis) -> bool {
         self.configuration.revision().is_some()
             && self.freshness.age(now).is_some_and(|age| age <= lease)
     }
 
     /// Takes in what changed of the list of back ends; true when that is news.
-    pub fn update_listing(&mut self, update: &BackendListUpdate, now: Millis) -> bool {
+    pub fn apply_backend_list_update(&mut self, update: &BackendListUpdate, now: Millis) -> bool {
         if !self.wants_listing(update.version, now) {
             return false;
         }
-        match update.applied_to(self.listing.as_deref()) {
-            Ok(listing) => self.take_listing(Arc::new(listing), now),
+        match update.applied_to(self.backend_list.as_deref()) {
+            Ok(listing) => self.apply_backend_list(Arc::new(listing), now),
             Err(error) => {
                 // The next heartbeat tells the relay what is held here.
                 log::info!(event = "listing_update_refused"; "{error}");
@@ -120,25 +120,25 @@
     /// more gives way: it may be what a node read in place of the leader, whose own version
     /// does not count up with it.
     fn wants_listing(&self, version: BackendListVersion, now: Millis) -> bool {
-        let known = self.listing.as_ref().map(|known| known.version);
-        let is_current = self.has_current_listing(now);
+        let known = self.backend_list.as_ref().map(|known| known.version);
+        let is_current = self.has_current_backend_list(now);
         known != Some(version) && !(is_current && known > Some(version))
     }
 
     /// Takes a listing that is newer; true when it is.
-    pub fn take_listing(&mut self, listing: SharedBackendList, now: Millis) -> bool {
+    pub fn apply_backend_list(&mut self, listing: SharedBackendList, now: Millis) -> bool {
         if !self.wants_listing(listing.version, now) {
             return false;
         }
-        self.listing = Some(listing);
-        self.listing_confirmed_at = Some(now);
+        self.backend_list = Some(listing);
+        self.backend_list_confirmed_at = Some(now);
         true
     }
 
     /// Takes in what changed of the view; true when that is news.
-    pub fn update_view(&mut self, update: &ViewUpdate, now: Millis) -> bool {
-        match update.apply_to(&self.told_view) {
-            Ok(Some(view)) => self.take_view(view, now),
+    pub fn apply_view_update(&mut self, update: &ViewUpdate, now: Millis) -> bool {
+        match update.apply_to(&self.received_view) {
+            Ok(Some(view)) => self.apply_view(view, now),
             Ok(None) => false,
             Err(gap) => {
                 // The next heartbeat tells the relay what is held here.
@@ -149,11 +149,11 @@
     }
 
     /// Takes a view that is newer; true when it is.
-    pub fn take_view(&mut self, mut view: ClusterView, now: Millis) -> bool {
+    pub fn apply_view(&mut self, mut view: ClusterView, now: Millis) -> bool {
         if view.version <= self.view.version {
             return false;
         }
-        self.told_view = view.clone();
+        self.received_view = view.clone();
         for machine in &view.machines {
             self.merge_machine(machine);
         }
@@ -193,7 +193,7 @@
     }
 
     /// Drops carried nodes whose time is over; true when there were any.
-    pub fn drop_carried(&mut self, now: Millis) -> bool {
+    pub fn expire_retained_nodes(&mut self, now: Millis) -> bool {
         if self.carried.is_empty() || now < self.carried_until {
             return false;
         }
@@ -217,9 +217,9 @@
     }
 
     /// Whether the held list is known to have been read within the lease.
-    pub fn has_current_listing(&self, now: Millis) -> bool {
-        let confirmed_at = self.listing_confirmed_at;
-        confirmed_at.is_some_and(|at| now.saturating_sub(at) <= self.listing_lease.0)
+    pub fn has_current_backend_list(&self, now: Millis) -> bool {
+        let confirmed_at = self.backend_list_confirmed_at;
+        confirmed_at.is_some_and(|at| now.saturating_sub(at) <= self.backend_list_lease.0)
     }
 
     /// The nodes that hold a lease by the view; none where no quorum confirmed what is held here
@@ -261,7 +261,7 @@
     }
 
     /// Takes rollouts that are newer; true when they are.
-    pub fn take_rollouts(&mut self, told: SharedRollouts) -> bool {
+    pub fn apply_rollouts(&mut self, told: SharedRollouts) -> bool {
         if self.rollouts_revision() >= Some(told.revision()) {
             return false;
         }
@@ -276,17 +276,17 @@
     }
 
     /// Takes a list of refused requests that is newer; true when it is.
-    pub fn take_quarantine(&mut self, told: SharedQuarantineList) -> bool {
+    pub fn apply_quarantine_list(&mut self, told: SharedQuarantineList) -> bool {
         if self.quarantine_revision() >= Some(told.revision) {
             return false;
         }
-        self.crash_news.follow(&told);
+        self.pending_crash_reports.retain_quarantined(&told);
         self.quarantine = Some(told);
         true
     }
 
     /// Takes evacuated zones that are newer; true when they are.
-    pub fn take_evacuations(&mut self, told: SharedEvacuations) -> bool {
+    pub fn apply_evacuations(&mut self, told: SharedEvacuations) -> bool {
         if self.evacuations_revision() >= Some(told.revision()) {
             return false;
         }
@@ -339,7 +339,7 @@
     }
 
     /// How many usable nodes there are and this node's rank among them.
-    pub fn share(&self, node: &NodeName) -> (u32, u32) {
+    pub fn node_count_and_rank(&self, node: &NodeName) -> (u32, u32) {
         let usable: Vec<&NodeName> = self.view.usable_nodes().map(|one| &one.node).collect();
         let rank = usable.iter().position(|one| *one == node);
         let count = usable.len().max(1) as u32;
--- a/crates/daemon/src/session/crash_news.rs
+++ b/crates/daemon/src/session/pending_crash_reports.rs
@@ -22,14 +22,14 @@
 
 /// What is to be told.
 #[derive(Default)]
-pub struct CrashNews {
+pub struct PendingCrashReports {
     seen: VecDeque<Seen>,
     ended_well: BTreeSet<RequestFingerprint>,
 }
 
-impl CrashNews {
+impl PendingCrashReports {
     /// This process saw a back end end, at `at`, with these requests.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         backend: &str,
         at: Millis,
@@ -57,19 +57,19 @@
     }
 
     /// A request on the list got a whole answer.
-    pub fn answered_whole(&mut self, fingerprint: RequestFingerprint) {
+    pub fn record_completed_request(&mut self, fingerprint: RequestFingerprint) {
         if self.ended_well.len() < MOST_ENDED_WELL {
             self.ended_well.insert(fingerprint);
         }
     }
 
     /// Another list is in force: what it names no more need not be told.
-    pub fn follow(&mut self, list: &QuarantineList) {
+    pub fn retain_quarantined(&mut self, list: &QuarantineList) {
         self.ended_well.retain(|one| list.contains(one));
     }
 
     /// The crashes to be told at `now`.
-    pub fn sightings(&self, now: Millis) -> Vec<CrashReport> {
+    pub fn crash_reports(&self, now: Millis) -> Vec<CrashReport> {
         let told = self.seen.iter();
         told.map(|one| CrashReport {
             backend: one.backend.clone(),
@@ -81,7 +81,7 @@
     }
 
     /// The whole answers to be told.
-    pub fn ended_well(&self) -> Vec<RequestFingerprint> {
+    pub fn completed_requests(&self) -> Vec<RequestFingerprint> {
         self.ended_well.iter().copied().collect()
     }
 }
--- a/crates/daemon/src/session/relay.rs
+++ b/crates/daemon/src/session/relay.rs
@@ -6,7 +6,7 @@
 use crate::outbox::SharedOutbox;
 use crate::replica::SharedStatus;
 use crate::session::large_updates::{LargeUpdates, UpdateKind};
-use crate::session::node_state::ListingLease;
+use crate::session::node_state::BackendListLease;
 use crate::session::relay_limits::AnnouncementBudget;
 use crate::session::relay_listing::HeldListing;
 use silversail_consensus::Millis;
@@ -37,7 +37,7 @@
 pub type SharedEvidence = Rc<RefCell<EvidenceTable>>;
 
 /// What nodes told of crashes, shared with the actor that commits it.
-pub type SharedSightings = Rc<RefCell<CrashTable>>;
+pub type SharedCrashTable = Rc<RefCell<CrashTable>>;
 
 /// What a relay is made of.
 pub struct RelaySetup {
@@ -54,11 +54,11 @@
     /// How long a node stays in the view without a heartbeat.
     pub node_lease: Millis,
     /// For how long nodes rely on a read of the list of back ends.
-    pub listing_lease: ListingLease,
+    pub backend_list_lease: BackendListLease,
     /// Takes what nodes tell of rollouts, while the own replica leads.
     pub evidence: SharedEvidence,
     /// Takes what nodes tell of crashes, while the own replica leads.
-    pub sightings: SharedSightings,
+    pub crash_table: SharedCrashTable,
     /// Time.
     pub clock: Clock,
 }
@@ -144,7 +144,7 @@
         if !is_leader {
             if self.table.take().is_some() {
                 self.setup.evidence.take();
-                self.setup.sightings.take();
+                self.setup.crash_table.take();
             }
             return;
         }
@@ -161,7 +161,7 @@
         };
         let control = self.setup.machine.borrow();
         let mut evidence = self.setup.evidence.borrow_mut();
-        let mut sightings = self.setup.sightings.borrow_mut();
+        let mut sightings = self.setup.crash_table.borrow_mut();
         for report in reports.values() {
             table.record_report(report, now);
             evidence.record_report(report, &control.rollouts);
@@ -180,7 +180,7 @@
         if table.version() != self.sent_version {
             let view = table.view();
             let sent = std::mem::replace(&mut self.sent_version, view.version);
-            self.take_view(view, now);
+            self.apply_view(view, now);
             self.send_to_relays(sent);
         }
     }
@@ -345,10 +345,10 @@
     }
 
     /// The leader's view.
-    pub fn view(&mut self, cx: CX![], update: ViewUpdate) {
+    pub fn view_update(&mut self, cx: CX![], update: ViewUpdate) {
         let now = self.now(cx);
         match update.apply_to(&self.view) {
-            Ok(Some(view)) => self.take_view(view, now),
+            Ok(Some(view)) => self.apply_view(view, now),
             Ok(None) => {}
             // The next reports tell the leader what is held here.
             Err(gap) => log::info!(event = "view_update_refused"; "{gap}"),
@@ -357,7 +357,7 @@
 
     /// Takes a newer view. Nodes ask for it with their heartbeats; other owners are told
     /// at once, as orders wait for them.
-    fn take_view(&mut self, view: ClusterView, now: Millis) {
+    fn apply_view(&mut self, view: ClusterView, now: Millis) {
         let has_other_owners = view.batch_owners != self.view.batch_owners;
         self.views.record_change(&self.view, &view);
         self.view = view;
--- a/crates/daemon/src/session/relay_listing.rs
+++ b/crates/daemon/src/session/relay_listing.rs
@@ -3,7 +3,7 @@
 
 use crate::session::large_updates::UpdateKind;
 use crate::session::relay::SESSION_SILENCE;
-use crate::session::{ListingLease, RelayActor};
+use crate::session::{BackendListLease, RelayActor};
 use silversail_consensus::Millis;
 use silversail_control::batch_owners::BackendsByZone;
 use silversail_model::NodeName;
@@ -28,7 +28,7 @@
 impl HeldListing {
     /// Whether it was read lately. One that is not gives way also to an older version:
     /// the leader's does not count up with what another node read in its place.
-    fn is_current(&self, lease: ListingLease, now: Millis) -> bool {
+    fn is_current(&self, lease: BackendListLease, now: Millis) -> bool {
         now.saturating_sub(self.confirmed_at) <= lease.0
     }
 }
@@ -37,7 +37,7 @@
     /// This node read the list of back ends: that is news for all. The leader counts
     /// versions in its term; another node that reads in its place gives a version that
     /// comes after the leader's last and before its next.
-    pub fn list_read(&mut self, cx: CX![], entries: Vec<BackendListEntry>) {
+    pub fn backend_list_read(&mut self, cx: CX![], entries: Vec<BackendListEntry>) {
         let now = self.now(cx);
         let term = self.table.as_ref().map(|(term, _)| *term);
         let held_entries = self.listing.as_ref().map(|held| &held.listing.entries);
@@ -67,7 +67,7 @@
             }
         };
         let listing = Arc::new(BackendList { version, entries });
-        self.take_listing(listing, now);
+        self.apply_backend_list(listing, now);
         // The other relays hold what this one held before, as a rule; one that does not shows
         // so with its next reports.
         if let Some(update) = self.listings.since(former) {
@@ -76,18 +76,18 @@
     }
 
     /// What changed of the leader's listing.
-    pub fn listing(&mut self, cx: CX![], update: BackendListUpdate) {
+    pub fn backend_list_update(&mut self, cx: CX![], update: BackendListUpdate) {
         let now = self.now(cx);
         if !self.wants_listing(update.version, now) {
             return;
         }
         let held = self.listing.as_ref();
         if let Some(held) = held.filter(|held| held.listing.version == update.version) {
-            self.take_listing(held.listing.clone(), now);
+            self.apply_backend_list(held.listing.clone(), now);
             return;
         }
         match update.applied_to(held.map(|held| &*held.listing)) {
-            Ok(listing) => self.take_listing(Arc::new(listing), now),
+            Ok(listing) => self.apply_backend_list(Arc::new(listing), now),
             // The next reports tell the leader what is held here.
             Err(error) => log::info!(event = "listing_update_refused"; "{error}"),
         }
@@ -96,12 +96,12 @@
     /// Whether a listing of this version is not older than the one held.
     fn wants_listing(&self, version: BackendListVersion, now: Millis) -> bool {
         let held = self.listing.as_ref();
-        let lease = self.setup.listing_lease;
+        let lease = self.setup.backend_list_lease;
         held.is_none_or(|held| !held.is_current(lease, now) || held.listing.version <= version)
     }
 
     /// Takes a listing that is not older, and tells it to the nodes if it is newer.
-    fn take_listing(&mut self, listing: SharedBackendList, now: Millis) {
+    fn apply_backend_list(&mut self, listing: SharedBackendList, now: Millis) {
         if !self.wants_listing(listing.version, now) {
             return;
         }
@@ -163,7 +163,7 @@
     }
 
     /// The leader read the list again and found it unchanged.
-    pub fn listing_confirmed(&mut self, cx: CX![], version: BackendListVersion) {
+    pub fn backend_list_confirmed(&mut self, cx: CX![], version: BackendListVersion) {
         let now = self.now(cx);
         if let Some(held) = &mut self.listing {
             if held.listing.version == version {
--- a/crates/daemon/src/session/session_actor.rs
+++ b/crates/daemon/src/session/session_actor.rs
@@ -105,7 +105,7 @@
             false => self.setup.heartbeat,
         };
         after!(interval, [cx], tick());
-        if self.setup.state.borrow_mut().drop_carried(now) {
+        if self.setup.state.borrow_mut().expire_retained_nodes(now) {
             fwd!([self.setup.on_change], ());
         }
         if self.unanswered >= self.patience(is_eager) {
@@ -169,7 +169,7 @@
     /// This process saw a back end end: a heartbeat tells all relays at once, and once more, as
     /// the present relay, the leader or the message may be lost
     /// (`simulation/tests/quarantine.rs`).
-    pub fn tell_crash(&mut self, cx: CX![]) {
+    pub fn report_crash(&mut self, cx: CX![]) {
         self.send_to_all_relays(cx);
         after!(TELLS_CRASH_AGAIN_AFTER, [cx], send_to_all_relays());
     }
@@ -196,26 +196,26 @@
                     caller_address: self.setup.caller_address.clone(),
                     processor_percent: self.setup.processor_percent,
                     stopping: state.stopping,
-                    serving: state.is_current(now, self.setup.freshness_lease),
+                    serving: state.has_current_configuration(now, self.setup.freshness_lease),
                     revision: state.configuration.revision(),
                     traffic: state.traffic_version(),
                     evacuations: state.evacuations_revision(),
                     rollouts: state.rollouts_revision(),
                     evidence: state.rollout_evidence.clone(),
                     quarantine: state.quarantine_revision(),
-                    crashes: state.crash_news.sightings(now),
-                    completed_requests: state.crash_news.ended_well(),
+                    crashes: state.pending_crash_reports.crash_reports(now),
+                    completed_requests: state.pending_crash_reports.completed_requests(),
                     machines: state.machines_unknown_to_view(),
                 },
-                view: state.told_view.version,
-                backend_list: state.listing.as_ref().map(|listing| listing.version),
+                view: state.received_view.version,
+                backend_list: state.backend_list.as_ref().map(|listing| listing.version),
             }
         };
         PeerMessage::Session(SessionMessage::Heartbeat(heartbeat))
     }
 
     /// A relay's answer.
-    pub fn reply(&mut self, cx: CX![], from: NodeName, reply: SessionReply) {
+    pub fn handle_reply(&mut self, cx: CX![], from: NodeName, reply: SessionReply) {
         if reply.incarnation != self.setup.outbox.borrow().incarnation() {
             // To a former process of this node, whose clock says nothing here.
             return;
@@ -256,17 +256,17 @@
         // that is evacuated.
         if let Some(evacuations) = reply.evacuations {
             let mut state = self.setup.state.borrow_mut();
-            changed |= state.take_evacuations(evacuations);
+            changed |= state.apply_evacuations(evacuations);
         }
         // Nor to a version that was found bad.
         if let Some(rollouts) = reply.rollouts {
             let mut state = self.setup.state.borrow_mut();
-            changed |= state.take_rollouts(rollouts);
+            changed |= state.apply_rollouts(rollouts);
         }
         // Nor a request that crashes back ends.
         if let Some(list) = reply.quarantine {
             let mut state = self.setup.state.borrow_mut();
-            changed |= state.take_quarantine(list);
+            changed |= state.apply_quarantine_list(list);
         }
         if let Some(traffic) = reply.traffic {
             changed |= self.apply_traffic(traffic);
@@ -285,7 +285,7 @@
                 state.rollouts_freshness.advance(as_of);
             }
             if let Some(view) = reply.view {
-                changed |= state.update_view(&view, now);
+                changed |= state.apply_view_update(&view, now);
             }
         }
         if changed {
@@ -312,19 +312,20 @@
     fn apply_listing(&self, reply: &SessionReply, now: Millis) -> bool {
         let mut state = self.setup.state.borrow_mut();
         let update = reply.backend_list.as_ref();
-        let changed = update.is_some_and(|update| state.update_listing(update, now));
-        let held = state.listing.as_ref().map(|listing| listing.version);
+        let changed = update.is_some_and(|update| state.apply_backend_list_update(update, now));
+        let held = state.backend_list.as_ref().map(|listing| listing.version);
         if let Some((version, age)) = reply.backend_list_age {
             if held == Some(version) {
                 let read_at = reply.echo.saturating_sub(age);
-                state.listing_confirmed_at = state.listing_confirmed_at.max(Some(read_at));
+                state.backend_list_confirmed_at =
+                    state.backend_list_confirmed_at.max(Some(read_at));
             }
         }
         changed
     }
 
     /// A change that the relay pushed.
-    pub fn push(&mut self, _: CX![], update: ConfigurationUpdate) {
+    pub fn push_configuration(&mut self, _: CX![], update: ConfigurationUpdate) {
         // Only an answer to an own heartbeat proves that what it brings is not
         // older than this process; so the first update is never a push.
         let has_started = self.setup.state.borrow().configuration.revision().is_some();
@@ -346,7 +347,7 @@
         let changed = {
             let mut state = self.setup.state.borrow_mut();
             let has_started = state.configuration.revision().is_some();
-            has_started && state.take_evacuations(evacuations)
+            has_started && state.apply_evacuations(evacuations)
         };
         if changed {
             fwd!([self.setup.on_change], ());
@@ -358,7 +359,7 @@
         let changed = {
             let mut state = self.setup.state.borrow_mut();
             let has_started = state.configuration.revision().is_some();
-            has_started && state.take_rollouts(rollouts)
+            has_started && state.apply_rollouts(rollouts)
         };
         if changed {
             fwd!([self.setup.on_change], ());
@@ -371,7 +372,7 @@
         let changed = {
             let mut state = self.setup.state.borrow_mut();
             let has_started = state.configuration.revision().is_some();
-            has_started && state.take_quarantine(list)
+            has_started && state.apply_quarantine_list(list)
         };
         if changed {
             fwd!([self.setup.on_change], ());
@@ -381,15 +382,25 @@
     /// A view that the relay pushed.
     pub fn push_view(&mut self, cx: CX![], update: ViewUpdate) {
         let now = self.setup.clock.millis(cx.now());
-        if self.setup.state.borrow_mut().update_view(&update, now) {
+        if self
+            .setup
+            .state
+            .borrow_mut()
+            .apply_view_update(&update, now)
+        {
             fwd!([self.setup.on_change], ());
         }
     }
 
     /// A change of the list of back ends that the relay pushed.
-    pub fn push_listing(&mut self, cx: CX![], update: BackendListUpdate) {
+    pub fn push_backend_list(&mut self, cx: CX![], update: BackendListUpdate) {
         let now = self.setup.clock.millis(cx.now());
-        if self.setup.state.borrow_mut().update_listing(&update, now) {
+        if self
+            .setup
+            .state
+            .borrow_mut()
+            .apply_backend_list_update(&update, now)
+        {
             fwd!([self.setup.on_change], ());
         }
     }
--- a/crates/daemon/src/settings/gateway.rs
+++ b/crates/daemon/src/settings/gateway.rs
@@ -1,7 +1,7 @@
 //! Settings of the surface for pass-through requests.
 
 use super::Settings;
-use crate::session::{ListingLease, LISTING_LEASE};
+use crate::session::{BackendListLease, DEFAULT_BACKEND_LIST_LEASE};
 use serde::Deserialize;
 use silversail_serving::policy::Policy;
 use std::time::Duration;
@@ -68,9 +68,9 @@
 
 impl GatewaySettings {
     /// For how long nodes rely on a read of the list of back ends.
-    pub fn listing_lease(&self) -> ListingLease {
+    pub fn listing_lease(&self) -> BackendListLease {
         let lease = (self.leaving_bound_ms as f64 * LEASE_PART) as u64;
-        ListingLease(lease.max(LISTING_LEASE))
+        BackendListLease(lease.max(DEFAULT_BACKEND_LIST_LEASE))
     }
 
     /// Time between the reads of a list that takes many calls.
@@ -81,9 +81,9 @@
 
 impl Settings {
     /// For how long nodes rely on a read of the list of back ends.
-    pub fn listing_lease(&self) -> ListingLease {
+    pub fn listing_lease(&self) -> BackendListLease {
         let gateway = self.gateway.as_ref();
-        gateway.map_or_else(ListingLease::default, GatewaySettings::listing_lease)
+        gateway.map_or_else(BackendListLease::default, GatewaySettings::listing_lease)
     }
 
     /// Share of a core that this process may use, in hundredths.
--- a/crates/daemon/src/surface/callers.rs
+++ b/crates/daemon/src/surface/callers.rs
@@ -4,7 +4,7 @@
 use crate::event::{Event, EventSender};
 use crate::metrics::Metrics;
 use crate::requests::active::CallerRequest;
-use crate::requests::answer::RefusalBody;
+use crate::requests::answer::ErrorBody;
 use crate::surface::refusal_response;
 use silversail_http::{Handler, RejectReason, Request, Responder, ResponseHead};
 use silversail_model::ResultCode;
@@ -81,7 +81,7 @@
             .refusals
             .with_label_values(&[code.reason()])
             .inc();
-        let mut body = RefusalBody::new("", code, message);
+        let mut body = ErrorBody::new("", code, message);
         body.retry_after_ms = retry_after_ms;
         refusal_response(code, &body)
     }
--- a/crates/daemon/src/surface/entry_points.rs
+++ b/crates/daemon/src/surface/entry_points.rs
@@ -1,6 +1,6 @@
 //! Which addresses callers shall use, and for how long.
 
-use crate::requests::answer::{RefusalBody, JSON};
+use crate::requests::answer::{ErrorBody, JSON_CONTENT_TYPE};
 use crate::session::NodeState;
 use crate::surface::refusal_response;
 use rand::seq::SliceRandom;
@@ -41,9 +41,9 @@
     responder: Responder,
 ) {
     let mut nodes: Vec<&NodeStatus> = state.view.usable_nodes().collect();
-    if !state.is_current(now, settings.freshness_lease) || nodes.is_empty() {
+    if !state.has_current_configuration(now, settings.freshness_lease) || nodes.is_empty() {
         let code = ResultCode::NotCurrent;
-        let mut body = RefusalBody::new("", code, "this node can't tell which nodes are usable");
+        let mut body = ErrorBody::new("", code, "this node can't tell which nodes are usable");
         body.retry_after_ms = Some(500);
         let (head, bytes) = refusal_response(code, &body);
         responder.respond(head, bytes);
@@ -62,7 +62,7 @@
             .collect(),
         valid_for_ms: settings.lifetime,
     };
-    let mut head = ResponseHead::new(200, JSON);
+    let mut head = ResponseHead::new(200, JSON_CONTENT_TYPE);
     let seconds = settings.lifetime / 1_000;
     head.headers
         .push(("cache-control", format!("max-age={seconds}")));
--- a/crates/daemon/src/surface/mod.rs
+++ b/crates/daemon/src/surface/mod.rs
@@ -4,13 +4,13 @@
 pub mod entry_points;
 pub mod operators;
 
-use crate::requests::answer::{RefusalBody, JSON};
+use crate::requests::answer::{ErrorBody, JSON_CONTENT_TYPE};
 use silversail_http::ResponseHead;
 use silversail_model::ResultCode;
 
 /// Status and headers for a code.
 pub fn head_for(code: ResultCode) -> ResponseHead {
-    let mut head = ResponseHead::new(code.http_status(), JSON);
+    let mut head = ResponseHead::new(code.http_status(), JSON_CONTENT_TYPE);
     head.headers
         .push(("silversail-code", code.number().to_string()));
     head
@@ -18,7 +18,7 @@
 
 /// Head and body of a refusal. `Retry-After` is in whole seconds, rounded up;
 /// the body has milliseconds.
-pub fn refusal_response(code: ResultCode, body: &RefusalBody) -> (ResponseHead, Vec<u8>) {
+pub fn refusal_response(code: ResultCode, body: &ErrorBody) -> (ResponseHead, Vec<u8>) {
     let mut head = head_for(code);
     if let Some(milliseconds) = body.retry_after_ms {
         let seconds = milliseconds.div_ceil(1_000);
--- a/crates/daemon/tests/list_reader.rs
+++ b/crates/daemon/tests/list_reader.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use silversail_daemon::gateway::list_reader::{ListKnowledge, ReaderPlace};
-use silversail_daemon::session::{ListingLease, NodeState, LISTING_LEASE};
+use silversail_daemon::session::{BackendListLease, NodeState, DEFAULT_BACKEND_LIST_LEASE};
 use silversail_daemon::settings::GatewaySettings;
 use silversail_model::NodeName;
 use silversail_peer::{BackendList, BackendListVersion};
@@ -34,7 +34,7 @@
         place,
         calls_of_read: PAGES,
         calls_per_second: RATE,
-        lease: ListingLease::default(),
+        lease: BackendListLease::default(),
     }
 }
 
@@ -56,7 +56,7 @@
 #[test]
 fn the_leader_reads_always_and_no_other_while_its_reads_arrive() {
     for place in places() {
-        let mut known = knowledge(place, LISTING_LEASE);
+        let mut known = knowledge(place, DEFAULT_BACKEND_LIST_LEASE);
         assert!(!known.reads(), "{place:?}");
         known.leads = true;
         assert!(known.reads());
@@ -84,11 +84,10 @@
             .into_iter()
             .filter(move |place| knowledge(*place, age).reads())
     };
-    let first: Vec<ReaderPlace> = reads_at(LISTING_LEASE + 100).collect();
+    let first: Vec<ReaderPlace> = reads_at(DEFAULT_BACKEND_LIST_LEASE + 100).collect();
     assert_eq!(first, [ReaderPlace::Replicating(0)]);
-    assert!(
-        reads_at(LISTING_LEASE + 1_400).all(|place| matches!(place, ReaderPlace::Replicating(_)))
-    );
+    assert!(reads_at(DEFAULT_BACKEND_LIST_LEASE + 1_400)
+        .all(|place| matches!(place, ReaderPlace::Replicating(_))));
 }
 
 /// Before, each of the 294 nodes read every 0.7 to 0.9 s: 3,600 calls a second.
@@ -125,15 +124,15 @@
 #[test]
 fn the_leaders_listing_comes_back_after_another_node_read_in_its_place() {
     let mut state = NodeState::default();
-    assert!(state.take_listing(listing(3, 7, 0), 1_000));
+    assert!(state.apply_backend_list(listing(3, 7, 0), 1_000));
     let substitute = BackendListVersion::fallback_of(listing(3, 7, 0).version, 99);
     assert!(substitute > listing(3, 7, 0).version);
     assert!(substitute < listing(3, 8, 0).version);
-    assert!(state.take_listing(listing(3, 7, substitute.fallback), 4_000));
+    assert!(state.apply_backend_list(listing(3, 7, substitute.fallback), 4_000));
     // While the substitute is read, an older version does not displace it.
-    assert!(!state.take_listing(listing(3, 7, 0), 5_000));
-    assert!(state.take_listing(listing(3, 7, 0), 4_001 + LISTING_LEASE));
-    assert!(state.take_listing(listing(3, 8, 0), 4_002 + LISTING_LEASE));
+    assert!(!state.apply_backend_list(listing(3, 7, 0), 5_000));
+    assert!(state.apply_backend_list(listing(3, 7, 0), 4_001 + DEFAULT_BACKEND_LIST_LEASE));
+    assert!(state.apply_backend_list(listing(3, 8, 0), 4_002 + DEFAULT_BACKEND_LIST_LEASE));
 }
 
 #[test]
@@ -167,7 +166,7 @@
     #[case] lease_ms: u64,
 ) {
     let settings = gateway(leaving_bound_ms);
-    assert_eq!(settings.listing_lease(), ListingLease(lease_ms));
+    assert_eq!(settings.listing_lease(), BackendListLease(lease_ms));
     let interval = settings.long_list_interval().as_millis() as u64;
     // With the spread of the interval, the read itself and a heartbeat.
     assert!(interval * 13 / 10 + 300 + 400 <= lease_ms, "{interval} ms");
--- a/crates/daemon/tests/views.rs
+++ b/crates/daemon/tests/views.rs
@@ -37,7 +37,7 @@
 #[test]
 fn a_leader_that_lost_its_memory_takes_no_node_out_at_once() {
     let mut state = NodeState::default();
-    assert!(state.take_view(view(2, 9, &ALL), 1_000));
+    assert!(state.apply_view(view(2, 9, &ALL), 1_000));
     let owner = |state: &NodeState| {
         batch_owner(
             &state.view,
@@ -47,28 +47,28 @@
         )
     };
     let before = owner(&state);
-    assert!(state.take_view(view(3, 1, &[]), 5_000));
+    assert!(state.apply_view(view(3, 1, &[]), 5_000));
     assert_eq!(usable(&state), ["n1", "n2", "n3"]);
     assert_eq!(owner(&state), before);
     // What the new leader says of a node goes first.
-    assert!(state.take_view(view(3, 2, &[("n2", false)]), 5_400));
+    assert!(state.apply_view(view(3, 2, &[("n2", false)]), 5_400));
     assert_eq!(usable(&state), ["n1", "n3"]);
-    assert!(!state.drop_carried(7_000));
-    assert!(state.drop_carried(7_500));
+    assert!(!state.expire_retained_nodes(7_000));
+    assert!(state.expire_retained_nodes(7_500));
     assert!(usable(&state).is_empty());
-    assert!(!state.drop_carried(7_600));
+    assert!(!state.expire_retained_nodes(7_600));
 }
 
 #[test]
 fn a_node_that_the_same_leader_drops_is_gone_at_once() {
     let mut state = NodeState::default();
-    assert!(state.take_view(view(2, 9, &ALL), 1_000));
-    assert!(state.take_view(view(2, 10, &ALL[..2]), 2_000));
+    assert!(state.apply_view(view(2, 9, &ALL), 1_000));
+    assert!(state.apply_view(view(2, 10, &ALL[..2]), 2_000));
     assert_eq!(usable(&state), ["n1", "n2"]);
-    assert!(!state.take_view(view(2, 9, &ALL), 2_100));
+    assert!(!state.apply_view(view(2, 9, &ALL), 2_100));
     // Also one that a later leader heard of and then lost.
-    assert!(state.take_view(view(3, 1, &ALL[..2]), 3_000));
-    assert!(state.take_view(view(3, 2, &ALL[..1]), 3_100));
+    assert!(state.apply_view(view(3, 1, &ALL[..2]), 3_000));
+    assert!(state.apply_view(view(3, 2, &ALL[..1]), 3_100));
     assert_eq!(usable(&state), ["n1"]);
 }
 
@@ -79,8 +79,8 @@
     first
         .batch_owners
         .insert(Shard::whole_service("s"), "n3".into());
-    assert!(state.take_view(first, 1_000));
-    assert!(state.take_view(view(3, 1, &ALL[..1]), 5_000));
+    assert!(state.apply_view(first, 1_000));
+    assert!(state.apply_view(view(3, 1, &ALL[..1]), 5_000));
     let owner = |state: &NodeState| {
         batch_owner(
             &state.view,
@@ -93,6 +93,6 @@
     let mut next = view(3, 2, &ALL);
     next.batch_owners
         .insert(Shard::whole_service("s"), "n1".into());
-    assert!(state.take_view(next, 6_000));
+    assert!(state.apply_view(next, 6_000));
     assert_eq!(owner(&state), Some("n1".into()));
 }
--- a/crates/simulation/src/traffic.rs
+++ b/crates/simulation/src/traffic.rs
@@ -185,7 +185,7 @@
             arrived_at,
             responder,
         };
-        call!([requests], request(request));
+        call!([requests], handle_request(request));
         self.open.push(OpenCall {
             key,
             retried: token.is_some(),
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -436,7 +436,7 @@
         let lease = place.parts.settings.timing.freshness_lease_ms;
         let state = node.state.borrow();
         state
-            .is_current(now, lease)
+            .has_current_configuration(now, lease)
             .then(|| state.configuration.revision())?
     }
 
--- a/crates/simulation/tests/listing.rs
+++ b/crates/simulation/tests/listing.rs
@@ -46,11 +46,11 @@
     let node = world.places[position].node.as_ref().expect("runs");
     let now = node.clock.millis(world.instant());
     let state = node.state.borrow();
-    let listing = state.listing.as_ref();
+    let listing = state.backend_list.as_ref();
     let draining = listing.and_then(|listing| listing.entries.iter().next());
     (
         draining.map(|entry| entry.draining),
-        state.has_current_listing(now),
+        state.has_current_backend_list(now),
     )
 }
 
--- a/crates/simulation/tests/quarantine.rs
+++ b/crates/simulation/tests/quarantine.rs
@@ -62,9 +62,9 @@
         let requests = requests.iter().copied().collect();
         node.state
             .borrow_mut()
-            .crash_news
-            .crashed(backend, now, requests, now);
-        call!([node.actors.session], tell_crash());
+            .pending_crash_reports
+            .record_crash(backend, now, requests, now);
+        call!([node.actors.session], report_crash());
         self.world.wake(position);
     }
 
