--- a/crates/daemon/src/session/large_updates.rs
+++ b/crates/daemon/src/session/large_updates.rs
@@ -1,53 +1,50 @@
-//! Large updates on their way to one node. Its heartbeats tell what it held when it sent them, and
-//! several may leave before a list or a view of thousands has arrived over a slow link: answered
-//! with the whole each time, they would fill that link for seconds.
+//! Tracks large updates in transit to one node. Heartbeats sent before such an update arrives still
+//! report the old version; repeating the update in each reply would saturate a slow link.
 
 use silversail_consensus::Millis;
 use std::collections::BTreeMap;
 
-/// Updates from this size on are not repeated while they may be on their way, in bytes: smaller
-/// ones are cheaper sent twice than late once.
-const LARGE: usize = 16 << 10;
-/// How long a large one may be on its way, in milliseconds: a megabyte and a half over the
-/// slowest links.
-const ON_ITS_WAY_FOR: Millis = 1_500;
+/// Size from which updates are not repeated while in transit, in bytes.
+const LARGE_UPDATE_BYTES: usize = 16 << 10;
+/// How long a large update counts as in transit, in milliseconds.
+const TRANSFER_WINDOW: Millis = 1_500;
 
-/// What an update brings.
+/// Kind of state that an update carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UpdateKind {
-    /// The list of back ends.
-    Listing,
-    /// The view.
+    /// The back-end list.
+    BackendList,
+    /// The cluster view.
     View,
 }
 
-/// When large updates were sent to the present process of a node.
+/// Times at which large updates were sent to the current process of a node.
 #[derive(Clone, Debug, Default)]
-pub struct LargeUpdates {
+pub struct LargeUpdateTracker {
     incarnation: u64,
     sent_at: BTreeMap<UpdateKind, Millis>,
 }
 
-impl LargeUpdates {
-    /// A heartbeat of a process of the node came. A new process has nothing of what was sent to
-    /// the one before.
-    pub fn heard(&mut self, incarnation: u64) {
+impl LargeUpdateTracker {
+    /// Records the incarnation of a heartbeat. A new process has none of the updates sent to the
+    /// former one.
+    pub fn record_incarnation(&mut self, incarnation: u64) {
         if self.incarnation != incarnation {
             self.incarnation = incarnation;
             self.sent_at.clear();
         }
     }
 
-    /// Whether an update of `bytes` is to be sent at `now`; if so it counts as sent.
-    pub fn may_send(&mut self, kind: UpdateKind, bytes: usize, now: Millis) -> bool {
-        if bytes < LARGE {
+    /// Whether an update of `bytes` is to be sent at `now`; if so, it is recorded as sent.
+    pub fn try_start_send(&mut self, kind: UpdateKind, bytes: usize, now: Millis) -> bool {
+        if bytes < LARGE_UPDATE_BYTES {
             return true;
         }
         let sent_at = self.sent_at.get(&kind);
-        let is_on_its_way = sent_at.is_some_and(|at| now.saturating_sub(*at) < ON_ITS_WAY_FOR);
-        if !is_on_its_way {
+        let is_in_transit = sent_at.is_some_and(|at| now.saturating_sub(*at) < TRANSFER_WINDOW);
+        if !is_in_transit {
             self.sent_at.insert(kind, now);
         }
-        !is_on_its_way
+        !is_in_transit
     }
 }
--- a/crates/daemon/src/session/mod.rs
+++ b/crates/daemon/src/session/mod.rs
@@ -1,14 +1,14 @@
-//! How nodes keep in step with the control group: each node has a session with
-//! one voter, its relay, which passes configuration and the view down and
-//! heartbeats up. No node talks to all others.
+//! Sessions between nodes and the control group. Each node has a session with one voter, its relay,
+//! which sends configuration and views to the node and forwards the node's heartbeats to the
+//! leader.
 
 pub mod large_updates;
 pub mod node_state;
 pub mod pending_crash_reports;
 pub mod relay;
-pub mod relay_choice;
+mod relay_backend_list;
 mod relay_limits;
-mod relay_listing;
+pub mod relay_selector;
 pub mod session_actor;
 
 pub use node_state::{
--- a/crates/daemon/src/session/node_state.rs
+++ b/crates/daemon/src/session/node_state.rs
@@ -1,4 +1,4 @@
-//! What a node has in force: configuration, view, machine states and how
+//! Replicated state that a node has applied: configuration, view and machine states, and how
 //! current they are.
 
 use crate::session::pending_crash_reports::PendingCrashReports;
@@ -18,22 +18,21 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// How long nodes of the last leader's view count under a leader that did not know
-/// it, in milliseconds: heartbeats reach it meanwhile. When all machines that can lead
-/// lost their memory at once, its first views name hardly a node.
-const CARRIED_FOR: Millis = 2_500;
+/// How long nodes of the previous leader's view are kept under a new leader that has not heard of
+/// them, in milliseconds. A leader that lost its state starts with an almost empty view until
+/// heartbeats arrive.
+const NODE_RETENTION_AFTER_LEADER_CHANGE: Millis = 2_500;
 
-/// For how long a node relies on a read of the list of back ends where the settings do not say
-/// otherwise, in milliseconds: two of the leader's reads and a heartbeat.
+/// Default time for which a node uses the back-end list after it was last read, in milliseconds:
+/// two reads of the leader and a heartbeat.
 pub const DEFAULT_BACKEND_LIST_LEASE: Millis = 2_000;
 
-/// For how long after a quorum last confirmed what it holds a node may send to the candidate of a
-/// rollout, in milliseconds: three heartbeats, so that one that is lost or a relay that lags
-/// takes nothing from a good version, and a fraction of the seconds within which a bad one must
-/// get no more requests from a node that is cut off.
+/// Time after a quorum last confirmed the rollouts held here during which a node may send to a
+/// rollout's candidate, in milliseconds: three heartbeats, so that one lost heartbeat or a lagging
+/// relay does not stop a good candidate.
 pub const ROLLOUT_PERMIT: Millis = 1_500;
 
-/// For how long a node relies on a read of the list of back ends, in milliseconds.
+/// How long a node uses the back-end list after it was last read, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendListLease(pub Millis);
 
@@ -43,112 +42,111 @@
     }
 }
 
-/// The state of one node; written by its session, read by its other actors.
+/// Replicated state of one node; written by its session, read by its other actors.
 #[derive(Default)]
 pub struct NodeState {
-    /// For how long reads of the list are relied on.
+    /// How long the back-end list is used after it was last read.
     pub backend_list_lease: BackendListLease,
-    /// Configuration in force.
+    /// Configuration that is applied.
     pub configuration: AppliedConfiguration,
-    /// Traffic configuration in force; none before the first.
+    /// Traffic configuration that is applied; `None` before the first.
     pub traffic: Option<SharedTraffic>,
-    /// Zones that get no new work; none before the first confirmed answer of a relay. A
-    /// node that can't confirm them goes on with what it holds.
+    /// Evacuated zones, which get no new work; `None` before the first confirmed reply of a relay.
+    /// Stays in effect while the node cannot confirm it.
     pub evacuations: Option<SharedEvacuations>,
-    /// Rollouts of versions; none before the first confirmed answer of a relay.
+    /// Rollouts of versions; `None` before the first confirmed reply of a relay.
     pub rollouts: Option<SharedRollouts>,
-    /// How current the rollouts are. Kept apart from `freshness`: a large configuration that is
-    /// still on its way takes no permit.
+    /// Freshness of the rollouts. Separate from `freshness`, so that a large configuration still in
+    /// transit does not end the rollout permit.
     pub rollouts_freshness: Freshness,
-    /// What this process saw of each rollout in progress; told with the next heartbeat.
+    /// Evidence of this process on each rollout in progress, sent with the next heartbeat.
     pub rollout_evidence: Vec<Evidence>,
-    /// Requests that no node sends; none before the first confirmed answer of a relay. A node
-    /// that can't confirm them goes on with what it holds.
+    /// Quarantined requests; `None` before the first confirmed reply of a relay. Stays in effect
+    /// while the node cannot confirm it.
     pub quarantine: Option<SharedQuarantineList>,
-    /// What this process has to tell of crashes.
+    /// Crashes that this process still reports in its heartbeats.
     pub pending_crash_reports: PendingCrashReports,
-    /// The list of back ends as one node read it for all; none before the first.
+    /// Newest back-end list, which one node reads for all; `None` before the first.
     pub backend_list: Option<SharedBackendList>,
-    /// When that node is known to have read the same list, at the latest.
+    /// Latest known time at which the same list was read.
     pub backend_list_confirmed_at: Option<Millis>,
-    /// Newest view as it was told.
+    /// Newest view as received from the leader.
     pub received_view: ClusterView,
-    /// Newest view, with the nodes that are carried over a change of leader.
+    /// Newest view, including nodes that are retained across a change of leader.
     pub view: ClusterView,
-    /// Counts the changes of `view`.
+    /// Number of changes of `view`.
     pub view_changes: u64,
-    /// Nodes of the last leader's view that the present leader has not heard of yet,
-    /// and until when they count.
-    carried: Vec<NodeName>,
-    carried_until: Millis,
-    /// How current the configuration is known to be.
+    /// Nodes of the previous leader's view that the current leader has not heard of, kept until
+    /// `retained_until`.
+    retained_nodes: Vec<NodeName>,
+    retained_until: Millis,
+    /// Freshness of the configuration.
     pub freshness: Freshness,
-    /// Machine states, of the own list and of the view.
+    /// Machine states, from this node's machine list and from the view.
     machines: BTreeMap<String, MachineState>,
-    /// Whether the process is stopping and left the answers.
+    /// Whether the process is stopping and reports so.
     pub stopping: bool,
-    /// Whether new requests are refused, as the process stops.
+    /// Whether new requests are rejected because the process is stopping.
     pub refusing: bool,
 }
 
-/// Node state shared inside a process.
+/// Node state shared between the actors of a process.
 pub type SharedNodeState = Rc<RefCell<NodeState>>;
 
 impl NodeState {
-    /// Whether the configuration is known to be current within `lease`.
+    /// Whether a configuration is applied and was confirmed within `lease`.
     pub fn has_current_configuration(&self, now: Millis, lease: Millis) -> bool {
         self.configuration.revision().is_some()
             && self.freshness.age(now).is_some_and(|age| age <= lease)
     }
 
-    /// Takes in what changed of the list of back ends; true when that is news.
+    /// Applies an update of the back-end list; true if the list changed.
     pub fn apply_backend_list_update(&mut self, update: &BackendListUpdate, now: Millis) -> bool {
-        if !self.wants_listing(update.version, now) {
+        if !self.accepts_backend_list_version(update.version, now) {
             return false;
         }
         match update.applied_to(self.backend_list.as_deref()) {
-            Ok(listing) => self.apply_backend_list(Arc::new(listing), now),
+            Ok(backend_list) => self.apply_backend_list(Arc::new(backend_list), now),
             Err(error) => {
-                // The next heartbeat tells the relay what is held here.
+                // The next heartbeat carries the version held here, so that the relay repairs it.
                 log::info!(event = "listing_update_refused"; "{error}");
                 false
             }
         }
     }
 
-    /// Whether a listing of this version replaces the one held. What is not confirmed any
-    /// more gives way: it may be what a node read in place of the leader, whose own version
-    /// does not count up with it.
-    fn wants_listing(&self, version: BackendListVersion, now: Millis) -> bool {
-        let known = self.backend_list.as_ref().map(|known| known.version);
+    /// Whether a list of this version replaces the held one. An expired list is always replaced: it
+    /// may come from a fallback reader, whose versions the leader's do not count up with.
+    fn accepts_backend_list_version(&self, version: BackendListVersion, now: Millis) -> bool {
+        let held = self.backend_list.as_ref().map(|held| held.version);
         let is_current = self.has_current_backend_list(now);
-        known != Some(version) && !(is_current && known > Some(version))
+        held != Some(version) && !(is_current && held > Some(version))
     }
 
-    /// Takes a listing that is newer; true when it is.
-    pub fn apply_backend_list(&mut self, listing: SharedBackendList, now: Millis) -> bool {
-        if !self.wants_listing(listing.version, now) {
+    /// Stores a newer back-end list; true if it was stored.
+    pub fn apply_backend_list(&mut self, backend_list: SharedBackendList, now: Millis) -> bool {
+        if !self.accepts_backend_list_version(backend_list.version, now) {
             return false;
         }
-        self.backend_list = Some(listing);
+        self.backend_list = Some(backend_list);
         self.backend_list_confirmed_at = Some(now);
         true
     }
 
-    /// Takes in what changed of the view; true when that is news.
+    /// Applies a view update; true if the view changed.
     pub fn apply_view_update(&mut self, update: &ViewUpdate, now: Millis) -> bool {
         match update.apply_to(&self.received_view) {
             Ok(Some(view)) => self.apply_view(view, now),
             Ok(None) => false,
             Err(gap) => {
-                // The next heartbeat tells the relay what is held here.
+                // The next heartbeat carries the version held here, so that the relay repairs it.
                 log::info!(event = "view_update_refused"; "{gap}");
                 false
             }
         }
     }
 
-    /// Takes a view that is newer; true when it is.
+    /// Applies a newer view; true if it was applied.
     pub fn apply_view(&mut self, mut view: ClusterView, now: Millis) -> bool {
         if view.version <= self.view.version {
             return false;
@@ -159,52 +157,53 @@
         }
         if view.version.term > self.view.version.term {
             let nodes = self.view.nodes.iter();
-            self.carried = nodes.map(|status| status.node.clone()).collect();
-            self.carried_until = now + CARRIED_FOR;
+            self.retained_nodes = nodes.map(|status| status.node.clone()).collect();
+            self.retained_until = now + NODE_RETENTION_AFTER_LEADER_CHANGE;
         }
-        if now >= self.carried_until {
-            self.carried.clear();
+        if now >= self.retained_until {
+            self.retained_nodes.clear();
         }
-        let told = &view.nodes;
-        self.carried
-            .retain(|node| told.iter().all(|status| status.node != *node));
-        let carried = &self.carried;
+        let reported = &view.nodes;
+        self.retained_nodes
+            .retain(|node| reported.iter().all(|status| status.node != *node));
+        let retained_nodes = &self.retained_nodes;
         let former = std::mem::take(&mut self.view.nodes);
-        // A leader assigns services once it has heard of the nodes.
+        // A new leader assigns a service only after it has heard of the nodes; until then the
+        // former owners stay.
         let former_owners = std::mem::take(&mut self.view.batch_owners);
         let mut unassigned = BatchOwners::new();
         for (shard, owner) in former_owners {
             let is_assigned = view
                 .batch_owners
                 .keys()
-                .any(|one| one.service == shard.service);
+                .any(|assigned| assigned.service == shard.service);
             if !is_assigned {
                 unassigned.insert(shard, owner);
             }
         }
         view.batch_owners.extend(unassigned);
-        let kept = former
+        let retained = former
             .into_iter()
-            .filter(|status| carried.contains(&status.node));
-        view.nodes.extend(kept);
+            .filter(|status| retained_nodes.contains(&status.node));
+        view.nodes.extend(retained);
         self.view = view;
         self.view_changes += 1;
         true
     }
 
-    /// Drops carried nodes whose time is over; true when there were any.
+    /// Removes retained nodes whose time has expired; true if there were any.
     pub fn expire_retained_nodes(&mut self, now: Millis) -> bool {
-        if self.carried.is_empty() || now < self.carried_until {
+        if self.retained_nodes.is_empty() || now < self.retained_until {
             return false;
         }
-        let carried = std::mem::take(&mut self.carried);
+        let retained_nodes = std::mem::take(&mut self.retained_nodes);
         let nodes = &mut self.view.nodes;
-        nodes.retain(|status| !carried.contains(&status.node));
+        nodes.retain(|status| !retained_nodes.contains(&status.node));
         self.view_changes += 1;
         true
     }
 
-    /// Whether the view names an owner of each service that is batched.
+    /// Whether the view names an owner of each batched service.
     pub fn knows_batch_owners(&self) -> bool {
         let Some(traffic) = &self.traffic else {
             return true;
@@ -216,95 +215,95 @@
         })
     }
 
-    /// Whether the held list is known to have been read within the lease.
+    /// Whether the back-end list was read within its lease.
     pub fn has_current_backend_list(&self, now: Millis) -> bool {
         let confirmed_at = self.backend_list_confirmed_at;
         confirmed_at.is_some_and(|at| now.saturating_sub(at) <= self.backend_list_lease.0)
     }
 
-    /// The nodes that hold a lease by the view; none where no quorum confirmed what is held here
-    /// within `relied_on`.
-    pub fn live_nodes(&self, relied_on: Millis, now: Millis) -> BTreeSet<&NodeName> {
+    /// Nodes in the view, if a quorum confirmed the state held here within `max_age`; otherwise
+    /// empty.
+    pub fn live_nodes(&self, max_age: Millis, now: Millis) -> BTreeSet<&NodeName> {
         let age = self.freshness.age(now);
         let nodes = self.view.nodes.iter().map(|status| &status.node);
-        match age.is_some_and(|age| age <= relied_on) {
+        match age.is_some_and(|age| age <= max_age) {
             true => nodes.collect(),
             false => BTreeSet::new(),
         }
     }
 
-    /// Version of the traffic configuration in force.
+    /// Version of the applied traffic configuration; `None` before the first.
     pub fn traffic_version(&self) -> Option<TrafficVersion> {
         self.traffic.as_ref().map(|traffic| traffic.version())
     }
 
-    /// Revision of the evacuated zones in force; none before the first.
+    /// Revision of the applied evacuated zones; `None` before the first.
     pub fn evacuations_revision(&self) -> Option<EvacuationRevision> {
         self.evacuations.as_ref().map(|held| held.revision())
     }
 
-    /// Revision of the rollouts in force; none before the first.
+    /// Revision of the applied rollouts; `None` before the first.
     pub fn rollouts_revision(&self) -> Option<RolloutsRevision> {
         self.rollouts.as_ref().map(|held| held.revision())
     }
 
-    /// Whether this node may send to the candidate of a rollout: a quorum confirmed lately that
-    /// it holds the newest rollouts. Time of a freeze counts, as the clock runs on.
+    /// Whether this node may send to a rollout's candidate: a quorum recently confirmed its
+    /// rollouts. The clock keeps running while the process is suspended.
     pub fn has_rollout_permit(&self, now: Millis) -> bool {
         self.has_current_rollouts(now, ROLLOUT_PERMIT)
     }
 
-    /// Whether the rollouts are known to be current within `lease`.
+    /// Whether the rollouts were confirmed within `lease`.
     pub fn has_current_rollouts(&self, now: Millis, lease: Millis) -> bool {
         let age = self.rollouts_freshness.age(now);
         self.rollouts.is_some() && age.is_some_and(|age| age <= lease)
     }
 
-    /// Takes rollouts that are newer; true when they are.
-    pub fn apply_rollouts(&mut self, told: SharedRollouts) -> bool {
-        if self.rollouts_revision() >= Some(told.revision()) {
+    /// Applies newer rollouts; true if they were applied.
+    pub fn apply_rollouts(&mut self, received: SharedRollouts) -> bool {
+        if self.rollouts_revision() >= Some(received.revision()) {
             return false;
         }
-        log::info!(event = "rollouts_in_force", revision = told.revision(); "rollouts applied");
-        self.rollouts = Some(told);
+        log::info!(event = "rollouts_in_force", revision = received.revision(); "rollouts applied");
+        self.rollouts = Some(received);
         true
     }
 
-    /// Revision of the list of refused requests; none before the first.
+    /// Revision of the applied quarantine list; `None` before the first.
     pub fn quarantine_revision(&self) -> Option<QuarantineRevision> {
         self.quarantine.as_ref().map(|held| held.revision)
     }
 
-    /// Takes a list of refused requests that is newer; true when it is.
-    pub fn apply_quarantine_list(&mut self, told: SharedQuarantineList) -> bool {
-        if self.quarantine_revision() >= Some(told.revision) {
+    /// Applies a newer quarantine list; true if it was applied.
+    pub fn apply_quarantine_list(&mut self, received: SharedQuarantineList) -> bool {
+        if self.quarantine_revision() >= Some(received.revision) {
             return false;
         }
-        self.pending_crash_reports.retain_quarantined(&told);
-        self.quarantine = Some(told);
+        self.pending_crash_reports.retain_quarantined(&received);
+        self.quarantine = Some(received);
         true
     }
 
-    /// Takes evacuated zones that are newer; true when they are.
-    pub fn apply_evacuations(&mut self, told: SharedEvacuations) -> bool {
-        if self.evacuations_revision() >= Some(told.revision()) {
+    /// Applies newer evacuated zones; true if they were applied.
+    pub fn apply_evacuations(&mut self, received: SharedEvacuations) -> bool {
+        if self.evacuations_revision() >= Some(received.revision()) {
             return false;
         }
-        let zones: Vec<&str> = told.zones().iter().map(String::as_str).collect();
-        log::info!(event = "evacuations_in_force", revision = told.revision(), zones = zones.join(",").as_str(); "evacuated zones applied");
-        self.evacuations = Some(told);
+        let zones: Vec<&str> = received.zones().iter().map(String::as_str).collect();
+        log::info!(event = "evacuations_in_force", revision = received.revision(), zones = zones.join(",").as_str(); "evacuated zones applied");
+        self.evacuations = Some(received);
         true
     }
 
-    /// Whether the machine at `address` is leaving, by any list seen.
+    /// Whether any machine list reports the machine at `address` as leaving.
     pub fn is_leaving(&self, address: &str) -> bool {
         self.machines
             .get(address)
             .is_some_and(|machine| machine.leaving)
     }
 
-    /// Takes in a machine's state; an older list never undoes a newer one's
-    /// mark. True when the mark changed.
+    /// Merges a machine's state; an older machine list never overrides a newer one. True if its
+    /// `leaving` flag changed.
     pub fn merge_machine(&mut self, state: &MachineState) -> bool {
         let mut known: Vec<MachineState> =
             self.machines.remove(&state.address).into_iter().collect();
@@ -318,7 +317,7 @@
         was_leaving != is_leaving
     }
 
-    /// States that the view lacks, or has from an older list.
+    /// Machine states that the view lacks or has from an older machine list.
     pub fn machines_unknown_to_view(&self) -> Vec<MachineState> {
         let known: BTreeMap<&str, &MachineState> = self
             .view
@@ -338,10 +337,14 @@
             .collect()
     }
 
-    /// How many usable nodes there are and this node's rank among them.
+    /// Number of usable nodes, and the position of `node` among them.
     pub fn node_count_and_rank(&self, node: &NodeName) -> (u32, u32) {
-        let usable: Vec<&NodeName> = self.view.usable_nodes().map(|one| &one.node).collect();
-        let rank = usable.iter().position(|one| *one == node);
+        let usable: Vec<&NodeName> = self
+            .view
+            .usable_nodes()
+            .map(|status| &status.node)
+            .collect();
+        let rank = usable.iter().position(|usable_node| *usable_node == node);
         let count = usable.len().max(1) as u32;
         (count, rank.unwrap_or(0) as u32)
     }
--- a/crates/daemon/src/session/pending_crash_reports.rs
+++ b/crates/daemon/src/session/pending_crash_reports.rs
@@ -1,87 +1,93 @@
-//! What a process tells the leader of crashes, heartbeat after heartbeat for a while: any message
-//! may be lost, and a new leader knows nothing of it.
+//! Crashes that a process reports to the leader. Each is repeated in several heartbeats, because
+//! messages may be lost and a new leader has no earlier reports.
 
 use silversail_consensus::Millis;
 use silversail_model::RequestFingerprint;
 use silversail_quarantine::{CrashReport, QuarantineList};
 use std::collections::{BTreeSet, VecDeque};
 
-/// How long a crash is told, in milliseconds: an election takes two seconds at most, and three
-/// heartbeats in a row may be lost after it.
-const TOLD_FOR: Millis = 6_000;
-/// Requests in the crashes that are told at most: 1 KB a heartbeat. The oldest crashes go first.
-const MOST_TOLD: usize = 64;
-/// Whole answers to listed requests that are told at most.
-const MOST_ENDED_WELL: usize = 64;
+/// How long a crash is reported, in milliseconds: the longest election and three lost heartbeats.
+const REPORT_DURATION: Millis = 6_000;
+/// Maximum request fingerprints in the reported crashes, which bounds the size of a heartbeat. The
+/// oldest crashes are dropped first.
+const MAX_REPORTED_FINGERPRINTS: usize = 64;
+/// Maximum completed requests that are reported.
+const MAX_COMPLETED_REQUESTS: usize = 64;
 
-struct Seen {
+struct PendingCrash {
     backend: String,
-    at: Millis,
+    crashed_at: Millis,
     fingerprints: BTreeSet<RequestFingerprint>,
 }
 
-/// What is to be told.
+/// Crashes and completed requests that the next heartbeats report.
 #[derive(Default)]
 pub struct PendingCrashReports {
-    seen: VecDeque<Seen>,
-    ended_well: BTreeSet<RequestFingerprint>,
+    crashes: VecDeque<PendingCrash>,
+    completed: BTreeSet<RequestFingerprint>,
 }
 
 impl PendingCrashReports {
-    /// This process saw a back end end, at `at`, with these requests.
+    /// Records that `backend` crashed at `crashed_at` while it ran these requests.
     pub fn record_crash(
         &mut self,
         backend: &str,
-        at: Millis,
+        crashed_at: Millis,
         fingerprints: BTreeSet<RequestFingerprint>,
         now: Millis,
     ) {
-        self.seen
-            .retain(|one| now.saturating_sub(one.at) < TOLD_FOR);
-        let same = |one: &&mut Seen| one.backend == backend && one.at == at;
-        match self.seen.iter_mut().find(same) {
+        self.crashes
+            .retain(|crash| now.saturating_sub(crash.crashed_at) < REPORT_DURATION);
+        let is_same_crash =
+            |crash: &&mut PendingCrash| crash.backend == backend && crash.crashed_at == crashed_at;
+        match self.crashes.iter_mut().find(is_same_crash) {
             Some(known) => known.fingerprints.extend(fingerprints),
-            None => self.seen.push_back(Seen {
+            None => self.crashes.push_back(PendingCrash {
                 backend: backend.to_owned(),
-                at,
+                crashed_at,
                 fingerprints,
             }),
         }
-        while self.told() > MOST_TOLD && self.seen.len() > 1 {
-            self.seen.pop_front();
+        while self.fingerprint_count() > MAX_REPORTED_FINGERPRINTS && self.crashes.len() > 1 {
+            self.crashes.pop_front();
         }
     }
 
-    fn told(&self) -> usize {
-        self.seen.iter().map(|one| one.fingerprints.len()).sum()
+    fn fingerprint_count(&self) -> usize {
+        self.crashes
+            .iter()
+            .map(|crash| crash.fingerprints.len())
+            .sum()
     }
 
-    /// A request on the list got a whole answer.
+    /// Records that a quarantined request was completed.
     pub fn record_completed_request(&mut self, fingerprint: RequestFingerprint) {
-        if self.ended_well.len() < MOST_ENDED_WELL {
-            self.ended_well.insert(fingerprint);
+        if self.completed.len() < MAX_COMPLETED_REQUESTS {
+            self.completed.insert(fingerprint);
         }
     }
 
-    /// Another list is in force: what it names no more need not be told.
+    /// Drops completed requests that are no longer quarantined.
     pub fn retain_quarantined(&mut self, list: &QuarantineList) {
-        self.ended_well.retain(|one| list.contains(one));
+        self.completed
+            .retain(|fingerprint| list.contains(fingerprint));
     }
 
-    /// The crashes to be told at `now`.
+    /// Crashes to report at `now`.
     pub fn crash_reports(&self, now: Millis) -> Vec<CrashReport> {
-        let told = self.seen.iter();
-        told.map(|one| CrashReport {
-            backend: one.backend.clone(),
-            age_ms: now.saturating_sub(one.at),
-            fingerprints: one.fingerprints.iter().copied().collect(),
-        })
-        .filter(|one| one.age_ms < TOLD_FOR)
-        .collect()
+        let crashes = self.crashes.iter();
+        crashes
+            .map(|crash| CrashReport {
+                backend: crash.backend.clone(),
+                age_ms: now.saturating_sub(crash.crashed_at),
+                fingerprints: crash.fingerprints.iter().copied().collect(),
+            })
+            .filter(|report| report.age_ms < REPORT_DURATION)
+            .collect()
     }
 
-    /// The whole answers to be told.
+    /// Fingerprints of quarantined requests that were completed.
     pub fn completed_requests(&self) -> Vec<RequestFingerprint> {
-        self.ended_well.iter().copied().collect()
+        self.completed.iter().copied().collect()
     }
 }
--- a/crates/daemon/src/session/relay.rs
+++ b/crates/daemon/src/session/relay.rs
@@ -1,14 +1,14 @@
-//! The relay: serves the sessions of the nodes that chose this voter, and, on
-//! the leader of the control group, keeps the membership table.
+//! The relay: serves the sessions of the nodes that selected this voter and, on the leader of the
+//! control group, keeps the membership table.
 
 use crate::clock::Clock;
 use crate::directory::SharedDirectory;
 use crate::outbox::SharedOutbox;
 use crate::replica::SharedStatus;
-use crate::session::large_updates::{LargeUpdates, UpdateKind};
+use crate::session::large_updates::{LargeUpdateTracker, UpdateKind};
 use crate::session::node_state::BackendListLease;
+use crate::session::relay_backend_list::HeldBackendList;
 use crate::session::relay_limits::AnnouncementBudget;
-use crate::session::relay_listing::HeldListing;
 use silversail_consensus::Millis;
 use silversail_control::batch_owners::BackendsByZone;
 use silversail_control::{
@@ -28,38 +28,38 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Interval of reports to the leader and of views to the relays.
-const TICK: Duration = Duration::from_millis(100);
-/// A session without a heartbeat for so long gets no pushes, in milliseconds.
-pub(super) const SESSION_SILENCE: Millis = 5_000;
+/// Interval at which reports are sent to the leader and view changes to the relays.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Time after the last heartbeat at which a session no longer gets pushed updates, in milliseconds.
+pub(super) const SESSION_TIMEOUT: Millis = 5_000;
 
-/// The evidence of rollouts, shared with the actor that judges by it.
+/// Rollout evidence that nodes report, shared with the actor that decides on rollouts.
 pub type SharedEvidence = Rc<RefCell<EvidenceTable>>;
 
-/// What nodes told of crashes, shared with the actor that commits it.
+/// Crashes that nodes report, shared with the actor that commits them.
 pub type SharedCrashTable = Rc<RefCell<CrashTable>>;
 
-/// What a relay is made of.
+/// Dependencies and settings of a [`RelayActor`].
 pub struct RelaySetup {
-    /// Knows the other relays.
+    /// Addresses of the other relays.
     pub directory: SharedDirectory,
-    /// Where the zones lie.
+    /// Regions of the zones and the round trips between them.
     pub topology: Arc<Topology>,
-    /// The replicated configuration.
+    /// Replicated state of the control group.
     pub machine: Rc<RefCell<ControlState>>,
-    /// Status of the own replica of the control group.
+    /// Status of this node's replica of the control group.
     pub status: SharedStatus,
-    /// Sending.
+    /// Queue of outgoing peer messages.
     pub outbox: SharedOutbox,
-    /// How long a node stays in the view without a heartbeat.
+    /// Time without a heartbeat after which a node is removed from the view, in milliseconds.
     pub node_lease: Millis,
-    /// For how long nodes rely on a read of the list of back ends.
+    /// How long nodes may use the back-end list after it was last read.
     pub backend_list_lease: BackendListLease,
-    /// Takes what nodes tell of rollouts, while the own replica leads.
+    /// Collects the rollout evidence that nodes report while this replica leads.
     pub evidence: SharedEvidence,
-    /// Takes what nodes tell of crashes, while the own replica leads.
+    /// Collects the crashes that nodes report while this replica leads.
     pub crash_table: SharedCrashTable,
-    /// Time.
+    /// Clock of the process.
     pub clock: Clock,
 }
 
@@ -69,52 +69,52 @@
     evacuations: Option<EvacuationRevision>,
     rollouts: Option<RolloutsRevision>,
     quarantine: Option<QuarantineRevision>,
-    pub(super) heard_at: Millis,
-    /// The view that it has, by its last heartbeat or what was sent to it since.
+    pub(super) last_heartbeat_at: Millis,
+    /// View version that the node holds: from its last heartbeat, or sent to it since.
     view: ViewVersion,
-    /// The listing that it has, by the same.
-    pub(super) listing: Option<BackendListVersion>,
-    /// What may still be on its way to it.
-    pub(super) large_updates: LargeUpdates,
+    /// Back-end list version that the node holds: from its last heartbeat, or sent to it since.
+    pub(super) backend_list: Option<BackendListVersion>,
+    /// Large updates that may still be in transit to the node.
+    pub(super) large_updates: LargeUpdateTracker,
 }
 
-/// Serves sessions.
+/// Serves the sessions of nodes and forwards their reports to the leader.
 pub struct RelayActor {
     pub(super) setup: RelaySetup,
     pub(super) sessions: BTreeMap<NodeName, Session>,
     pending_reports: BTreeMap<NodeName, NodeReport>,
     view: ClusterView,
-    views: ViewHistory,
-    pub(super) table: Option<(u64, MembershipTable)>,
-    sent_version: ViewVersion,
+    view_history: ViewHistory,
+    pub(super) membership_table: Option<(u64, MembershipTable)>,
+    sent_view_version: ViewVersion,
     traffic: TrafficUpdateCache,
-    pub(super) listing: Option<HeldListing>,
-    /// The listing's last changes, for nodes and relays that hold older ones.
-    pub(super) listings: BackendListHistory,
-    /// When relays that report another listing were last told.
-    pub(super) told_listing_at: BTreeMap<NodeName, Millis>,
-    /// Back ends of each service that are not leaving, by zone, as the listing tells.
-    pub(super) makers: BTreeMap<String, BackendsByZone>,
+    pub(super) backend_list: Option<HeldBackendList>,
+    /// Recent changes of the back-end list, for nodes and relays that hold an older version.
+    pub(super) backend_list_history: BackendListHistory,
+    /// Time of the last repair sent to each relay that reported another back-end list.
+    pub(super) backend_list_repaired_at: BTreeMap<NodeName, Millis>,
+    /// Number of back ends that are not draining, by service and zone.
+    pub(super) backends_by_zone: BTreeMap<String, BackendsByZone>,
     pub(super) announcements: AnnouncementBudget,
 }
 
 impl RelayActor {
-    /// Starts without sessions.
+    /// Starts without sessions and schedules the first report.
     pub fn init(cx: CX![], setup: RelaySetup) -> Option<Self> {
-        after!(TICK, [cx], tick());
+        after!(REPORT_INTERVAL, [cx], tick());
         Some(Self {
             setup,
             sessions: BTreeMap::new(),
             pending_reports: BTreeMap::new(),
             view: ClusterView::default(),
-            views: ViewHistory::default(),
-            table: None,
-            sent_version: ViewVersion::default(),
+            view_history: ViewHistory::default(),
+            membership_table: None,
+            sent_view_version: ViewVersion::default(),
             traffic: TrafficUpdateCache::default(),
-            listing: None,
-            listings: BackendListHistory::default(),
-            told_listing_at: BTreeMap::new(),
-            makers: BTreeMap::new(),
+            backend_list: None,
+            backend_list_history: BackendListHistory::default(),
+            backend_list_repaired_at: BTreeMap::new(),
+            backends_by_zone: BTreeMap::new(),
             announcements: AnnouncementBudget::default(),
         })
     }
@@ -124,81 +124,93 @@
     }
 
     fn tick(&mut self, cx: CX![]) {
-        after!(TICK, [cx], tick());
+        after!(REPORT_INTERVAL, [cx], tick());
         let now = self.now(cx);
-        self.follow_leadership(now);
+        self.update_membership_table(now);
         let reports = std::mem::take(&mut self.pending_reports);
-        if self.table.is_some() {
-            self.lead(reports, now);
+        if self.membership_table.is_some() {
+            self.process_reports(reports, now);
         } else {
-            self.forward(reports);
+            self.forward_reports(reports);
         }
     }
 
-    /// Keeps a membership table exactly while the own replica leads.
-    fn follow_leadership(&mut self, now: Millis) {
+    /// Creates the membership table when this replica becomes leader and drops it when it steps
+    /// down.
+    fn update_membership_table(&mut self, now: Millis) {
         let (is_leader, term) = {
             let status = self.setup.status.borrow();
             (status.is_leader, status.term)
         };
         if !is_leader {
-            if self.table.take().is_some() {
+            if self.membership_table.take().is_some() {
                 self.setup.evidence.take();
                 self.setup.crash_table.take();
             }
             return;
         }
-        let is_current = self.table.as_ref().is_some_and(|(of, _)| *of == term);
+        let is_current = self
+            .membership_table
+            .as_ref()
+            .is_some_and(|(table_term, _)| *table_term == term);
         if !is_current {
-            let table = MembershipTable::new(term, &self.view, self.setup.node_lease, now);
-            self.table = Some((term, table));
+            let membership_table =
+                MembershipTable::new(term, &self.view, self.setup.node_lease, now);
+            self.membership_table = Some((term, membership_table));
         }
     }
 
-    fn lead(&mut self, reports: BTreeMap<NodeName, NodeReport>, now: Millis) {
-        let Some((_, table)) = &mut self.table else {
+    fn process_reports(&mut self, reports: BTreeMap<NodeName, NodeReport>, now: Millis) {
+        let Some((_, membership_table)) = &mut self.membership_table else {
             return;
         };
         let control = self.setup.machine.borrow();
         let mut evidence = self.setup.evidence.borrow_mut();
-        let mut sightings = self.setup.crash_table.borrow_mut();
+        let mut crash_table = self.setup.crash_table.borrow_mut();
         for report in reports.values() {
-            table.record_report(report, now);
+            membership_table.record_report(report, now);
             evidence.record_report(report, &control.rollouts);
-            sightings.record_report(report, now);
+            crash_table.record_report(report, now);
         }
-        table.expire(now);
-        evidence.update_live_processes(table.processes(), &control.rollouts);
+        membership_table.expire(now);
+        evidence.update_live_processes(membership_table.processes(), &control.rollouts);
         let services = batched_services(&control);
-        drop((control, evidence, sightings));
+        drop((control, evidence, crash_table));
         let directory = self.setup.directory.borrow();
         let replicating = directory.replicating();
-        let own = &directory.own().node;
+        let own_node = &directory.own().node;
         let topology = &self.setup.topology;
-        table.assign_services(&services, &self.makers, &replicating, own, topology, now);
+        membership_table.assign_services(
+            &services,
+            &self.backends_by_zone,
+            &replicating,
+            own_node,
+            topology,
+            now,
+        );
         drop(directory);
-        if table.version() != self.sent_version {
-            let view = table.view();
-            let sent = std::mem::replace(&mut self.sent_version, view.version);
+        if membership_table.version() != self.sent_view_version {
+            let view = membership_table.view();
+            let former_version = std::mem::replace(&mut self.sent_view_version, view.version);
             self.apply_view(view, now);
-            self.send_to_relays(sent);
+            self.send_view_to_relays(former_version);
         }
     }
 
-    /// Tells the relays what changed since the version `sent` before; one that missed it
-    /// shows so with its next reports.
-    fn send_to_relays(&mut self, sent: ViewVersion) {
-        let update = self.views.update_since(sent, &self.view);
+    /// Sends the other relays the view changes since `former_version`. A relay that misses them
+    /// reports an older version and gets them again.
+    fn send_view_to_relays(&mut self, former_version: ViewVersion) {
+        let update = self.view_history.update_since(former_version, &self.view);
         let mut outbox = self.setup.outbox.borrow_mut();
-        let own = outbox.node().clone();
+        let own_node = outbox.node().clone();
         let relays = self.setup.directory.borrow().replicating();
-        for relay in relays.iter().filter(|relay| **relay != own) {
+        for relay in relays.iter().filter(|relay| **relay != own_node) {
             let message = SessionMessage::View(update.clone());
             outbox.send(relay, PeerMessage::Session(message));
         }
     }
 
-    fn forward(&mut self, reports: BTreeMap<NodeName, NodeReport>) {
+    fn forward_reports(&mut self, reports: BTreeMap<NodeName, NodeReport>) {
         let leader = self.setup.status.borrow().leader.clone();
         let Some(leader) = leader.filter(|_| !reports.is_empty()) else {
             return;
@@ -206,7 +218,10 @@
         let message = SessionMessage::Reports {
             reports: reports.into_values().collect(),
             view: self.view.version,
-            backend_list: self.listing.as_ref().map(|held| held.listing.version),
+            backend_list: self
+                .backend_list
+                .as_ref()
+                .map(|held| held.backend_list.version),
         };
         let leader = NodeName(leader);
         self.setup
@@ -215,30 +230,32 @@
             .send(&leader, PeerMessage::Session(message));
     }
 
-    /// A node's heartbeat.
+    /// Handles a node's heartbeat and replies with the updates that the node lacks.
     pub fn heartbeat(&mut self, cx: CX![], from: NodeName, heartbeat: SessionHeartbeat) {
         let now = self.now(cx);
-        self.follow_traffic();
+        self.refresh_traffic();
         let revision = heartbeat.report.revision;
         let former = self.sessions.remove(&from);
-        let mut large_updates = former.map(|one| one.large_updates).unwrap_or_default();
-        large_updates.heard(heartbeat.report.incarnation);
+        let mut large_updates = former
+            .map(|session| session.large_updates)
+            .unwrap_or_default();
+        large_updates.record_incarnation(heartbeat.report.incarnation);
         let session = Session {
             revision,
             traffic: heartbeat.report.traffic,
             evacuations: heartbeat.report.evacuations,
             rollouts: heartbeat.report.rollouts,
             quarantine: heartbeat.report.quarantine,
-            heard_at: now,
+            last_heartbeat_at: now,
             view: heartbeat.view,
-            listing: heartbeat.backend_list,
+            backend_list: heartbeat.backend_list,
             large_updates,
         };
         self.sessions.insert(from.clone(), session);
         let mut reply = self.reply(&heartbeat, now);
-        self.hold_back_repeats(&from, &mut reply, now);
+        self.drop_updates_in_transit(&from, &mut reply, now);
         if let (Some(update), Some(session)) = (&reply.backend_list, self.sessions.get_mut(&from)) {
-            session.listing = Some(update.version);
+            session.backend_list = Some(update.version);
         }
         if let Some(update) = &reply.update {
             log::debug!(event = "session_update", to = from.as_str(); "{update:?}");
@@ -265,32 +282,33 @@
         self.setup.outbox.borrow_mut().send(&from, message);
     }
 
-    /// Takes large updates out of a reply that may still be on their way.
-    fn hold_back_repeats(&mut self, node: &NodeName, reply: &mut SessionReply, now: Millis) {
+    /// Removes large updates from a reply that may still be in transit to the node.
+    fn drop_updates_in_transit(&mut self, node: &NodeName, reply: &mut SessionReply, now: Millis) {
         let Some(session) = self.sessions.get_mut(node) else {
             return;
         };
-        let large = &mut session.large_updates;
-        let mut is_due = |kind, bytes| large.may_send(kind, bytes, now);
-        let listing = reply.backend_list.take();
-        reply.backend_list = listing.filter(|one| is_due(UpdateKind::Listing, one.size()));
+        let large_updates = &mut session.large_updates;
+        let mut is_allowed = |kind, bytes| large_updates.try_start_send(kind, bytes, now);
+        let backend_list = reply.backend_list.take();
+        reply.backend_list =
+            backend_list.filter(|update| is_allowed(UpdateKind::BackendList, update.size()));
         let view = reply.view.take();
-        reply.view = view.filter(|one| is_due(UpdateKind::View, one.size()));
+        reply.view = view.filter(|update| is_allowed(UpdateKind::View, update.size()));
     }
 
     fn reply(&mut self, heartbeat: &SessionHeartbeat, now: Millis) -> SessionReply {
-        let listing = self.listings.since(heartbeat.backend_list);
+        let backend_list = self.backend_list_history.since(heartbeat.backend_list);
         let wants_view = self.view.version > heartbeat.view;
         let control = self.setup.machine.borrow();
         let machine = &control.configuration;
         let age = self.setup.status.borrow().freshness.age(now);
-        // Without a quorum's confirmation the own state may be an old one: a
-        // node must not start from it.
+        // Without a quorum's confirmation this replica may be stale, and a node must not start from
+        // stale state.
         let update = match age {
             Some(_) => machine.update_since(heartbeat.report.revision),
             None => None,
         };
-        let newer = age.and_then(|_| self.traffic.update_since(heartbeat.report.traffic));
+        let traffic = age.and_then(|_| self.traffic.update_since(heartbeat.report.traffic));
         let evacuations = &control.evacuations;
         let lacks_evacuations = heartbeat.report.evacuations < Some(evacuations.revision());
         let rollouts = &control.rollouts;
@@ -303,37 +321,42 @@
             age,
             revision: machine.revision(),
             update,
-            traffic_version: control.published.as_ref().map(|one| one.version()),
-            traffic: newer,
+            traffic_version: control
+                .published
+                .as_ref()
+                .map(|published| published.version()),
+            traffic,
             evacuations_revision: evacuations.revision(),
             evacuations: (age.is_some() && lacks_evacuations).then(|| evacuations.clone()),
             rollouts_revision: rollouts.revision(),
             rollouts: (age.is_some() && lacks_rollouts).then(|| rollouts.clone()),
             quarantine_revision: quarantine.revision,
             quarantine: (age.is_some() && lacks_quarantine).then(|| quarantine.clone()),
-            view: wants_view.then(|| Box::new(self.views.update_since(heartbeat.view, &self.view))),
-            backend_list_age: self.listing.as_ref().map(|held| {
+            view: wants_view
+                .then(|| Box::new(self.view_history.update_since(heartbeat.view, &self.view))),
+            backend_list_age: self.backend_list.as_ref().map(|held| {
                 let age = now.saturating_sub(held.confirmed_at);
-                (held.listing.version, age)
+                (held.backend_list.version, age)
             }),
-            backend_list: listing,
+            backend_list,
         }
     }
 
-    /// Heartbeats that another relay passes on, with the view and the listing that it has.
+    /// Handles node reports that another relay forwards, with the view and back-end list versions
+    /// that the relay holds.
     pub fn reports(
         &mut self,
         cx: CX![],
         from: NodeName,
         reports: Vec<NodeReport>,
         view: ViewVersion,
-        listing: Option<BackendListVersion>,
+        backend_list: Option<BackendListVersion>,
     ) {
         let now = self.now(cx);
-        self.repair_listing(&from, listing, now);
-        if self.table.is_some() && view < self.view.version {
-            // The relay was away when the view changed, or the message was lost.
-            let message = SessionMessage::View(self.views.update_since(view, &self.view));
+        self.repair_backend_list(&from, backend_list, now);
+        if self.membership_table.is_some() && view < self.view.version {
+            // The relay missed the view change.
+            let message = SessionMessage::View(self.view_history.update_since(view, &self.view));
             self.setup
                 .outbox
                 .borrow_mut()
@@ -344,37 +367,37 @@
         }
     }
 
-    /// The leader's view.
+    /// Applies a view update from the leader.
     pub fn view_update(&mut self, cx: CX![], update: ViewUpdate) {
         let now = self.now(cx);
         match update.apply_to(&self.view) {
             Ok(Some(view)) => self.apply_view(view, now),
             Ok(None) => {}
-            // The next reports tell the leader what is held here.
+            // The next reports carry the version held here, so that the leader repairs it.
             Err(gap) => log::info!(event = "view_update_refused"; "{gap}"),
         }
     }
 
-    /// Takes a newer view. Nodes ask for it with their heartbeats; other owners are told
-    /// at once, as orders wait for them.
+    /// Applies a newer view. Nodes get it in the reply to their next heartbeat; changed shard
+    /// owners are pushed at once because orders wait for them.
     fn apply_view(&mut self, view: ClusterView, now: Millis) {
-        let has_other_owners = view.batch_owners != self.view.batch_owners;
-        self.views.record_change(&self.view, &view);
+        let has_owner_changes = view.batch_owners != self.view.batch_owners;
+        self.view_history.record_change(&self.view, &view);
         self.view = view;
-        if has_other_owners {
+        if has_owner_changes {
             self.push_view(now);
         }
     }
 
-    /// Sends the view to all nodes at once. Each change is sent to a node once; one that
-    /// missed it shows so with its next heartbeat.
+    /// Pushes the view to all nodes. Each change is sent to a node once; a node that misses it gets
+    /// it with its next heartbeat.
     fn push_view(&mut self, now: Millis) {
         let mut outbox = self.setup.outbox.borrow_mut();
         for (node, session) in &mut self.sessions {
-            if now.saturating_sub(session.heard_at) <= SESSION_SILENCE {
-                let update = self.views.update_since(session.view, &self.view);
-                let large = &mut session.large_updates;
-                if !large.may_send(UpdateKind::View, update.size(), now) {
+            if now.saturating_sub(session.last_heartbeat_at) <= SESSION_TIMEOUT {
+                let update = self.view_history.update_since(session.view, &self.view);
+                let large_updates = &mut session.large_updates;
+                if !large_updates.try_start_send(UpdateKind::View, update.size(), now) {
                     continue;
                 }
                 session.view = self.view.version;
@@ -384,27 +407,27 @@
         }
     }
 
-    pub(super) fn tell_relays(&self, message: SessionMessage) {
+    pub(super) fn send_to_other_relays(&self, message: SessionMessage) {
         let mut outbox = self.setup.outbox.borrow_mut();
-        let own = outbox.node().clone();
+        let own_node = outbox.node().clone();
         let relays = self.setup.directory.borrow().replicating();
-        for relay in relays.iter().filter(|relay| **relay != own) {
+        for relay in relays.iter().filter(|relay| **relay != own_node) {
             outbox.send(relay, PeerMessage::Session(message.clone()));
         }
     }
 
-    fn follow_traffic(&mut self) {
+    fn refresh_traffic(&mut self) {
         let control = self.setup.machine.borrow();
         self.traffic.set_latest(control.published.as_ref());
     }
 
-    /// The replicated configuration may have changed: nodes get it at once.
+    /// Pushes changes of the replicated state to nodes at once.
     pub fn configuration_applied(&mut self, cx: CX![]) {
         let now = self.now(cx);
         if self.setup.status.borrow().freshness.as_of.is_none() {
             return;
         }
-        self.follow_traffic();
+        self.refresh_traffic();
         let control = self.setup.machine.borrow();
         let machine = &control.configuration;
         let current = machine.revision();
@@ -413,7 +436,7 @@
         let quarantine = control.quarantine.list();
         let mut outbox = self.setup.outbox.borrow_mut();
         for (node, session) in &mut self.sessions {
-            if now.saturating_sub(session.heard_at) > SESSION_SILENCE {
+            if now.saturating_sub(session.last_heartbeat_at) > SESSION_TIMEOUT {
                 continue;
             }
             if session.evacuations < Some(evacuations.revision()) {
@@ -448,7 +471,7 @@
     }
 }
 
-/// Names of the services that are batched, by the newest traffic configuration.
+/// Names of the batched services in the newest traffic configuration.
 fn batched_services(control: &ControlState) -> Vec<String> {
     let Some(published) = &control.published else {
         return Vec::new();
--- a/crates/daemon/src/session/relay_limits.rs
+++ b/crates/daemon/src/session/relay_limits.rs
@@ -1,4 +1,4 @@
-//! The relay's part in limits of back ends: its nodes are told of those that began.
+//! Distribution of rate-limit announcements from a relay to its nodes.
 
 use crate::session::RelayActor;
 use silversail_consensus::Millis;
@@ -6,36 +6,36 @@
 use silversail_peer::PeerMessage;
 use stakker::CX;
 
-/// Limits that a relay tells its nodes of in a second at most. Of those that it drops nodes find out
-/// by a request of their own.
-const MOST_A_SECOND: u32 = 256;
-const SECOND: Millis = 1_000;
+/// Announcements that a relay sends in a window. A node that misses one learns of the limit with
+/// its own permit request.
+const MAX_ANNOUNCEMENTS_PER_WINDOW: u32 = 256;
+const WINDOW: Millis = 1_000;
 
-/// How many limits were told of in the present second.
+/// Counts the announcements sent in the current window.
 #[derive(Default)]
 pub(super) struct AnnouncementBudget {
-    since: Millis,
-    told: u32,
+    window_started_at: Millis,
+    sent: u32,
 }
 
 impl AnnouncementBudget {
-    fn take(&mut self, now: Millis) -> bool {
-        if now.saturating_sub(self.since) >= SECOND {
+    fn try_take(&mut self, now: Millis) -> bool {
+        if now.saturating_sub(self.window_started_at) >= WINDOW {
             *self = Self {
-                since: now,
-                told: 0,
+                window_started_at: now,
+                sent: 0,
             };
         }
-        self.told += 1;
-        self.told <= MOST_A_SECOND
+        self.sent += 1;
+        self.sent <= MAX_ANNOUNCEMENTS_PER_WINDOW
     }
 }
 
 impl RelayActor {
-    /// A back end has a limit: the nodes of this relay are told.
+    /// Announces the rate limit of a back end to the nodes of this relay.
     pub fn announce_limit(&mut self, cx: CX![], announcement: LimitAnnouncement) {
         let now = self.now(cx);
-        if !self.announcements.take(now) {
+        if !self.announcements.try_take(now) {
             return;
         }
         let mut outbox = self.setup.outbox.borrow_mut();
--- a/crates/daemon/src/session/session_actor.rs
+++ b/crates/daemon/src/session/session_actor.rs
@@ -1,11 +1,12 @@
-//! The session of a node with its relay.
+//! The session of a node with its relay: sends heartbeats and applies the updates in replies and
+//! pushes.
 
 use crate::clock::Clock;
 use crate::directory::SharedDirectory;
 use crate::metrics::Metrics;
 use crate::outbox::SharedOutbox;
 use crate::session::node_state::SharedNodeState;
-use crate::session::relay_choice::RelayChoice;
+use crate::session::relay_selector::RelaySelector;
 use silversail_backend::platform::ListedState;
 use silversail_backend::MachineList;
 use silversail_consensus::Millis;
@@ -22,76 +23,76 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a session is made of.
+/// Dependencies and settings of a [`SessionActor`].
 pub struct SessionSetup {
-    /// Knows the nodes that may be the relay.
+    /// Directory of the nodes that may act as relay.
     pub directory: SharedDirectory,
-    /// Zone of this node.
+    /// Zone of this node, as reported in heartbeats.
     pub zone: String,
-    /// Address that callers are told.
+    /// Address at which callers reach this node.
     pub caller_address: String,
-    /// Share of a core that the process may use, in hundredths.
+    /// Processor limit of the process, in hundredths of a core.
     pub processor_percent: u16,
-    /// Between heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat: Duration,
-    /// How old the configuration may be before the node refuses requests.
+    /// Age of the configuration at which the node rejects requests, in milliseconds.
     pub freshness_lease: Millis,
-    /// What the node has in force.
+    /// Replicated state that the node has applied.
     pub state: SharedNodeState,
-    /// Sending.
+    /// Queue of outgoing peer messages.
     pub outbox: SharedOutbox,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
-    /// Told when configuration, view or machine states changed.
+    /// Notified when the configuration, the view or machine states change.
     pub on_change: Fwd<()>,
-    /// Time.
+    /// Clock of the process.
     pub clock: Clock,
 }
 
-/// Age of a relay's own state above which another relay is tried, in
-/// milliseconds: several heartbeats of the leader are missing.
-const STALE_RELAY: Millis = 900;
-/// Heartbeats without an answer after which another relay is tried.
-const SILENT_HEARTBEATS: u32 = 2;
-/// Doublings of it, with each relay that gave no answer, while heartbeats are sent each 100 ms:
-/// after a start of all nodes relays answer late, and each that is asked sends all that there is.
-const MOST_PATIENCE_DOUBLINGS: u32 = 2;
+/// Age of a relay's state above which another relay is tried, in milliseconds: several heartbeats
+/// of the leader.
+const MAX_RELAY_STATE_AGE: Millis = 900;
+/// Consecutive unanswered heartbeats after which another relay is tried.
+const MAX_UNANSWERED_HEARTBEATS: u32 = 2;
+/// Maximum doublings of that number, one for each unresponsive relay, while a starting node sends
+/// heartbeats at a short interval: relays answer late when all nodes start at once.
+const MAX_UNANSWERED_DOUBLINGS: u32 = 2;
 
-/// Time in which the gateway obeys what was pushed of rollouts; then the leader is told, which
-/// waits for it with the next step.
-const TELLS_OBEYED_AFTER: Duration = Duration::from_millis(10);
+/// Delay between applying pushed rollouts and the heartbeat that reports them: the leader waits for
+/// that report, and the gateway applies them within this time.
+const ROLLOUT_REPORT_DELAY: Duration = Duration::from_millis(10);
 
-/// Time after which a crash is told to all relays a second time: an election takes about as long.
-const TELLS_CRASH_AGAIN_AFTER: Duration = Duration::from_millis(1_000);
+/// Delay before a crash is reported to all relays a second time: about the duration of an election.
+const CRASH_REPORT_REPEAT_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Between the heartbeats of a node that does not serve yet, after its start.
-const EAGER_HEARTBEAT: Duration = Duration::from_millis(100);
-/// How long after its start a node sends such heartbeats at the longest, in milliseconds.
-const EAGER_FOR: Millis = 5_000;
+/// Interval between heartbeats of a starting node that does not serve yet.
+const STARTUP_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
+/// Time after its start for which a node sends heartbeats at the short interval, in milliseconds.
+const STARTUP_HEARTBEAT_PERIOD: Millis = 5_000;
 
-/// Keeps a node in step.
+/// Keeps a node's state synchronized with the control group through a relay.
 pub struct SessionActor {
     setup: SessionSetup,
-    relay: RelayChoice,
+    relay_selector: RelaySelector,
     unanswered: u32,
-    /// Relays that were left without an answer since the last one.
-    silent_relays: u32,
-    /// Replies of stale relays since the last good one; after the first, the
-    /// next relay is asked with the next heartbeat only.
+    /// Consecutive relays that did not answer.
+    unresponsive_relays: u32,
+    /// Whether the last reply came from a stale relay (0 or 1); after the first, the next relay is
+    /// contacted only with the next regular heartbeat.
     stale_replies: u32,
     started_at: Millis,
 }
 
 impl SessionActor {
-    /// Starts with a heartbeat.
+    /// Starts the session and schedules an immediate heartbeat.
     pub fn init(cx: CX![], setup: SessionSetup) -> Option<Self> {
         let started_at = setup.clock.millis(cx.now());
         after!(Duration::ZERO, [cx], tick());
         Some(Self {
             setup,
-            relay: RelayChoice::default(),
+            relay_selector: RelaySelector::default(),
             unanswered: 0,
-            silent_relays: 0,
+            unresponsive_relays: 0,
             stale_replies: 0,
             started_at,
         })
@@ -99,35 +100,36 @@
 
     fn tick(&mut self, cx: CX![]) {
         let now = self.setup.clock.millis(cx.now());
-        let is_eager = now.saturating_sub(self.started_at) < EAGER_FOR && !self.is_in_step();
-        let interval = match is_eager {
-            true => EAGER_HEARTBEAT.min(self.setup.heartbeat),
+        let is_starting = now.saturating_sub(self.started_at) < STARTUP_HEARTBEAT_PERIOD
+            && !self.is_synchronized();
+        let interval = match is_starting {
+            true => STARTUP_HEARTBEAT_INTERVAL.min(self.setup.heartbeat),
             false => self.setup.heartbeat,
         };
         after!(interval, [cx], tick());
         if self.setup.state.borrow_mut().expire_retained_nodes(now) {
             fwd!([self.setup.on_change], ());
         }
-        if self.unanswered >= self.patience(is_eager) {
-            self.silent_relays += 1;
-            self.leave_relay(now);
+        if self.unanswered >= self.unanswered_limit(is_starting) {
+            self.unresponsive_relays += 1;
+            self.switch_relay(now);
         }
         self.send_heartbeat(cx);
-        self.ask_nearer_relay(now);
+        self.probe_nearer_relay(now);
     }
 
-    /// Heartbeats that the present relay may leave without an answer.
-    fn patience(&self, is_eager: bool) -> u32 {
-        let doublings = match is_eager {
-            true => self.silent_relays.min(MOST_PATIENCE_DOUBLINGS),
+    /// Consecutive heartbeats that the current relay may leave unanswered.
+    fn unanswered_limit(&self, is_starting: bool) -> u32 {
+        let doublings = match is_starting {
+            true => self.unresponsive_relays.min(MAX_UNANSWERED_DOUBLINGS),
             false => 0,
         };
-        SILENT_HEARTBEATS << doublings
+        MAX_UNANSWERED_HEARTBEATS << doublings
     }
 
-    /// Whether this node has a configuration, is in the view as it is now, and knows the
-    /// owners of the services that are batched.
-    fn is_in_step(&self) -> bool {
+    /// Whether this node has a configuration, is in the current view, and knows the owners of the
+    /// batched services.
+    fn is_synchronized(&self) -> bool {
         let outbox = self.setup.outbox.borrow();
         let state = self.setup.state.borrow();
         let has_configuration = state.configuration.revision().is_some();
@@ -135,29 +137,29 @@
         has_configuration && is_in_view && state.knows_batch_owners()
     }
 
-    /// Goes on with the next relay. True when that is another one.
-    fn leave_relay(&mut self, now: Millis) -> bool {
+    /// Switches to the next relay; true if that is a different one.
+    fn switch_relay(&mut self, now: Millis) -> bool {
         let relays = self.setup.directory.borrow().relays();
-        let former = self.relay.present(&relays);
-        self.relay.leave(&relays, now);
+        let former = self.relay_selector.current(&relays);
+        self.relay_selector.switch_to_next(&relays, now);
         self.unanswered = 0;
-        self.relay.present(&relays) != former
+        self.relay_selector.current(&relays) != former
     }
 
-    /// Sends a heartbeat also to a relay that is nearer than the present one, now and then.
-    fn ask_nearer_relay(&mut self, now: Millis) {
+    /// Sends a heartbeat to a nearer relay when a probe is due.
+    fn probe_nearer_relay(&mut self, now: Millis) {
         let relays = self.setup.directory.borrow().relays();
-        if let Some(nearer) = self.relay.nearer_to_ask(&relays, now) {
+        if let Some(nearer) = self.relay_selector.nearer_to_probe(&relays, now) {
             let heartbeat = self.heartbeat(now);
             let mut outbox = self.setup.outbox.borrow_mut();
             outbox.send(&nearer, heartbeat);
         }
     }
 
-    /// Sends a heartbeat at once, outside the interval.
+    /// Sends a heartbeat to the current relay immediately.
     pub fn send_heartbeat(&mut self, cx: CX![]) {
         let relays = self.setup.directory.borrow().relays();
-        let Some(relay) = self.relay.present(&relays) else {
+        let Some(relay) = self.relay_selector.current(&relays) else {
             return;
         };
         self.unanswered += 1;
@@ -166,15 +168,18 @@
         outbox.send(&relay, heartbeat);
     }
 
-    /// This process saw a back end end: a heartbeat tells all relays at once, and once more, as
-    /// the present relay, the leader or the message may be lost
-    /// (`simulation/tests/quarantine.rs`).
+    /// Reports a back-end crash to all relays at once, and again after a delay, because the current
+    /// relay, the leader or the message may be lost.
     pub fn report_crash(&mut self, cx: CX![]) {
-        self.send_to_all_relays(cx);
-        after!(TELLS_CRASH_AGAIN_AFTER, [cx], send_to_all_relays());
+        self.send_heartbeat_to_all_relays(cx);
+        after!(
+            CRASH_REPORT_REPEAT_DELAY,
+            [cx],
+            send_heartbeat_to_all_relays()
+        );
     }
 
-    fn send_to_all_relays(&mut self, cx: CX![]) {
+    fn send_heartbeat_to_all_relays(&mut self, cx: CX![]) {
         let heartbeat = self.heartbeat(self.setup.clock.millis(cx.now()));
         let relays = self.setup.directory.borrow().replicating();
         let mut outbox = self.setup.outbox.borrow_mut();
@@ -208,62 +213,65 @@
                     machines: state.machines_unknown_to_view(),
                 },
                 view: state.received_view.version,
-                backend_list: state.backend_list.as_ref().map(|listing| listing.version),
+                backend_list: state
+                    .backend_list
+                    .as_ref()
+                    .map(|backend_list| backend_list.version),
             }
         };
         PeerMessage::Session(SessionMessage::Heartbeat(heartbeat))
     }
 
-    /// A relay's answer.
+    /// Handles a relay's reply to a heartbeat.
     pub fn handle_reply(&mut self, cx: CX![], from: NodeName, reply: SessionReply) {
         if reply.incarnation != self.setup.outbox.borrow().incarnation() {
-            // To a former process of this node, whose clock says nothing here.
+            // The reply is for a former process of this node, whose clock does not apply here.
             return;
         }
-        // Also a relay that is cut off from the leader passes on the list of back ends.
+        // A relay that is disconnected from the leader still distributes the back-end list.
         let now = self.setup.clock.millis(cx.now());
-        let mut changed = self.apply_listing(&reply, now);
-        let Some(age) = reply.age.filter(|age| *age <= STALE_RELAY) else {
-            if self.relay.is_present(&from) {
-                self.relay_is_stale(cx, reply.age);
+        let mut changed = self.apply_backend_list_reply(&reply, now);
+        let Some(age) = reply.age.filter(|age| *age <= MAX_RELAY_STATE_AGE) else {
+            if self.relay_selector.is_current(&from) {
+                self.handle_stale_relay(cx, reply.age);
             }
             if changed {
                 fwd!([self.setup.on_change], ());
             }
             return;
         };
-        self.relay.answered(&from);
-        if self.relay.is_present(&from) {
+        self.relay_selector.record_current_reply(&from);
+        if self.relay_selector.is_current(&from) {
             self.stale_replies = 0;
             self.unanswered = 0;
-            self.silent_relays = 0;
+            self.unresponsive_relays = 0;
         }
-        // The relay's state includes all that was committed before this time.
+        // The relay's state includes everything committed before this time.
         let as_of = reply.echo.saturating_sub(age);
         let has_started = self.setup.state.borrow().configuration.revision().is_some();
         if !has_started && as_of < self.started_at {
-            // A relay that lags a little may hold an older revision than the
-            // one that was in force here before the restart.
+            // A lagging relay may hold an older revision than the one applied here before the
+            // restart.
             if changed {
                 fwd!([self.setup.on_change], ());
             }
             return;
         }
         if let Some(update) = reply.update {
-            changed |= self.apply(update);
+            changed |= self.apply_configuration(update);
         }
-        // Before the configuration: a process that has just started must not send to a zone
-        // that is evacuated.
+        // Applied before the configuration: a starting process must not send to an evacuated zone.
         if let Some(evacuations) = reply.evacuations {
             let mut state = self.setup.state.borrow_mut();
             changed |= state.apply_evacuations(evacuations);
         }
-        // Nor to a version that was found bad.
+        // Also before the configuration: a starting process must not send to a version that was
+        // rolled back.
         if let Some(rollouts) = reply.rollouts {
             let mut state = self.setup.state.borrow_mut();
             changed |= state.apply_rollouts(rollouts);
         }
-        // Nor a request that crashes back ends.
+        // Also before the configuration: a starting process must not send quarantined requests.
         if let Some(list) = reply.quarantine {
             let mut state = self.setup.state.borrow_mut();
             changed |= state.apply_quarantine_list(list);
@@ -293,27 +301,29 @@
         }
     }
 
-    /// A relay that is cut off from the leader itself is of no use: another one is tried.
-    fn relay_is_stale(&mut self, cx: CX![], age: Option<Millis>) {
+    /// Tries another relay after a reply from one that is disconnected from the leader.
+    fn handle_stale_relay(&mut self, cx: CX![], age: Option<Millis>) {
         if self.stale_replies == 0 {
-            // Once for a series: while nobody leads, every relay is stale.
-            log::info!(event = "relay_stale", age_ms = age.unwrap_or_default(); "another relay is tried");
+            // Logged once: without a leader, every relay is stale.
+            log::info!(event = "relay_stale", age_ms = age.unwrap_or_default(); "relay state is stale; trying another relay");
         }
         let now = self.setup.clock.millis(cx.now());
-        let has_left = self.leave_relay(now);
+        let has_switched = self.switch_relay(now);
         let is_first_stale = std::mem::replace(&mut self.stale_replies, 1) == 0;
-        if is_first_stale && has_left {
+        if is_first_stale && has_switched {
             self.send_heartbeat(cx);
         }
     }
 
-    /// Takes the list of back ends, and how old it is, from a relay's answer. True when
-    /// other entries are held now.
-    fn apply_listing(&self, reply: &SessionReply, now: Millis) -> bool {
+    /// Applies the back-end list and its age from a relay's reply; true if the entries changed.
+    fn apply_backend_list_reply(&self, reply: &SessionReply, now: Millis) -> bool {
         let mut state = self.setup.state.borrow_mut();
         let update = reply.backend_list.as_ref();
         let changed = update.is_some_and(|update| state.apply_backend_list_update(update, now));
-        let held = state.backend_list.as_ref().map(|listing| listing.version);
+        let held = state
+            .backend_list
+            .as_ref()
+            .map(|backend_list| backend_list.version);
         if let Some((version, age)) = reply.backend_list_age {
             if held == Some(version) {
                 let read_at = reply.echo.saturating_sub(age);
@@ -324,17 +334,17 @@
         changed
     }
 
-    /// A change that the relay pushed.
+    /// Applies a configuration update that the relay pushed.
     pub fn push_configuration(&mut self, _: CX![], update: ConfigurationUpdate) {
-        // Only an answer to an own heartbeat proves that what it brings is not
-        // older than this process; so the first update is never a push.
+        // Only a reply to a heartbeat of this process proves that the update is not older than the
+        // process, so the first update is never accepted from a push.
         let has_started = self.setup.state.borrow().configuration.revision().is_some();
-        if has_started && self.apply(update) {
+        if has_started && self.apply_configuration(update) {
             fwd!([self.setup.on_change], ());
         }
     }
 
-    /// A traffic configuration that the relay pushed.
+    /// Applies a traffic configuration that the relay pushed.
     pub fn push_traffic(&mut self, _: CX![], traffic: TrafficUpdate) {
         let has_started = self.setup.state.borrow().configuration.revision().is_some();
         if has_started && self.apply_traffic(traffic) {
@@ -342,7 +352,7 @@
         }
     }
 
-    /// Evacuated zones that the relay pushed.
+    /// Applies evacuated zones that the relay pushed.
     pub fn push_evacuations(&mut self, _: CX![], evacuations: SharedEvacuations) {
         let changed = {
             let mut state = self.setup.state.borrow_mut();
@@ -354,7 +364,7 @@
         }
     }
 
-    /// Rollouts that the relay pushed.
+    /// Applies rollouts that the relay pushed, and reports them to the leader.
     pub fn push_rollouts(&mut self, cx: CX![], rollouts: SharedRollouts) {
         let changed = {
             let mut state = self.setup.state.borrow_mut();
@@ -363,11 +373,11 @@
         };
         if changed {
             fwd!([self.setup.on_change], ());
-            after!(TELLS_OBEYED_AFTER, [cx], send_heartbeat());
+            after!(ROLLOUT_REPORT_DELAY, [cx], send_heartbeat());
         }
     }
 
-    /// A list of refused requests that the relay pushed.
+    /// Applies a quarantine list that the relay pushed.
     pub fn push_quarantine(&mut self, _: CX![], list: SharedQuarantineList) {
         let changed = {
             let mut state = self.setup.state.borrow_mut();
@@ -379,7 +389,7 @@
         }
     }
 
-    /// A view that the relay pushed.
+    /// Applies a view update that the relay pushed.
     pub fn push_view(&mut self, cx: CX![], update: ViewUpdate) {
         let now = self.setup.clock.millis(cx.now());
         if self
@@ -392,7 +402,7 @@
         }
     }
 
-    /// A change of the list of back ends that the relay pushed.
+    /// Applies a back-end list update that the relay pushed.
     pub fn push_backend_list(&mut self, cx: CX![], update: BackendListUpdate) {
         let now = self.setup.clock.millis(cx.now());
         if self
@@ -414,7 +424,7 @@
         let traffic = match update.apply(state.traffic.as_ref()) {
             Ok(traffic) => traffic,
             Err(error) => {
-                // The next heartbeat tells the relay what is held here.
+                // The next heartbeat carries the version held here, so that the relay repairs it.
                 log::info!(event = "traffic_update_refused", version = update.version(), held = held.unwrap_or_default(); "{error}");
                 return false;
             }
@@ -424,7 +434,7 @@
         true
     }
 
-    fn apply(&mut self, update: ConfigurationUpdate) -> bool {
+    fn apply_configuration(&mut self, update: ConfigurationUpdate) -> bool {
         let mut state = self.setup.state.borrow_mut();
         let applied = state.configuration.apply(update);
         if applied {
@@ -435,7 +445,7 @@
         applied
     }
 
-    /// The platform's list as this node sees it.
+    /// Merges the platform's machine list into the node state.
     pub fn machine_list(&mut self, cx: CX![], list: MachineList) {
         let mut changed = false;
         {
@@ -449,13 +459,13 @@
             }
         }
         if changed {
-            // Others' lists may lag: they hear of it at once.
+            // Other nodes may have an older list, so the change is reported at once.
             self.send_heartbeat(cx);
             fwd!([self.setup.on_change], ());
         }
     }
 
-    /// Marks the process as stopping and tells so.
+    /// Marks the process as stopping and reports that at once.
     pub fn stop(&mut self, cx: CX![]) {
         self.setup.state.borrow_mut().stopping = true;
         self.send_heartbeat(cx);
--- a/crates/daemon/tests/large_updates.rs
+++ b/crates/daemon/tests/large_updates.rs
@@ -1,37 +1,37 @@
-//! Updates that may still be on their way to a node.
+//! Large updates are not repeated while they may be in transit to a node.
 
-use silversail_daemon::session::large_updates::{LargeUpdates, UpdateKind};
+use silversail_daemon::session::large_updates::{LargeUpdateTracker, UpdateKind};
 
-const LARGE: usize = 100_000;
-const SMALL: usize = 1_000;
+const LARGE_BYTES: usize = 100_000;
+const SMALL_BYTES: usize = 1_000;
 
 #[test]
-fn a_large_update_is_sent_again_only_when_it_must_have_arrived() {
-    let mut updates = LargeUpdates::default();
-    updates.heard(7);
-    assert!(updates.may_send(UpdateKind::Listing, LARGE, 1_000));
-    assert!(!updates.may_send(UpdateKind::Listing, LARGE, 1_100));
-    assert!(!updates.may_send(UpdateKind::Listing, LARGE, 2_400));
-    assert!(updates.may_send(UpdateKind::Listing, LARGE, 2_500));
+fn a_large_update_is_repeated_only_after_the_transfer_window() {
+    let mut tracker = LargeUpdateTracker::default();
+    tracker.record_incarnation(7);
+    assert!(tracker.try_start_send(UpdateKind::BackendList, LARGE_BYTES, 1_000));
+    assert!(!tracker.try_start_send(UpdateKind::BackendList, LARGE_BYTES, 1_100));
+    assert!(!tracker.try_start_send(UpdateKind::BackendList, LARGE_BYTES, 2_400));
+    assert!(tracker.try_start_send(UpdateKind::BackendList, LARGE_BYTES, 2_500));
 }
 
 #[test]
-fn small_updates_and_those_of_another_kind_do_not_wait_for_it() {
-    let mut updates = LargeUpdates::default();
-    updates.heard(7);
-    assert!(updates.may_send(UpdateKind::Listing, LARGE, 1_000));
-    assert!(updates.may_send(UpdateKind::Listing, SMALL, 1_001));
-    assert!(updates.may_send(UpdateKind::View, LARGE, 1_002));
+fn small_updates_and_other_kinds_are_sent_at_once() {
+    let mut tracker = LargeUpdateTracker::default();
+    tracker.record_incarnation(7);
+    assert!(tracker.try_start_send(UpdateKind::BackendList, LARGE_BYTES, 1_000));
+    assert!(tracker.try_start_send(UpdateKind::BackendList, SMALL_BYTES, 1_001));
+    assert!(tracker.try_start_send(UpdateKind::View, LARGE_BYTES, 1_002));
 }
 
-/// What was on its way to the process before is lost with it.
+/// Updates in transit to the former process are lost.
 #[test]
-fn a_new_process_gets_it_at_once() {
-    let mut updates = LargeUpdates::default();
-    updates.heard(7);
-    assert!(updates.may_send(UpdateKind::View, LARGE, 1_000));
-    updates.heard(8);
-    assert!(updates.may_send(UpdateKind::View, LARGE, 1_100));
-    updates.heard(8);
-    assert!(!updates.may_send(UpdateKind::View, LARGE, 1_200));
+fn a_new_process_gets_a_large_update_at_once() {
+    let mut tracker = LargeUpdateTracker::default();
+    tracker.record_incarnation(7);
+    assert!(tracker.try_start_send(UpdateKind::View, LARGE_BYTES, 1_000));
+    tracker.record_incarnation(8);
+    assert!(tracker.try_start_send(UpdateKind::View, LARGE_BYTES, 1_100));
+    tracker.record_incarnation(8);
+    assert!(!tracker.try_start_send(UpdateKind::View, LARGE_BYTES, 1_200));
 }
--- a/crates/daemon/tests/relay_choice.rs
+++ b/crates/daemon/tests/relay_choice.rs
@@ -1,15 +1,15 @@
-//! Which relay a node keeps its session with.
+//! Selection of the relay with which a node keeps its session.
 
 use rstest::rstest;
 use silversail_daemon::directory::{Directory, Relay};
-use silversail_daemon::session::relay_choice::RelayChoice;
+use silversail_daemon::session::relay_selector::RelaySelector;
 use silversail_model::topology::{RoundTrips, Topology};
 use silversail_model::NodeName;
 use silversail_peer::Contact;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Zones with their regions.
+/// Zones and their regions.
 const ZONES: [(&str, &str); 6] = [
     ("east-1", "east"),
     ("east-2", "east"),
@@ -35,8 +35,8 @@
     }
 }
 
-/// The directory of a node of `east-1` that is one of `nodes_of_zone`, where each of
-/// `voting_zones` has a node that replicates the state.
+/// The directory of node `own` in zone `east-1`, which has `nodes_of_zone` nodes; each of
+/// `voting_zones` has one node that replicates the state.
 fn directory(own: usize, nodes_of_zone: usize, voting_zones: &[&str]) -> Directory {
     let names = (0..nodes_of_zone).map(|number| format!("node-{number:02}"));
     let nodes = names.map(|name| contact(&name, "east-1", false));
@@ -52,7 +52,7 @@
 }
 
 #[rstest]
-#[case::one_a_zone(&["east-1", "east-2", "north-1", "west-1"], "voter-east-1", "voter-east-2")]
+#[case::one_per_zone(&["east-1", "east-2", "north-1", "west-1"], "voter-east-1", "voter-east-2")]
 #[case::none_in_the_zone(&["east-2", "north-1", "west-1"], "voter-east-2", "voter-")]
 #[case::two_in_the_region_only(&["east-1", "east-2"], "voter-east-1", "voter-east-2")]
 fn relays_are_tried_by_distance(
@@ -70,14 +70,19 @@
 }
 
 #[test]
-fn nodes_whose_region_lost_all_relays_are_spread_over_the_others() {
+fn nodes_without_a_relay_in_their_region_are_spread_over_the_others() {
     let voting = ["north-1", "north-2", "west-1", "west-2"];
-    let mut nodes_of: BTreeMap<String, usize> = BTreeMap::new();
+    let mut node_count_by_relay: BTreeMap<String, usize> = BTreeMap::new();
     for own in 0..12 {
         let relays = directory(own, 12, &voting).relays();
-        *nodes_of.entry(relays[0].node.0.clone()).or_default() += 1;
+        *node_count_by_relay
+            .entry(relays[0].node.0.clone())
+            .or_default() += 1;
     }
-    assert_eq!(nodes_of.into_values().collect::<Vec<_>>(), [3, 3, 3, 3]);
+    assert_eq!(
+        node_count_by_relay.into_values().collect::<Vec<_>>(),
+        [3, 3, 3, 3]
+    );
 }
 
 #[test]
@@ -90,7 +95,7 @@
 }
 
 #[test]
-fn a_node_without_a_topology_begins_in_its_zone_and_tries_all() {
+fn a_node_without_a_topology_prefers_its_zone_and_tries_all_relays() {
     let nodes = [
         contact("n0", "z0", true),
         contact("n1", "z1", true),
@@ -104,13 +109,13 @@
     assert_eq!(all, ["n0", "n1", "n2"].into());
 }
 
-/// A choice that left the relay of its zone and of its region at `now`.
-fn away(relays: &[Relay], now: u64) -> RelayChoice {
-    let mut choice = RelayChoice::default();
-    choice.present(relays);
-    choice.leave(relays, now);
-    choice.leave(relays, now);
-    choice
+/// A selector that has switched away from the relays of its zone and region at `now`.
+fn selector_away_from_region(relays: &[Relay], now: u64) -> RelaySelector {
+    let mut selector = RelaySelector::default();
+    selector.current(relays);
+    selector.switch_to_next(relays, now);
+    selector.switch_to_next(relays, now);
+    selector
 }
 
 fn relays() -> Vec<Relay> {
@@ -118,54 +123,54 @@
 }
 
 #[test]
-fn a_silent_relay_is_left_for_the_next_by_distance() {
+fn an_unresponsive_relay_is_replaced_by_the_next_by_distance() {
     let relays = relays();
-    let mut choice = RelayChoice::default();
+    let mut selector = RelaySelector::default();
     for relay in relays.iter().chain(&relays) {
-        assert_eq!(choice.present(&relays).as_ref(), Some(&relay.node));
-        choice.leave(&relays, 0);
+        assert_eq!(selector.current(&relays).as_ref(), Some(&relay.node));
+        selector.switch_to_next(&relays, 0);
     }
 }
 
 #[test]
-fn a_nearer_relay_is_taken_back_once_it_answers() {
+fn a_nearer_relay_is_selected_again_once_it_answers() {
     let relays = relays();
-    let mut choice = away(&relays, 10_000);
-    let far = choice.present(&relays).expect("a relay");
-    assert_eq!(choice.nearer_to_ask(&relays, 11_000), None);
-    let near = choice.nearer_to_ask(&relays, 12_000).expect("due");
+    let mut selector = selector_away_from_region(&relays, 10_000);
+    let far = selector.current(&relays).expect("a relay");
+    assert_eq!(selector.nearer_to_probe(&relays, 11_000), None);
+    let near = selector.nearer_to_probe(&relays, 12_000).expect("due");
     assert_eq!(near, relays[0].node);
-    assert!(choice.is_present(&far));
-    choice.answered(&far);
-    assert!(choice.is_present(&far));
-    choice.answered(&near);
-    assert!(choice.is_present(&near));
-    assert_eq!(choice.nearer_to_ask(&relays, 60_000), None);
+    assert!(selector.is_current(&far));
+    selector.record_current_reply(&far);
+    assert!(selector.is_current(&far));
+    selector.record_current_reply(&near);
+    assert!(selector.is_current(&near));
+    assert_eq!(selector.nearer_to_probe(&relays, 60_000), None);
 }
 
 #[test]
-fn each_nearer_relay_is_asked_in_turn() {
+fn nearer_relays_are_probed_in_turn() {
     let relays = relays();
-    let mut choice = away(&relays, 0);
-    let asked: Vec<NodeName> = (0..20)
-        .filter_map(|second| choice.nearer_to_ask(&relays, second * 1_000))
+    let mut selector = selector_away_from_region(&relays, 0);
+    let probed: Vec<NodeName> = (0..20)
+        .filter_map(|second| selector.nearer_to_probe(&relays, second * 1_000))
         .collect();
-    assert_eq!(asked[0], relays[0].node);
-    assert_eq!(asked[1], relays[1].node);
+    assert_eq!(probed[0], relays[0].node);
+    assert_eq!(probed[1], relays[1].node);
 }
 
-/// One that comes and goes each second would have its nodes change relays 120 times.
+/// Without a growing probe interval, a relay that fails every second would cause 120 switches.
 #[test]
-fn a_relay_that_comes_and_goes_is_asked_less_and_less() {
+fn an_unstable_relay_is_probed_at_growing_intervals() {
     let relays = relays();
-    let mut choice = away(&relays, 0);
-    let mut changes = 0;
+    let mut selector = selector_away_from_region(&relays, 0);
+    let mut switches = 0;
     for now in (0..60_000).step_by(400) {
-        if let Some(near) = choice.nearer_to_ask(&relays, now) {
-            choice.answered(&near);
-            choice.leave(&relays, now + 200);
-            changes += 1;
+        if let Some(near) = selector.nearer_to_probe(&relays, now) {
+            selector.record_current_reply(&near);
+            selector.switch_to_next(&relays, now + 200);
+            switches += 1;
         }
     }
-    assert!((2..=8).contains(&changes), "{changes} changes");
+    assert!((2..=8).contains(&switches), "{switches} switches");
 }
--- a/crates/daemon/tests/views.rs
+++ b/crates/daemon/tests/views.rs
@@ -1,4 +1,4 @@
-//! What a node takes from the views of one leader after another.
+//! How a node applies the views of successive leaders.
 
 use silversail_control::{ClusterView, NodeStatus, ViewVersion};
 use silversail_daemon::gateway::owners::batch_owner;
@@ -22,7 +22,7 @@
     }
 }
 
-fn usable(state: &NodeState) -> Vec<&str> {
+fn usable_nodes(state: &NodeState) -> Vec<&str> {
     let mut names: Vec<&str> = state
         .view
         .usable_nodes()
@@ -35,7 +35,7 @@
 const ALL: [(&str, bool); 3] = [("n1", true), ("n2", true), ("n3", true)];
 
 #[test]
-fn a_leader_that_lost_its_memory_takes_no_node_out_at_once() {
+fn a_new_leader_without_state_removes_no_node_at_once() {
     let mut state = NodeState::default();
     assert!(state.apply_view(view(2, 9, &ALL), 1_000));
     let owner = |state: &NodeState| {
@@ -48,32 +48,32 @@
     };
     let before = owner(&state);
     assert!(state.apply_view(view(3, 1, &[]), 5_000));
-    assert_eq!(usable(&state), ["n1", "n2", "n3"]);
+    assert_eq!(usable_nodes(&state), ["n1", "n2", "n3"]);
     assert_eq!(owner(&state), before);
-    // What the new leader says of a node goes first.
+    // The new leader's status of a node takes precedence.
     assert!(state.apply_view(view(3, 2, &[("n2", false)]), 5_400));
-    assert_eq!(usable(&state), ["n1", "n3"]);
+    assert_eq!(usable_nodes(&state), ["n1", "n3"]);
     assert!(!state.expire_retained_nodes(7_000));
     assert!(state.expire_retained_nodes(7_500));
-    assert!(usable(&state).is_empty());
+    assert!(usable_nodes(&state).is_empty());
     assert!(!state.expire_retained_nodes(7_600));
 }
 
 #[test]
-fn a_node_that_the_same_leader_drops_is_gone_at_once() {
+fn a_node_that_the_same_leader_removes_is_removed_at_once() {
     let mut state = NodeState::default();
     assert!(state.apply_view(view(2, 9, &ALL), 1_000));
     assert!(state.apply_view(view(2, 10, &ALL[..2]), 2_000));
-    assert_eq!(usable(&state), ["n1", "n2"]);
+    assert_eq!(usable_nodes(&state), ["n1", "n2"]);
     assert!(!state.apply_view(view(2, 9, &ALL), 2_100));
-    // Also one that a later leader heard of and then lost.
+    // This also holds for a node that a later leader knew and then removed.
     assert!(state.apply_view(view(3, 1, &ALL[..2]), 3_000));
     assert!(state.apply_view(view(3, 2, &ALL[..1]), 3_100));
-    assert_eq!(usable(&state), ["n1"]);
+    assert_eq!(usable_nodes(&state), ["n1"]);
 }
 
 #[test]
-fn owners_last_until_a_new_leader_names_others() {
+fn shard_owners_stay_until_a_new_leader_assigns_others() {
     let mut state = NodeState::default();
     let mut first = view(2, 9, &ALL);
     first
