--- a/crates/daemon/src/requests/accept.rs
+++ b/crates/daemon/src/requests/accept.rs
@@ -1,6 +1,8 @@
-//! Phase 1: parsing and checking a caller's request.
+//! Phase 1: parsing and validating a caller's request.
 
-use crate::requests::active::{ActiveRequest, CallerRequest, KeyOwnership, Phase, RequestNumber};
+use crate::requests::active::{
+    ActiveRequest, CallerRequest, KeyOwnership, RequestNumber, RequestPhase,
+};
 use crate::requests::actor::RequestActor;
 use crate::requests::answer::ErrorBody;
 use serde::Deserialize;
@@ -16,13 +18,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a caller is told whose request crashes back ends.
-pub(crate) const QUARANTINED: &str =
-    "back ends crashed each time they ran this request: do not send it again as it is";
-/// Longest idempotency key, in bytes.
-const MAX_KEY_BYTES: usize = 256;
+/// Error message for a request that crashes back ends.
+pub(crate) const QUARANTINED_MESSAGE: &str =
+    "back ends crashed each time they ran this request; do not resend it unchanged";
+/// Maximum length of an idempotency key, in bytes.
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
 
-/// The body of a caller's request.
+/// JSON body of a caller's request.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RequestBody {
@@ -50,35 +52,37 @@
                 return;
             }
         };
-        let found = self.look_up(&request.pipeline, &body.tenant);
+        let pipeline_and_tenant = self.find_pipeline_and_tenant(&request.pipeline, &body.tenant);
         self.requests
             .insert(number, new_request(request, request_id, body, key));
-        // From here on a refusal of a keyed request fences its key: other
-        // copies of it may be on other nodes, whatever this node knows.
-        match found.and_then(|(pipeline, tenant)| self.bind(number, pipeline, tenant)) {
+        // From here on, a refusal of a request with a key fences the key: copies of the request may
+        // have reached other nodes.
+        match pipeline_and_tenant
+            .and_then(|(pipeline, tenant)| self.set_pipeline_and_tenant(number, pipeline, tenant))
+        {
             Ok(()) if self.is_quarantined(number) => {
                 let code = ResultCode::RequestQuarantined;
-                self.give_up(cx, number, code, QUARANTINED, None);
+                self.fail_request(cx, number, code, QUARANTINED_MESSAGE, None);
             }
             Ok(()) => self.admit(cx, number),
-            Err((code, message)) => self.give_up(cx, number, code, &message, None),
+            Err((code, message)) => self.fail_request(cx, number, code, &message, None),
         }
     }
 
-    /// Gives a request its pipeline, tenant and deadline.
-    fn bind(
+    /// Sets a request's pipeline, deadline and weight.
+    fn set_pipeline_and_tenant(
         &mut self,
         number: RequestNumber,
         pipeline: Pipeline,
         tenant: Tenant,
     ) -> Result<(), Refusal> {
-        let longest = self.setup.settings.limits.deadline_ms;
+        let max_deadline_ms = self.setup.settings.limits.deadline_ms;
         let Some(request) = self.requests.get_mut(&number) else {
             return Ok(());
         };
         let deadline_ms = request.deadline_ms.unwrap_or(pipeline.deadline_ms);
-        if deadline_ms == 0 || deadline_ms > longest {
-            let message = format!("deadline_ms must be 1 to {longest}");
+        if deadline_ms == 0 || deadline_ms > max_deadline_ms {
+            let message = format!("deadline_ms must be in the range 1 to {max_deadline_ms}");
             return Err((ResultCode::InvalidDeadline, message));
         }
         request.deadline = request.arrived_at + Duration::from_millis(deadline_ms);
@@ -88,10 +92,14 @@
         Ok(())
     }
 
-    fn look_up(&self, pipeline: &str, tenant: &TenantName) -> Result<(Pipeline, Tenant), Refusal> {
+    fn find_pipeline_and_tenant(
+        &self,
+        pipeline: &str,
+        tenant: &TenantName,
+    ) -> Result<(Pipeline, Tenant), Refusal> {
         let state = self.setup.state.borrow();
         if state.configuration.revision().is_none() {
-            let message = "no configuration has been confirmed yet".to_owned();
+            let message = "this node has no confirmed configuration yet".to_owned();
             return Err((ResultCode::NotCurrent, message));
         }
         let configuration = state.configuration.configuration();
@@ -103,19 +111,22 @@
             return Err((ResultCode::UnknownTenant, format!("no tenant '{tenant}'")));
         };
         if !pipeline.tenants.matches(&tenant.labels) {
-            let message = format!("tenant '{}' may not use '{}'", tenant.name, pipeline.name);
+            let message = format!(
+                "tenant '{}' may not use pipeline '{}'",
+                tenant.name, pipeline.name
+            );
             return Err((ResultCode::TenantNotAllowed, message));
         }
         Ok((pipeline.clone(), tenant.clone()))
     }
 
-    /// Sends a refusal.
+    /// Sends an error answer.
     pub(crate) fn respond_refusal(&self, responder: Responder, code: ResultCode, body: &ErrorBody) {
         let (head, bytes) = crate::surface::refusal_response(code, body);
         responder.respond(head, bytes);
     }
 
-    /// Counts an answer of a request that never became active.
+    /// Counts an error answer to a request that was never opened.
     fn count_refusal(&self, code: ResultCode) {
         let metrics = &self.setup.metrics;
         metrics.refusals.with_label_values(&[code.reason()]).inc();
@@ -140,15 +151,15 @@
     key: Option<KeyOwnership>,
 ) -> ActiveRequest {
     let now = request.arrived_at;
-    let asked = digest(&request.pipeline, &request.body);
-    let content = ContentDigest::of(&request.pipeline, &asked);
+    let request_digest = digest_of_request(&request.pipeline, &request.body);
+    let content = ContentDigest::of(&request.pipeline, &request_digest);
     ActiveRequest {
         fingerprint: RequestFingerprint::of(Some(body.tenant.as_str()), &content),
         number: request.number,
         request_id,
         weight: 1,
         tenant: body.tenant,
-        pipeline: Rc::new(unknown_pipeline()),
+        pipeline: Rc::new(placeholder_pipeline()),
         input: body.input,
         stream: body.stream,
         arrived_at: now,
@@ -156,26 +167,26 @@
         deadline: now,
         responder: Some(request.responder),
         stream_started: false,
-        streamed: Vec::new(),
+        sent_tokens: Vec::new(),
         key,
-        phase: Phase::Queued,
+        phase: RequestPhase::Queued,
         stage: 0,
         estimates: Vec::new(),
-        counted: false,
-        previous: Map::new(),
-        reports: Vec::new(),
+        counts_against_limits: false,
+        stage_outputs: Map::new(),
+        stage_reports: Vec::new(),
         attempts: 0,
-        avoid: Vec::new(),
+        failed_backends: Vec::new(),
         queued_at: now,
         called_at: now,
         call: None,
-        anything_ran: false,
+        may_have_run: false,
     }
 }
 
-/// Stands for the pipeline until it is found. Its name is a label of metrics,
-/// so it is not the caller's text.
-fn unknown_pipeline() -> Pipeline {
+/// Placeholder until the pipeline is found. Its name becomes a metric label, so it must not be the
+/// caller's text.
+fn placeholder_pipeline() -> Pipeline {
     Pipeline {
         name: PipelineName::default(),
         labels: Labels::new(),
@@ -185,7 +196,7 @@
     }
 }
 
-/// The key as the caller sent it, checked.
+/// Validates the request's idempotency key and retry token.
 fn key_ownership(
     request: &CallerRequest,
     tenant: &TenantName,
@@ -193,15 +204,16 @@
     let Some(key) = &request.key else {
         return Ok(None);
     };
-    if key.is_empty() || key.len() > MAX_KEY_BYTES {
-        let message = format!("Idempotency-Key takes 1 to {MAX_KEY_BYTES} bytes");
+    if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES {
+        let message = format!("Idempotency-Key must have 1 to {MAX_IDEMPOTENCY_KEY_BYTES} bytes");
         return Err((ResultCode::InvalidIdempotencyKey, message));
     }
     let retry_token = match request.retry_token.as_ref().map(|text| text.parse()) {
         None => None,
         Some(Ok(token)) => Some(token),
         Some(Err(_)) => {
-            let message = "Silversail-Retry-Token must be as it was given".to_owned();
+            let message =
+                "Silversail-Retry-Token is not a token that this service issued".to_owned();
             return Err((ResultCode::InvalidIdempotencyKey, message));
         }
     };
@@ -210,15 +222,15 @@
             tenant: tenant.clone(),
             key: key.clone(),
         },
-        digest: digest(&request.pipeline, &request.body),
+        digest: digest_of_request(&request.pipeline, &request.body),
         retry_token,
         epoch: None,
     }))
 }
 
-/// Digest of what was asked: the pipeline and the body without its deadline,
-/// which a resend may shorten.
-fn digest(pipeline: &str, body: &[u8]) -> [u8; 32] {
+/// Digest of the pipeline and the body without `deadline_ms` and `stream`, which may differ in a
+/// resend.
+fn digest_of_request(pipeline: &str, body: &[u8]) -> [u8; 32] {
     let mut value: Value = serde_json::from_slice(body).unwrap_or_default();
     if let Value::Object(fields) = &mut value {
         fields.remove("deadline_ms");
--- a/crates/daemon/src/requests/active.rs
+++ b/crates/daemon/src/requests/active.rs
@@ -1,4 +1,4 @@
-//! A request under way.
+//! The state of an open request.
 
 use serde_json::{Map, Value};
 use silversail_http::Responder;
@@ -12,160 +12,160 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Number of a request in its process.
+/// Number of a request, unique in its process.
 pub type RequestNumber = u64;
 
-/// A request as the callers' surface hands it over.
+/// A request as the HTTP server of callers passes it on.
 #[derive(Debug)]
 pub struct CallerRequest {
-    /// Number, drawn by the surface.
+    /// Number that the HTTP server assigned.
     pub number: RequestNumber,
-    /// Name of the pipeline from the path.
+    /// Name of the pipeline from the request path.
     pub pipeline: String,
-    /// Body.
+    /// Body as received.
     pub body: Vec<u8>,
-    /// `Idempotency-Key`.
+    /// Value of the `Idempotency-Key` header.
     pub key: Option<String>,
-    /// `Silversail-Retry-Token`.
+    /// Value of the `Silversail-Retry-Token` header.
     pub retry_token: Option<String>,
-    /// When it arrived.
+    /// Time at which the request arrived.
     pub arrived_at: Instant,
-    /// Where the answer goes.
+    /// Connection on which the answer is sent.
     pub responder: Responder,
 }
 
-/// Ownership of a key in the ledger.
+/// Ownership of an idempotency key in the ledger.
 #[derive(Clone, Debug)]
 pub struct KeyOwnership {
-    /// The key.
+    /// The tenant's key.
     pub key: RequestKey,
-    /// Digest of what was asked.
+    /// Digest of the pipeline and the body.
     pub digest: [u8; 32],
-    /// Token of a refusal that the caller has seen.
+    /// Token of a refusal that the caller has received.
     pub retry_token: Option<u64>,
-    /// The epoch, once granted.
+    /// Epoch of the ownership; `None` until the ledger grants it.
     pub epoch: Option<u64>,
 }
 
-/// What a request waits for.
+/// What an open request waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
-    /// The ledger's word on its key.
-    Owning,
-    /// Another copy of the key.
-    WaitingForOther,
-    /// A back end with room.
+pub enum RequestPhase {
+    /// The ledger's reply to the request for its key.
+    AcquiringKey,
+    /// The outcome of another copy with the same key.
+    WaitingForOtherCopy,
+    /// An eligible back end.
     Queued,
-    /// The ledger's word on a claim.
+    /// The ledger's reply to the claim of a call.
     Claiming,
-    /// A back end's answer.
+    /// The back end's answer.
     Calling,
-    /// The ledger's word on the outcome.
-    Finishing,
+    /// The ledger's reply to the recorded outcome.
+    RecordingOutcome,
 }
 
-/// A stage call that is claimed or out.
+/// The stage call that is claimed or sent.
 #[derive(Clone, Debug)]
 pub struct CurrentCall {
-    /// Number of the attempt in this process.
+    /// Number of the attempt, unique in its process.
     pub attempt: u64,
-    /// The back end.
+    /// Name of the back end.
     pub backend: BackendName,
-    /// Its address.
+    /// Address of the back end.
     pub address: String,
     /// Set to cancel the call.
     pub cancelled: Arc<AtomicBool>,
-    /// Whether it was handed to the network.
+    /// Whether the call was passed to its thread.
     pub sent: bool,
 }
 
-/// What a finished stage gave, for the answer.
+/// Result of a completed stage, for the answer.
 #[derive(Clone, Debug)]
 pub struct StageReport {
     /// Name of the stage.
     pub stage: StageName,
-    /// What it does.
+    /// Kind of the stage.
     pub kind: StageKind,
-    /// Where it ran.
+    /// Back end that completed the stage.
     pub backend: BackendName,
-    /// Attempts it took.
+    /// Attempts that the stage took.
     pub attempts: u32,
-    /// Wait for a back end, in milliseconds.
+    /// Time in the queue, in milliseconds.
     pub queue_ms: u64,
-    /// Time of the call, in milliseconds.
+    /// Duration of the call, in milliseconds.
     pub service_ms: u64,
-    /// What the back end says it consumed, in its milliseconds.
+    /// Cost that the back end reported, in milliseconds.
     pub cost_ms: f64,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub tokens: u32,
 }
 
-/// A request under way.
+/// The state of an open request.
 pub struct ActiveRequest {
-    /// Number in this process.
+    /// Number of the request, unique in its process.
     pub number: RequestNumber,
-    /// Identity told to the caller.
+    /// Request identifier that the caller receives.
     pub request_id: String,
-    /// What it asks for, and whose it is.
+    /// Fingerprint of the content and the tenant, for quarantine.
     pub fingerprint: RequestFingerprint,
-    /// The tenant.
+    /// Tenant of the request.
     pub tenant: TenantName,
-    /// The tenant's weight.
+    /// Weight of the tenant in the fair queue.
     pub weight: u32,
-    /// The pipeline as it was when the request came.
+    /// Pipeline as configured when the request arrived.
     pub pipeline: Rc<Pipeline>,
-    /// The caller's input.
+    /// Input of the pipeline, from the body.
     pub input: Value,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// When it arrived.
+    /// Time at which the request arrived.
     pub arrived_at: Instant,
-    /// The deadline that the caller asked for, in milliseconds.
+    /// Deadline that the caller requested, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// When the whole answer is due.
+    /// Time by which the complete answer is due.
     pub deadline: Instant,
-    /// Where the answer goes.
+    /// Connection on which the answer is sent; `None` once answered.
     pub responder: Option<Responder>,
-    /// Whether the head of a stream was sent.
+    /// Whether the head of a streamed answer was sent.
     pub stream_started: bool,
-    /// Tokens sent to the caller.
-    pub streamed: Vec<String>,
-    /// Its key, where the caller gave one.
+    /// Tokens already sent to the caller.
+    pub sent_tokens: Vec<String>,
+    /// Ownership of the idempotency key, if the caller gave one.
     pub key: Option<KeyOwnership>,
-    /// What it waits for.
-    pub phase: Phase,
-    /// Position of the current stage.
+    /// What the request waits for.
+    pub phase: RequestPhase,
+    /// Position of the current stage in the pipeline.
     pub stage: usize,
-    /// Admitted work of each stage, until it ends.
+    /// Admitted work of the stages that are not completed.
     pub estimates: Vec<StageEstimate>,
-    /// Whether the request is counted against its tenant's limits.
-    pub counted: bool,
-    /// Outputs of the stages before.
-    pub previous: Map<String, Value>,
-    /// Reports of the stages before.
-    pub reports: Vec<StageReport>,
-    /// Attempts at the current stage.
+    /// Whether the request counts against its tenant's limits.
+    pub counts_against_limits: bool,
+    /// Outputs of the completed stages, by stage name.
+    pub stage_outputs: Map<String, Value>,
+    /// Reports of the completed stages.
+    pub stage_reports: Vec<StageReport>,
+    /// Attempts at the current stage so far.
     pub attempts: u32,
     /// Back ends that failed the current stage.
-    pub avoid: Vec<BackendName>,
-    /// When the current stage was queued.
+    pub failed_backends: Vec<BackendName>,
+    /// Time at which the current stage was queued.
     pub queued_at: Instant,
-    /// When the current call was sent.
+    /// Time at which the current call was sent.
     pub called_at: Instant,
-    /// The call that is claimed or out.
+    /// The claimed or sent call of the current stage.
     pub call: Option<CurrentCall>,
-    /// Whether any stage call was sent and not proved to be not run.
-    pub anything_ran: bool,
+    /// Whether any stage call was sent that is not known to be unexecuted.
+    pub may_have_run: bool,
 }
 
 impl ActiveRequest {
-    /// The current stage.
+    /// The stage of the pipeline that runs or waits.
     pub fn current_stage(&self) -> &Stage {
         &self.pipeline.stages[self.stage]
     }
 
-    /// Whether the current stage is the one whose tokens are streamed: the
-    /// last one, if it generates.
+    /// Whether tokens of the current stage are streamed to the caller: it is the last one and
+    /// generates.
     pub fn streams_current_stage(&self) -> bool {
         self.stream
             && self.stage + 1 == self.pipeline.stages.len()
--- a/crates/daemon/src/requests/actor.rs
+++ b/crates/daemon/src/requests/actor.rs
@@ -1,4 +1,4 @@
-//! The actor of the data path: its state and its entry points.
+//! The actor of the request path: its state and entry points.
 
 use crate::calls::Calls;
 use crate::clock::Clock;
@@ -22,83 +22,83 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Interval at which deadlines are looked at while requests are under way.
-const DEADLINE_TICK: Duration = Duration::from_millis(10);
+/// Interval at which deadlines are checked while requests are open.
+const DEADLINE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the data path is made of.
+/// Dependencies and settings of a [`RequestActor`].
 pub struct RequestSetup {
     /// Settings of the process.
     pub settings: Arc<Settings>,
-    /// This node.
+    /// Name of this node.
     pub node: NodeName,
-    /// This process.
+    /// Incarnation of this process.
     pub incarnation: u64,
-    /// What the node has in force.
+    /// Replicated state that the node has applied.
     pub state: SharedNodeState,
-    /// Proposers to the ledger groups, by part.
+    /// Proposers to the ledger groups, by group number.
     pub ledgers: Vec<Actor<ProposerActor>>,
-    /// Runs back-end calls.
+    /// Starts back-end calls, cancellations and probes.
     pub calls: Box<dyn Calls>,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
-    /// What back ends say of themselves, by address.
+    /// State that back ends report about themselves in answers, by address.
     pub notices: BackendNotices,
-    /// Time.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Seed of placement.
+    /// Seed of the random choices in back-end selection.
     pub seed: u64,
 }
 
-/// A call that is out, until its thread reports.
+/// A call that occupies a slot of a back end until its thread reports the result.
 pub(crate) struct OutstandingCall {
     pub(crate) request: RequestNumber,
     pub(crate) backend: BackendName,
     pub(crate) address: String,
 }
 
-/// Serves callers' requests.
+/// Serves callers' pipeline requests.
 pub struct RequestActor {
     pub(crate) setup: RequestSetup,
     pub(crate) requests: HashMap<RequestNumber, ActiveRequest>,
     pub(crate) deadlines: BTreeSet<(Instant, RequestNumber)>,
-    pub(crate) outstanding: HashMap<u64, OutstandingCall>,
+    pub(crate) outstanding_calls: HashMap<u64, OutstandingCall>,
     pub(crate) next_attempt: u64,
     pub(crate) queue: FairQueue,
     pub(crate) pools: Pools,
     pub(crate) admission: AdmissionController,
     pub(crate) limiter: TenantLimiter,
-    pub(crate) placer: BackendSelector,
-    pub(crate) budgets: BTreeMap<BackendName, RetryBudget>,
-    /// Requests that crash back ends.
+    pub(crate) selector: BackendSelector,
+    pub(crate) retry_budgets: BTreeMap<BackendName, RetryBudget>,
+    /// Quarantined requests, and this process's evidence of crashes.
     pub(crate) quarantine: RequestQuarantine,
-    /// Why calls to back ends broke off.
+    /// Detects crashes of back ends and reports them.
     pub(crate) crashes: CrashReporter,
-    ticking: bool,
+    is_tick_scheduled: bool,
 }
 
 impl RequestActor {
-    /// Starts without requests.
+    /// Starts without open requests.
     pub fn init(_: CX![], setup: RequestSetup) -> Option<Self> {
         let routing = &setup.settings.routing;
         let queue = FairQueue::new(routing.queue);
-        let placer = BackendSelector::new(routing.placement, setup.seed);
+        let selector = BackendSelector::new(routing.placement, setup.seed);
         let quarantine = RequestQuarantine::new(setup.settings.quarantine);
         let crashes = CrashReporter::new(setup.state.clone(), setup.metrics.clone());
         Some(Self {
             setup,
             requests: HashMap::new(),
             deadlines: BTreeSet::new(),
-            outstanding: HashMap::new(),
+            outstanding_calls: HashMap::new(),
             next_attempt: 0,
             queue,
             pools: Pools::default(),
             admission: AdmissionController::default(),
             limiter: TenantLimiter::default(),
-            placer,
-            budgets: BTreeMap::new(),
+            selector,
+            retry_budgets: BTreeMap::new(),
             quarantine,
             crashes,
-            ticking: false,
+            is_tick_scheduled: false,
         })
     }
 
@@ -106,27 +106,33 @@
         self.setup.clock.millis(cx.now())
     }
 
-    /// A caller's request.
+    /// Handles a caller's request.
     pub fn handle_request(&mut self, cx: CX![], request: CallerRequest) {
         self.accept(cx, request);
-        self.settle(cx);
+        self.dispatch_and_update_gauges(cx);
     }
 
-    /// The caller of a request went away.
+    /// Fails a request whose caller has disconnected.
     pub fn caller_disconnected(&mut self, cx: CX![], number: RequestNumber) {
         if self.requests.contains_key(&number) {
-            self.give_up(cx, number, ResultCode::CallerGone, "caller went away", None);
-            self.settle(cx);
+            self.fail_request(
+                cx,
+                number,
+                ResultCode::CallerGone,
+                "the caller disconnected",
+                None,
+            );
+            self.dispatch_and_update_gauges(cx);
         }
     }
 
-    /// A token of a stream.
+    /// Handles a token that a generation call streamed.
     pub fn handle_token(&mut self, cx: CX![], attempt: u64, sequence: u64, text: String) {
-        self.stream_token(cx, attempt, sequence, text);
-        self.settle(cx);
+        self.forward_token(cx, attempt, sequence, text);
+        self.dispatch_and_update_gauges(cx);
     }
 
-    /// A call ended.
+    /// Handles the result of a call that took `service` time.
     pub fn call_ended(
         &mut self,
         cx: CX![],
@@ -134,56 +140,57 @@
         service: Duration,
         result: Result<StageOutput, CallFailure>,
     ) {
-        self.take_result(cx, attempt, service, result);
-        self.settle(cx);
+        self.handle_call_result(cx, attempt, service, result);
+        self.dispatch_and_update_gauges(cx);
     }
 
-    /// An engine's report of its load.
+    /// Records the load and the loaded models that an engine reported.
     pub fn record_engine_load(&mut self, cx: CX![], backend: BackendName, load: EngineLoad) {
         let now = self.now_millis(cx);
         self.pools
             .load(&backend)
             .record_report(load.running + load.waiting, now);
-        if self.pools.note_holdings(&backend, load.models) {
-            self.deal_slots();
+        if self.pools.record_loaded_models(&backend, load.models) {
+            self.assign_slots();
         }
-        // Slots that were reported free may be used.
-        self.settle(cx);
+        // The report may have freed slots.
+        self.dispatch_and_update_gauges(cx);
     }
 
-    /// Configuration, view or machine states changed.
+    /// Applies changes of the configuration, the view or machine states.
     pub fn node_state_changed(&mut self, cx: CX![]) {
         self.pools.reset_stages();
-        self.follow_quarantine();
+        self.apply_quarantine_list();
         {
             let state = self.setup.state.borrow();
             let (nodes, rank) = state.node_count_and_rank(&self.setup.node);
             self.limiter.set_share(nodes, rank);
         }
-        self.deal_slots();
-        self.settle(cx);
+        self.assign_slots();
+        self.dispatch_and_update_gauges(cx);
     }
 
-    fn deal_slots(&mut self) {
+    fn assign_slots(&mut self) {
         let state = self.setup.state.borrow();
         let backends = &state.configuration.configuration().backends;
-        self.pools.deal_slots(backends.values());
+        self.pools.assign_slots(backends.values());
     }
 
-    /// What follows every input: dispatch what has room, renew gauges.
-    pub(crate) fn settle(&mut self, cx: CX![]) {
+    /// Runs after every input: dispatches queued stages, updates gauges and schedules the deadline
+    /// check.
+    pub(crate) fn dispatch_and_update_gauges(&mut self, cx: CX![]) {
         self.dispatch_queued(cx);
         let metrics = &self.setup.metrics;
         metrics.open_requests.set(self.requests.len() as i64);
         metrics.queued_stages.set(self.queue.len() as i64);
-        if !self.ticking && !self.requests.is_empty() {
-            self.ticking = true;
-            after!(DEADLINE_TICK, [cx], deadline_tick());
+        if !self.is_tick_scheduled && !self.requests.is_empty() {
+            self.is_tick_scheduled = true;
+            after!(DEADLINE_CHECK_INTERVAL, [cx], check_deadlines());
         }
     }
 
-    fn deadline_tick(&mut self, cx: CX![]) {
-        self.ticking = false;
+    fn check_deadlines(&mut self, cx: CX![]) {
+        self.is_tick_scheduled = false;
         let now = cx.now();
         self.setup.notices.log_ended_rests(self.now_millis(cx));
         while let Some((deadline, number)) = self.deadlines.first().copied() {
@@ -193,6 +200,6 @@
             self.deadlines.remove(&(deadline, number));
             self.deadline_passed(cx, number);
         }
-        self.settle(cx);
+        self.dispatch_and_update_gauges(cx);
     }
 }
--- a/crates/daemon/src/requests/admit.rs
+++ b/crates/daemon/src/requests/admit.rs
@@ -1,4 +1,4 @@
-//! Phase 2: freshness, limits of the node and the tenant, and admission.
+//! Phase 2: configuration freshness, limits of the node and the tenant, and admission.
 
 use crate::requests::active::RequestNumber;
 use crate::requests::actor::RequestActor;
@@ -7,11 +7,10 @@
 use silversail_routing::{AdmissionDecision, LimitViolation, PoolId, StageEstimate};
 use stakker::CX;
 
-/// When to come back after a refusal for a reason that soon passes, in
-/// milliseconds.
+/// Retry delay that a caller is told for conditions that pass quickly, in milliseconds.
 const SHORT_RETRY_AFTER_MS: u64 = 500;
 
-/// A refusal at entry.
+/// A refusal before the request is admitted.
 struct Refusal {
     code: ResultCode,
     message: &'static str,
@@ -19,7 +18,7 @@
 }
 
 impl Refusal {
-    fn soon(code: ResultCode, message: &'static str) -> Self {
+    fn retry_soon(code: ResultCode, message: &'static str) -> Self {
         Self {
             code,
             message,
@@ -31,8 +30,8 @@
 impl RequestActor {
     pub(crate) fn admit(&mut self, cx: CX![], number: RequestNumber) {
         match self.check_admission(cx, number) {
-            Ok(()) => self.take_ownership(cx, number),
-            Err(refusal) => self.give_up(
+            Ok(()) => self.acquire_key(cx, number),
+            Err(refusal) => self.fail_request(
                 cx,
                 number,
                 refusal.code,
@@ -53,15 +52,18 @@
         let settings = &self.setup.settings;
         let state = self.setup.state.borrow();
         if state.refusing {
-            return Err(Refusal::soon(ResultCode::Stopping, "this node is stopping"));
+            return Err(Refusal::retry_soon(
+                ResultCode::Stopping,
+                "this node is stopping",
+            ));
         }
         if !state.has_current_configuration(now, settings.timing.freshness_lease_ms) {
             let message = "this node can't confirm that its configuration is current";
-            return Err(Refusal::soon(ResultCode::NotCurrent, message));
+            return Err(Refusal::retry_soon(ResultCode::NotCurrent, message));
         }
         if self.requests.len() > settings.limits.open_requests {
-            let message = "this node has as many open requests as it takes";
-            return Err(Refusal::soon(ResultCode::TooManyRequests, message));
+            let message = "this node has reached its limit of open requests";
+            return Err(Refusal::retry_soon(ResultCode::TooManyRequests, message));
         }
         Ok(())
     }
@@ -80,10 +82,10 @@
         };
         match self.limiter.admit(&request.tenant, &limits, now) {
             Ok(()) => {
-                request.counted = true;
+                request.counts_against_limits = true;
                 Ok(())
             }
-            Err(LimitViolation::Concurrency) => Err(Refusal::soon(
+            Err(LimitViolation::Concurrency) => Err(Refusal::retry_soon(
                 ResultCode::TenantConcurrencyLimit,
                 "the tenant's limit of concurrent requests is reached",
             )),
@@ -108,15 +110,15 @@
             .decide(tenant, weight, &estimates, remaining_ms);
         match decision {
             AdmissionDecision::NoCapacity => {
-                let message = "no back end may serve a stage";
-                return Err(Refusal::soon(ResultCode::NoBackend, message));
+                let message = "a stage has no eligible back end";
+                return Err(Refusal::retry_soon(ResultCode::NoBackend, message));
             }
             AdmissionDecision::Reject { retry_after_ms }
                 if self.setup.settings.routing.admission =>
             {
                 return Err(Refusal {
                     code: ResultCode::DeadlineUnreachable,
-                    message: "the whole answer can't be expected within the deadline",
+                    message: "the pipeline is not expected to complete within the deadline",
                     retry_after_ms: Some(retry_after_ms),
                 });
             }
@@ -129,8 +131,8 @@
         Ok(())
     }
 
-    /// Pools and expected service times of a request's stages; renews the
-    /// pools' capacities on the way.
+    /// Pools and expected service times of a request's stages; also updates the capacity of the
+    /// pools.
     fn estimate(&mut self, number: RequestNumber) -> Vec<StageEstimate> {
         let Some(request) = self.requests.get(&number) else {
             return Vec::new();
@@ -151,32 +153,32 @@
         estimates
     }
 
-    /// How many calls this node may have at a pool.
+    /// Number of concurrent calls that this node may send to a pool.
     pub(crate) fn pool_capacity(&self, pool: PoolId) -> u32 {
         let share = self.node_share();
         let state = self.setup.state.borrow();
         let backends = &state.configuration.configuration().backends;
-        let own: u32 = self
+        let reserved: u32 = self
             .pools
             .members(pool)
             .iter()
             .filter_map(|name| backends.get(name))
             .filter(|backend| !state.is_leaving(&backend.address))
-            .filter(|backend| self.pools.holds_model(pool, backend))
-            .map(|backend| self.pools.own_slots(backend, share))
+            .filter(|backend| self.pools.has_model_loaded(pool, backend))
+            .map(|backend| self.pools.reserved_slots(backend, share))
             .sum();
-        // Where the pool has fewer slots than there are nodes, some nodes have
-        // none of their own and use free ones.
+        // If the pool has fewer slots than there are nodes, some nodes have no reserved slot and
+        // borrow free ones.
         let is_served = self
             .pools
             .members(pool)
             .iter()
             .filter_map(|name| backends.get(name))
-            .any(|backend| self.pools.holds_model(pool, backend));
-        own.max(u32::from(is_served))
+            .any(|backend| self.pools.has_model_loaded(pool, backend));
+        reserved.max(u32::from(is_served))
     }
 
-    /// The part of the cluster that this node is.
+    /// This node's share of the back ends' slots.
     pub(crate) fn node_share(&self) -> NodeShare {
         let (nodes, rank) = self
             .setup
--- a/crates/daemon/src/requests/answer.rs
+++ b/crates/daemon/src/requests/answer.rs
@@ -1,16 +1,16 @@
-//! The bodies of answers.
+//! Bodies of the answers to callers.
 
 use crate::requests::active::StageReport;
 use serde::Serialize;
 use serde_json::Value;
 use silversail_model::{Outcome, ResultCode};
 
-/// Content type of JSON answers.
+/// Content type of complete answers and errors.
 pub const JSON_CONTENT_TYPE: &str = "application/json";
 /// Content type of streamed answers.
 pub const EVENT_STREAM_CONTENT_TYPE: &str = "text/event-stream";
 
-/// One stage of a whole answer.
+/// Report of one stage in a complete answer.
 #[derive(Serialize)]
 pub struct StageAnswer<'a> {
     stage: &'a str,
@@ -38,46 +38,46 @@
     }
 }
 
-/// A whole answer.
+/// Body of a complete answer.
 #[derive(Serialize)]
 pub struct CompletedBody<'a> {
-    /// Identity of the request.
+    /// Request identifier.
     pub request_id: &'a str,
-    /// Pipeline.
+    /// Name of the pipeline.
     pub pipeline: &'a str,
-    /// `completed`.
+    /// Always `completed`.
     pub outcome: Outcome,
-    /// Numbered code.
+    /// Numeric result code.
     pub code: u16,
     /// Output of the last stage.
     pub output: &'a Value,
-    /// What each stage took.
+    /// Reports of the stages.
     pub stages: Vec<StageAnswer<'a>>,
 }
 
-/// An answer without output.
+/// Body of an error answer.
 #[derive(Clone, Debug, Serialize)]
 pub struct ErrorBody {
-    /// Identity of the request.
+    /// Request identifier.
     pub request_id: String,
-    /// What is known of the effect.
+    /// Whether the request ran, failed, or has an unknown effect.
     pub outcome: Outcome,
-    /// Numbered code.
+    /// Numeric result code.
     pub code: u16,
-    /// The code's reason.
+    /// Reason of the code, for programs.
     pub reason: &'static str,
-    /// Details for people.
+    /// Details, for people.
     pub message: String,
-    /// When to come back, in milliseconds.
+    /// Time after which the caller may retry, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// To be sent as `Silversail-Retry-Token` with a new try of the same key.
+    /// Token to send as `Silversail-Retry-Token` with a retry of the same key.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_token: Option<String>,
 }
 
 impl ErrorBody {
-    /// The body for `code`.
+    /// Body with the outcome, number and reason of `code`.
     pub fn new(request_id: &str, code: ResultCode, message: impl Into<String>) -> Self {
         Self {
             request_id: request_id.to_owned(),
@@ -90,13 +90,13 @@
         }
     }
 
-    /// As JSON.
+    /// Encodes the body as JSON.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("the body encodes")
     }
 }
 
-/// One server-sent event.
+/// Encodes one server-sent event.
 pub fn event(name: &str, data: &[u8]) -> Vec<u8> {
     let mut bytes = format!("event: {name}\ndata: ").into_bytes();
     bytes.extend_from_slice(data);
--- a/crates/daemon/src/requests/crashes.rs
+++ b/crates/daemon/src/requests/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the back ends of pipelines: evidence, and what is not called any more. See
+//! Pipeline requests that crash back ends: evidence of crashes, and quarantine. See
 //! `silversail_quarantine`.
 
 use crate::crashes::Finding;
@@ -9,19 +9,19 @@
 use stakker::{Fwd, CX};
 
 impl RequestActor {
-    /// Takes what has a heartbeat sent at once.
+    /// Sets the trigger that sends a heartbeat at once, so that crashes are reported without delay.
     pub fn set_heartbeat_trigger(&mut self, _: CX![], tell_at_once: Fwd<()>) {
         self.crashes.set_tell_at_once(tell_at_once);
     }
 
-    /// Whether back ends crash under a request.
+    /// Whether the request is quarantined because it crashes back ends.
     pub(crate) fn is_quarantined(&self, number: RequestNumber) -> bool {
         let request = self.requests.get(&number);
         request.is_some_and(|request| self.quarantine.refuses(&request.fingerprint))
     }
 
-    /// A call's connection broke off: whether its back end has ended is asked at once.
-    pub(crate) fn call_broke_off(&mut self, outstanding: &OutstandingCall, now: Millis) {
+    /// Handles the lost connection of a call: probes the back end to find out whether it crashed.
+    pub(crate) fn connection_lost(&mut self, outstanding: &OutstandingCall, now: Millis) {
         let Some(request) = self.requests.get(&outstanding.request) else {
             return;
         };
@@ -37,27 +37,27 @@
         match self.crashes.broke_off(broken, now) {
             Finding::Ask(probe) => self.setup.calls.probe(probe),
             Finding::Pending => {}
-            Finding::Known(diagnosis) => self.diagnosed(&diagnosis, now),
+            Finding::Known(diagnosis) => self.apply_diagnosis(&diagnosis, now),
         }
     }
 
-    /// A back end at which calls broke off was tried anew.
+    /// Handles the result of a probe.
     pub fn probe_finished(&mut self, cx: CX![], backend: String, answer: ProbeResult) {
         let now = self.now_millis(cx);
         if let Some(diagnosis) = self.crashes.probed(&backend, answer) {
-            self.diagnosed(&diagnosis, now);
+            self.apply_diagnosis(&diagnosis, now);
         }
-        self.settle(cx);
+        self.dispatch_and_update_gauges(cx);
     }
 
-    fn diagnosed(&mut self, diagnosis: &Diagnosis, now: Millis) {
+    fn apply_diagnosis(&mut self, diagnosis: &Diagnosis, now: Millis) {
         let cause = diagnosis.answer.cause();
-        log::info!(event = "broke_off", backend = diagnosis.instance.as_str(), cause = cause, calls = diagnosis.sends.len(); "calls broke off");
+        log::info!(event = "broke_off", backend = diagnosis.instance.as_str(), cause = cause, calls = diagnosis.sends.len(); "connections to a back end were lost");
         self.crashes.report(diagnosis, &mut self.quarantine, now);
     }
 
-    /// Takes the list of refused requests in force.
-    pub(crate) fn follow_quarantine(&mut self) {
+    /// Applies the quarantine list of the node state.
+    pub(crate) fn apply_quarantine_list(&mut self) {
         let list = self.setup.state.borrow().quarantine.clone();
         if let Some(list) = list {
             self.quarantine.take(list);
--- a/crates/daemon/src/requests/dispatch.rs
+++ b/crates/daemon/src/requests/dispatch.rs
@@ -1,12 +1,12 @@
-//! Phase 4: each stage waits for a back end with room, is claimed where it may
-//! not be repeated, and is called.
+//! Phase 4: each stage waits for an eligible back end, commits a claim if it may not be repeated,
+//! and is called.
 
 use crate::clock::{self, wall_clock_ms};
 use crate::replica::ProposalOutcome;
-use crate::requests::accept::QUARANTINED;
-use crate::requests::active::{CurrentCall, Phase, RequestNumber};
+use crate::requests::accept::QUARANTINED_MESSAGE;
+use crate::requests::active::{CurrentCall, RequestNumber, RequestPhase};
 use crate::requests::actor::{OutstandingCall, RequestActor};
-use crate::requests::own::ledger_reply;
+use crate::requests::key_ownership::ledger_reply;
 use serde_json::Value;
 use silversail_backend::StageCall;
 use silversail_consensus::Millis;
@@ -18,19 +18,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Share of the expected service time of the stages that remain below which
-/// what is left of a deadline is hopeless.
-const HOPELESS_SHARE: f64 = 0.9;
-/// Most tokens of a generation stage that names no limit.
+/// Share of the expected remaining service time below which the time left until the deadline counts
+/// as too short.
+const MIN_REMAINING_SHARE: f64 = 0.9;
+/// Maximum tokens of a generation stage that sets no limit.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
 impl RequestActor {
-    /// Queues the current stage.
+    /// Queues the current stage for dispatch.
     pub(crate) fn start_stage(&mut self, cx: CX![], number: RequestNumber) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        request.phase = Phase::Queued;
+        request.phase = RequestPhase::Queued;
         request.queued_at = cx.now();
         let position = request.stage;
         let pipeline = request.pipeline.clone();
@@ -41,7 +41,7 @@
                 .pool_of(&state.configuration, &pipeline.name, position, stage)
         };
         let expected_ms = self.pools.service_ms(&pipeline.name, position, stage);
-        let rest_ms: f64 = (position..pipeline.stages.len())
+        let remaining_work_ms: f64 = (position..pipeline.stages.len())
             .map(|at| {
                 self.pools
                     .service_ms(&pipeline.name, at, &pipeline.stages[at])
@@ -49,8 +49,10 @@
             .sum();
         let request = &self.requests[&number];
         let deadline = self.setup.clock.millis(request.deadline);
-        if let Some(back_at) = self.too_late_back_at(pool, deadline, self.now_millis(cx)) {
-            self.refuse_until(cx, number, back_at);
+        if let Some(available_at) =
+            self.available_after_deadline(pool, deadline, self.now_millis(cx))
+        {
+            self.reject_until(cx, number, available_at);
             return;
         }
         let request = &self.requests[&number];
@@ -59,19 +61,19 @@
             tenant: request.tenant.clone(),
             weight: request.weight,
             pool,
-            latest_start: deadline.saturating_sub(rest_ms as u64),
+            latest_start: deadline.saturating_sub(remaining_work_ms as u64),
             expected_ms,
         });
     }
 
-    /// Dispatches queued stages while there is room.
+    /// Dispatches queued stages while any has an eligible back end.
     pub(crate) fn dispatch_queued(&mut self, cx: CX![]) {
         while !self.queue.is_empty() {
             let mut queue = std::mem::replace(
                 &mut self.queue,
                 silversail_routing::FairQueue::new(self.setup.settings.routing.queue),
             );
-            let next = queue.pop(|pool| self.has_room(cx, pool));
+            let next = queue.pop(|pool| self.has_eligible_backend(cx, pool));
             self.queue = queue;
             match next {
                 Some(queued) => self.dispatch(cx, queued),
@@ -80,15 +82,20 @@
         }
     }
 
-    fn has_room(&self, cx: CX![], pool: PoolId) -> bool {
-        !self.candidates(cx, pool, &[]).is_empty()
+    fn has_eligible_backend(&self, cx: CX![], pool: PoolId) -> bool {
+        !self.eligible_backends(cx, pool, &[]).is_empty()
     }
 
-    /// Back ends of a pool that may get a call now. Drained and leaving ones
-    /// are left out here, at dispatch, so that nothing queued goes to them.
-    fn candidates(&self, cx: CX![], pool: PoolId, avoid: &[BackendName]) -> Vec<Backend> {
+    /// Back ends of a pool that may get a call now. Drained and leaving ones are filtered here, at
+    /// dispatch, so that stages queued earlier do not reach them.
+    fn eligible_backends(
+        &self,
+        cx: CX![],
+        pool: PoolId,
+        failed_backends: &[BackendName],
+    ) -> Vec<Backend> {
         let now = self.now_millis(cx);
-        if self.outstanding.len() >= self.setup.settings.limits.calls {
+        if self.outstanding_calls.len() >= self.setup.settings.limits.calls {
             return Vec::new();
         }
         let share = self.node_share();
@@ -100,12 +107,12 @@
             .iter()
             .filter_map(|name| backends.get(name))
             .filter(|backend| !backend.drain && !state.is_leaving(&backend.address))
-            .filter(|backend| self.pools.holds_model(pool, backend))
-            .filter(|backend| self.rest_until(backend) <= now)
-            .filter(|backend| self.pools.has_slot(backend, share, now))
+            .filter(|backend| self.pools.has_model_loaded(pool, backend))
+            .filter(|backend| self.backoff_until(backend) <= now)
+            .filter(|backend| self.pools.has_free_slot(backend, share, now))
             .collect();
         let is_healthy = |backend: &&&Backend| {
-            !avoid.contains(&backend.name)
+            !failed_backends.contains(&backend.name)
                 && !self
                     .pools
                     .known_load(&backend.name)
@@ -117,20 +124,25 @@
             .map(|backend| (*backend).clone())
             .collect();
         if healthy.is_empty() {
-            // Rather one that failed lately than none.
+            // A back end that failed recently is better than none.
             return usable.into_iter().cloned().collect();
         }
         healthy
     }
 
-    fn place(&mut self, cx: CX![], pool: PoolId, avoid: &[BackendName]) -> Option<Backend> {
+    fn select_backend(
+        &mut self,
+        cx: CX![],
+        pool: PoolId,
+        failed_backends: &[BackendName],
+    ) -> Option<Backend> {
         let now = self.now_millis(cx);
-        let candidates = self.candidates(cx, pool, avoid);
-        for backend in &candidates {
-            // Makes sure that each has a load to compare.
+        let eligible = self.eligible_backends(cx, pool, failed_backends);
+        for backend in &eligible {
+            // Creates a load entry for each back end.
             self.pools.load(&backend.name);
         }
-        let compared: Vec<EligibleBackend<'_>> = candidates
+        let loads: Vec<EligibleBackend<'_>> = eligible
             .iter()
             .filter_map(|backend| {
                 Some(EligibleBackend {
@@ -141,34 +153,34 @@
                 })
             })
             .collect();
-        let chosen = self.placer.select(&compared, now)?;
-        candidates.get(chosen).cloned()
+        let chosen = self.selector.select(&loads, now)?;
+        eligible.get(chosen).cloned()
     }
 
     fn dispatch(&mut self, cx: CX![], queued: QueuedStage) {
         let number = queued.request;
-        if self.is_hopeless(cx, &queued) {
-            let message = "the rest of the pipeline can't end within the deadline";
-            self.give_up(cx, number, ResultCode::DeadlineUnreachable, message, None);
+        if self.is_past_latest_start(cx, &queued) {
+            let message = "the remaining stages are not expected to complete within the deadline";
+            self.fail_request(cx, number, ResultCode::DeadlineUnreachable, message, None);
             return;
         }
         if self.is_quarantined(number) {
             let code = ResultCode::RequestQuarantined;
-            self.give_up(cx, number, code, QUARANTINED, None);
+            self.fail_request(cx, number, code, QUARANTINED_MESSAGE, None);
             return;
         }
-        let avoid = match self.requests.get(&number) {
-            Some(request) => request.avoid.clone(),
+        let failed_backends = match self.requests.get(&number) {
+            Some(request) => request.failed_backends.clone(),
             None => return,
         };
-        let Some(backend) = self.place(cx, queued.pool, &avoid) else {
+        let Some(backend) = self.select_backend(cx, queued.pool, &failed_backends) else {
             self.queue.push(queued);
             return;
         };
         self.next_attempt += 1;
         let attempt = self.next_attempt;
         self.pools.load(&backend.name).in_flight += 1;
-        self.outstanding.insert(
+        self.outstanding_calls.insert(
             attempt,
             OutstandingCall {
                 request: number,
@@ -196,14 +208,14 @@
             .observe(waited.as_secs_f64());
         let needs_claim = request.key.is_some() && !request.current_stage().is_repeatable();
         if needs_claim {
-            self.claim(cx, number, attempt);
+            self.propose_claim(cx, number, attempt);
         } else {
             self.send_call(cx, number);
         }
     }
 
-    /// A request that can no longer make it is stopped between stages.
-    fn is_hopeless(&self, cx: CX![], queued: &QueuedStage) -> bool {
+    /// Whether the remaining stages are not expected to complete before the deadline.
+    fn is_past_latest_start(&self, cx: CX![], queued: &QueuedStage) -> bool {
         let Some(request) = self.requests.get(&queued.request) else {
             return true;
         };
@@ -212,17 +224,18 @@
         if now >= deadline {
             return true;
         }
-        let rest_ms = deadline.saturating_sub(queued.latest_start) as f64;
+        let remaining_work_ms = deadline.saturating_sub(queued.latest_start) as f64;
         let remaining_ms = (deadline - now) as f64;
-        self.setup.settings.routing.admission && remaining_ms < rest_ms * HOPELESS_SHARE
+        self.setup.settings.routing.admission
+            && remaining_ms < remaining_work_ms * MIN_REMAINING_SHARE
     }
 
-    /// Commits the claim of a call to a majority of disks before it leaves.
-    fn claim(&mut self, cx: CX![], number: RequestNumber, attempt: u64) {
+    /// Commits the claim of a call to a quorum before the call is sent.
+    fn propose_claim(&mut self, cx: CX![], number: RequestNumber, attempt: u64) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        request.phase = Phase::Claiming;
+        request.phase = RequestPhase::Claiming;
         let Some((key, epoch)) = request
             .key
             .as_ref()
@@ -238,11 +251,14 @@
         });
         let remaining = request.deadline.saturating_duration_since(cx.now());
         let timeout = self.ledger_timeout().min(remaining);
-        let ret = ret_some_to!([cx], claimed(number, attempt) as (ProposalOutcome));
+        let ret = ret_some_to!(
+            [cx],
+            handle_claim_reply(number, attempt) as (ProposalOutcome)
+        );
         self.propose_to_ledger(&key, &command, timeout, ret);
     }
 
-    fn claimed(
+    fn handle_claim_reply(
         &mut self,
         cx: CX![],
         number: RequestNumber,
@@ -250,7 +266,7 @@
         outcome: ProposalOutcome,
     ) {
         let is_current = self.requests.get(&number).is_some_and(|request| {
-            request.phase == Phase::Claiming
+            request.phase == RequestPhase::Claiming
                 && request
                     .call
                     .as_ref()
@@ -260,54 +276,57 @@
             return;
         }
         match ledger_reply(outcome) {
-            Some(LedgerReply::Claimed) if self.may_still_go(number, self.now_millis(cx)) => {
+            Some(LedgerReply::Claimed) if self.is_still_sendable(number, self.now_millis(cx)) => {
                 self.send_call(cx, number);
             }
             Some(LedgerReply::Claimed) => {
-                // The back end began to leave or to rest meanwhile; nothing was sent.
-                self.drop_unsent_call(number);
+                // The back end started to drain or to back off in the meantime; nothing was sent.
+                self.cancel_unsent_call(number);
                 self.start_stage(cx, number);
             }
             Some(LedgerReply::Superseded) => {
-                self.drop_unsent_call(number);
-                self.superseded(cx, number);
+                self.cancel_unsent_call(number);
+                self.handle_superseded(cx, number);
             }
             Some(_) | None => {
-                self.drop_unsent_call(number);
-                let message = "the claim ledger can't be reached";
-                self.give_up(cx, number, ResultCode::LedgerUnavailable, message, None);
+                self.cancel_unsent_call(number);
+                let message = "the claim ledger is not reachable";
+                self.fail_request(cx, number, ResultCode::LedgerUnavailable, message, None);
             }
         }
-        self.settle(cx);
+        self.dispatch_and_update_gauges(cx);
     }
 
-    fn may_still_go(&self, number: RequestNumber, now: Millis) -> bool {
+    fn is_still_sendable(&self, number: RequestNumber, now: Millis) -> bool {
         let state = self.setup.state.borrow();
-        let call = self.requests.get(&number).and_then(|one| one.call.as_ref());
+        let call = self
+            .requests
+            .get(&number)
+            .and_then(|request| request.call.as_ref());
         call.is_some_and(|call| {
             let backends = &state.configuration.configuration().backends;
             let is_drained = backends
                 .get(&call.backend)
                 .is_none_or(|backend| backend.drain);
-            let rests = self.setup.notices.of(&call.address).is_resting(now);
-            !is_drained && !state.is_leaving(&call.address) && !rests
+            let is_resting = self.setup.notices.of(&call.address).is_resting(now);
+            !is_drained && !state.is_leaving(&call.address) && !is_resting
         })
     }
 
-    /// Gives a reserved back end back before anything was sent to it.
-    pub(crate) fn drop_unsent_call(&mut self, number: RequestNumber) {
+    /// Releases the back end of a call that was not sent.
+    pub(crate) fn cancel_unsent_call(&mut self, number: RequestNumber) {
         let call = self
             .requests
             .get_mut(&number)
             .and_then(|request| request.call.take());
         if let Some(call) = call {
-            self.forget_outstanding(call.attempt);
+            self.remove_outstanding_call(call.attempt);
         }
     }
 
-    /// Gives the back end's place free.
-    pub(crate) fn forget_outstanding(&mut self, attempt: u64) -> Option<OutstandingCall> {
-        let outstanding = self.outstanding.remove(&attempt)?;
+    /// Removes a call and frees its slot at the back end.
+    pub(crate) fn remove_outstanding_call(&mut self, attempt: u64) -> Option<OutstandingCall> {
+        let outstanding = self.outstanding_calls.remove(&attempt)?;
         let load = self.pools.load(&outstanding.backend);
         load.in_flight = load.in_flight.saturating_sub(1);
         Some(outstanding)
@@ -319,7 +338,7 @@
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        request.phase = Phase::Calling;
+        request.phase = RequestPhase::Calling;
         request.called_at = now;
         let stage = request.pipeline.stages[request.stage].clone();
         let streams = request.streams_current_stage();
@@ -334,7 +353,7 @@
             attempt: format!("{}-a{}", request.request_id, call.attempt),
             stage: stage.name.0.clone(),
             input: request.input.clone(),
-            previous: Value::Object(request.previous.clone()),
+            previous: Value::Object(request.stage_outputs.clone()),
             model: stage.model.clone(),
             max_tokens: stage.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
             priority: (wall_clock_ms() + remaining.as_millis() as u64) as i64,
@@ -345,12 +364,12 @@
         let attempt = call.attempt;
         if is_first_attempt {
             let backend = call.backend.clone();
-            self.budgets
+            self.retry_budgets
                 .entry(backend)
                 .or_insert_with(|| RetryBudget::new(retry_share))
                 .record_first_attempt();
         }
-        log::debug!(event = "call", request = request.request_id.as_str(), stage = stage.name.as_str(), attempt = attempt; "stage sent");
+        log::debug!(event = "call", request = request.request_id.as_str(), stage = stage.name.as_str(), attempt = attempt; "stage call sent");
         let is_generation = stage.kind == StageKind::Generation;
         let started = self
             .setup
@@ -358,7 +377,7 @@
             .start(attempt, stage_call, is_generation, streams);
         if started.is_err() {
             let failure = silversail_backend::CallFailure::NotRun("no thread for the call".into());
-            self.take_result(cx, attempt, Duration::ZERO, Err(failure));
+            self.handle_call_result(cx, attempt, Duration::ZERO, Err(failure));
         }
     }
 }
--- a/crates/daemon/src/requests/finish.rs
+++ b/crates/daemon/src/requests/finish.rs
@@ -1,13 +1,13 @@
-//! Phase 6: the one answer. An outcome of a keyed request is committed to the
-//! ledger before the caller gets it, so that a repeat gets the same.
+//! Phase 6: the answer. The outcome of a request with a key is committed to the ledger before the
+//! caller gets it, so that a resend gets the same answer.
 
 use crate::replica::ProposalOutcome;
-use crate::requests::active::{ActiveRequest, Phase, RequestNumber};
+use crate::requests::active::{ActiveRequest, RequestNumber, RequestPhase};
 use crate::requests::actor::RequestActor;
 use crate::requests::answer::{
     event, CompletedBody, ErrorBody, StageAnswer, EVENT_STREAM_CONTENT_TYPE,
 };
-use crate::requests::own::ledger_reply;
+use crate::requests::key_ownership::ledger_reply;
 use serde_json::Value;
 use silversail_http::ResponseHead;
 use silversail_ledger::{Finish, LedgerCommand, LedgerReply, RecordedOutcome};
@@ -15,27 +15,27 @@
 use stakker::{ret_some_to, CX};
 
 impl RequestActor {
-    /// All stages are done.
+    /// Completes a request whose stages are all done.
     pub(crate) fn complete(&mut self, cx: CX![], number: RequestNumber) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        request.phase = Phase::Finishing;
+        request.phase = RequestPhase::RecordingOutcome;
         let body = completed_body(request);
-        let kept = RecordedOutcome {
+        let recorded = RecordedOutcome {
             code: ResultCode::Completed,
             body,
         };
         if request.key.is_some() {
-            self.keep(cx, number, kept);
+            self.record_completion(cx, number, recorded);
         } else {
-            self.answer_completed(cx, number, kept.body);
+            self.answer_completed(cx, number, recorded.body);
         }
     }
 
-    /// Ends a request without an answer. The code given is right when nothing
-    /// ran; else it is replaced by one that says so.
-    pub(crate) fn give_up(
+    /// Fails a request. `code` applies if no stage ran; otherwise it is replaced by one that says
+    /// that the request may have run.
+    pub(crate) fn fail_request(
         &mut self,
         cx: CX![],
         number: RequestNumber,
@@ -43,24 +43,24 @@
         message: &str,
         retry_after_ms: Option<u64>,
     ) {
-        let is_finishing = self
+        let is_recording_outcome = self
             .requests
             .get(&number)
-            .is_none_or(|request| request.phase == Phase::Finishing);
-        if is_finishing {
+            .is_none_or(|request| request.phase == RequestPhase::RecordingOutcome);
+        if is_recording_outcome {
             return;
         }
         self.queue.remove(number);
         self.release_estimates(number);
-        let effect_is_out = self.requests.get(&number).is_some_and(|request| {
-            let sent = request.call.as_ref().is_some_and(|call| call.sent);
-            sent && !request.current_stage().is_repeatable()
+        let may_have_effect = self.requests.get(&number).is_some_and(|request| {
+            let is_sent = request.call.as_ref().is_some_and(|call| call.sent);
+            is_sent && !request.current_stage().is_repeatable()
         });
         self.cancel_call(number);
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        let code = truthful_code(code, request, effect_is_out);
+        let code = accurate_code(code, request, may_have_effect);
         let mut body = ErrorBody::new(&request.request_id, code, message);
         body.retry_after_ms = retry_after_ms;
         let epoch = request.key.as_ref().map(|ownership| ownership.epoch);
@@ -68,33 +68,36 @@
             None => self.answer_refusal(cx, number, code, body),
             Some(None) => self.fence(cx, number, body, code),
             Some(Some(_)) => {
-                request.phase = Phase::Finishing;
-                let kept = RecordedOutcome {
+                request.phase = RequestPhase::RecordingOutcome;
+                let recorded = RecordedOutcome {
                     code,
                     body: body.encode(),
                 };
-                self.keep_refusal(cx, number, kept, body);
+                self.record_refusal(cx, number, recorded, body);
             }
         }
     }
 
-    /// Commits the outcome of a completed request.
-    fn keep(&mut self, cx: CX![], number: RequestNumber, kept: RecordedOutcome) {
-        let body = kept.body.clone();
-        let ret = ret_some_to!([cx], kept_completed(number, body) as (ProposalOutcome));
-        self.propose_finish(number, kept, ret);
+    /// Commits the outcome of a completed request to the ledger.
+    fn record_completion(&mut self, cx: CX![], number: RequestNumber, recorded: RecordedOutcome) {
+        let body = recorded.body.clone();
+        let ret = ret_some_to!([cx], completion_recorded(number, body) as (ProposalOutcome));
+        self.propose_finish(number, recorded, ret);
     }
 
-    fn keep_refusal(
+    fn record_refusal(
         &mut self,
         cx: CX![],
         number: RequestNumber,
-        kept: RecordedOutcome,
+        recorded: RecordedOutcome,
         body: ErrorBody,
     ) {
-        let code = kept.code;
-        let ret = ret_some_to!([cx], kept_refusal(number, code, body) as (ProposalOutcome));
-        self.propose_finish(number, kept, ret);
+        let code = recorded.code;
+        let ret = ret_some_to!(
+            [cx],
+            refusal_recorded(number, code, body) as (ProposalOutcome)
+        );
+        self.propose_finish(number, recorded, ret);
     }
 
     fn propose_finish(
@@ -103,8 +106,12 @@
         outcome: RecordedOutcome,
         ret: stakker::Ret<ProposalOutcome>,
     ) {
-        let ownership = self.requests.get(&number).and_then(|one| one.key.as_ref());
-        let Some((key, epoch)) = ownership.and_then(|one| Some((one.key.clone(), one.epoch?)))
+        let ownership = self
+            .requests
+            .get(&number)
+            .and_then(|request| request.key.as_ref());
+        let Some((key, epoch)) =
+            ownership.and_then(|ownership| Some((ownership.key.clone(), ownership.epoch?)))
         else {
             return;
         };
@@ -116,20 +123,20 @@
         self.propose_to_ledger(&key, &command, self.ledger_timeout(), ret);
     }
 
-    fn kept_completed(
+    fn completion_recorded(
         &mut self,
         cx: CX![],
         number: RequestNumber,
         body: Vec<u8>,
         _outcome: ProposalOutcome,
     ) {
-        // The answer is whole and true whether or not the ledger kept it; if
-        // not, a repeat is told that the outcome is unknown.
+        // The answer is correct whether or not the ledger recorded it; if it did not, a resend is
+        // told that the outcome is unknown.
         self.answer_completed(cx, number, body);
-        self.settle(cx);
+        self.dispatch_and_update_gauges(cx);
     }
 
-    fn kept_refusal(
+    fn refusal_recorded(
         &mut self,
         cx: CX![],
         number: RequestNumber,
@@ -145,23 +152,22 @@
                 self.answer_refusal(cx, number, code, body);
             }
             Some(LedgerReply::AlreadyFinished { outcome, epoch }) => {
-                self.answer_kept(cx, number, outcome, epoch)
+                self.answer_recorded_outcome(cx, number, outcome, epoch)
             }
-            // Taken over by another copy, which may run, or not known.
+            // Either another copy took over the key and may run, or the ledger did not answer.
             _ if code.outcome() == Outcome::NotRun => {
-                let message = format!("{}; the key can't be fenced", body.message);
+                let message = format!("{}; the key cannot be fenced", body.message);
                 let retry_after_ms = body.retry_after_ms;
                 let unknown = ResultCode::FenceUnavailable;
-                self.answer_now(cx, number, unknown, &message, retry_after_ms);
+                self.answer_without_ledger(cx, number, unknown, &message, retry_after_ms);
             }
             _ => self.answer_refusal(cx, number, code, body),
         }
-        self.settle(cx);
+        self.dispatch_and_update_gauges(cx);
     }
 
-    /// Answers at once, without a word to the ledger: for outcomes that are
-    /// not this copy's to keep.
-    pub(crate) fn answer_now(
+    /// Fails a request without recording an outcome: for outcomes that another copy records.
+    pub(crate) fn answer_without_ledger(
         &mut self,
         cx: CX![],
         number: RequestNumber,
@@ -184,15 +190,15 @@
         code: ResultCode,
         body: ErrorBody,
     ) {
-        let Some(mut request) = self.take_request(cx, number) else {
+        let Some(mut request) = self.remove_request(cx, number) else {
             return;
         };
-        self.count_answer(cx, &request, code);
+        self.record_answer_metrics(cx, &request, code);
         let Some(responder) = request.responder.take() else {
             return;
         };
         if request.stream_started {
-            // The head is out: the stream ends in one event that says why.
+            // The head was already sent, so the stream ends with an event that carries the error.
             let name = code.outcome().as_str();
             responder.chunk(event(name, &body.encode()));
             responder.finish();
@@ -202,10 +208,10 @@
     }
 
     fn answer_completed(&mut self, cx: CX![], number: RequestNumber, body: Vec<u8>) {
-        let Some(mut request) = self.take_request(cx, number) else {
+        let Some(mut request) = self.remove_request(cx, number) else {
             return;
         };
-        self.count_answer(cx, &request, ResultCode::Completed);
+        self.record_answer_metrics(cx, &request, ResultCode::Completed);
         let Some(responder) = request.responder.take() else {
             return;
         };
@@ -220,8 +226,8 @@
         responder.finish();
     }
 
-    /// Takes a request out of all tables.
-    pub(crate) fn take_request(
+    /// Removes a request from all tables and cancels its call.
+    pub(crate) fn remove_request(
         &mut self,
         _: CX![],
         number: RequestNumber,
@@ -231,13 +237,13 @@
         self.cancel_call(number);
         let request = self.requests.remove(&number)?;
         self.deadlines.remove(&(request.deadline, number));
-        if request.counted {
+        if request.counts_against_limits {
             self.limiter.release(&request.tenant);
         }
         Some(request)
     }
 
-    /// Takes the request's remaining work off the admitted work.
+    /// Removes the request's remaining work from the admitted work.
     pub(crate) fn release_estimates(&mut self, number: RequestNumber) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
@@ -247,7 +253,12 @@
         }
     }
 
-    pub(crate) fn count_answer(&self, cx: CX![], request: &ActiveRequest, code: ResultCode) {
+    pub(crate) fn record_answer_metrics(
+        &self,
+        cx: CX![],
+        request: &ActiveRequest,
+        code: ResultCode,
+    ) {
         let outcome = code.outcome().as_str();
         let pipeline = request.pipeline.name.as_str();
         let metrics = &self.setup.metrics;
@@ -277,16 +288,16 @@
     }
 }
 
-/// The code that is true of a request that is given up: "not run" only when no
-/// stage ran, and "unknown" when a call that may not be repeated is out.
-fn truthful_code(code: ResultCode, request: &ActiveRequest, effect_is_out: bool) -> ResultCode {
-    if effect_is_out {
+/// The code for a failed request: "not run" only if no stage ran, and "unknown" if a sent call may
+/// not be repeated.
+fn accurate_code(code: ResultCode, request: &ActiveRequest, may_have_effect: bool) -> ResultCode {
+    if may_have_effect {
         return match code {
             ResultCode::DeadlineWhileSent => code,
             _ => ResultCode::AnswerLost,
         };
     }
-    if code.outcome() == Outcome::NotRun && request.anything_ran {
+    if code.outcome() == Outcome::NotRun && request.may_have_run {
         return match code {
             ResultCode::DeadlineExpired => ResultCode::DeadlineMissed,
             _ => ResultCode::Abandoned,
@@ -298,7 +309,7 @@
 fn completed_body(request: &ActiveRequest) -> Vec<u8> {
     let last_stage = request.pipeline.stages.last();
     let output = last_stage
-        .and_then(|stage| request.previous.get(stage.name.as_str()))
+        .and_then(|stage| request.stage_outputs.get(stage.name.as_str()))
         .unwrap_or(&Value::Null);
     let body = CompletedBody {
         request_id: &request.request_id,
@@ -306,7 +317,11 @@
         outcome: Outcome::Completed,
         code: ResultCode::Completed.number(),
         output,
-        stages: request.reports.iter().map(StageAnswer::from).collect(),
+        stages: request
+            .stage_reports
+            .iter()
+            .map(StageAnswer::from)
+            .collect(),
     };
     serde_json::to_vec(&body).expect("the body encodes")
 }
--- a/crates/daemon/src/requests/key_ownership.rs
+++ b/crates/daemon/src/requests/key_ownership.rs
@@ -1,9 +1,9 @@
-//! Phase 3: taking a key in the ledger, and waiting where another copy of the
-//! request has it.
+//! Phase 3: acquiring the idempotency key in the ledger, and waiting if another copy of the request
+//! owns it.
 
 use crate::clock::wall_clock_ms;
 use crate::replica::ProposalOutcome;
-use crate::requests::active::{ActiveRequest, Phase, RequestNumber};
+use crate::requests::active::{ActiveRequest, RequestNumber, RequestPhase};
 use crate::requests::actor::RequestActor;
 use crate::requests::answer::ErrorBody;
 use sha2::{Digest, Sha256};
@@ -12,10 +12,10 @@
 use stakker::{after, call, ret_some_to, Actor, Ret, CX};
 use std::time::Duration;
 
-/// Interval at which a copy asks for the outcome of the one that runs.
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(100);
+/// Interval at which a copy polls for the outcome of the one that runs.
+const OTHER_COPY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Decodes a ledger's reply; none when it did not answer.
+/// Decodes a ledger's reply; `None` if it did not answer.
 pub(crate) fn ledger_reply(outcome: ProposalOutcome) -> Option<LedgerReply> {
     match outcome {
         ProposalOutcome::Applied(bytes) => postcard::from_bytes(&bytes).ok(),
@@ -24,7 +24,7 @@
 }
 
 impl RequestActor {
-    /// Proposes to the ledger group of `key`.
+    /// Proposes a command to the ledger group of `key`.
     pub(crate) fn propose_to_ledger(
         &self,
         key: &RequestKey,
@@ -38,8 +38,7 @@
     }
 
     fn ledger_of(&self, key: &RequestKey) -> Actor<crate::replica::ProposerActor> {
-        // All nodes must agree on a key's group, whatever they were built with,
-        // so the hash is one that is specified.
+        // All nodes must agree on the group of a key across builds, so the hash is a specified one.
         let mut hasher = Sha256::new();
         hasher.update(key.tenant.as_str());
         hasher.update([0]);
@@ -49,22 +48,22 @@
             .iter()
             .take(8)
             .fold(0_u64, |sum, byte| sum << 8 | u64::from(*byte));
-        let part = number % self.setup.ledgers.len() as u64;
-        self.setup.ledgers[part as usize].clone()
+        let group = number % self.setup.ledgers.len() as u64;
+        self.setup.ledgers[group as usize].clone()
     }
 
     pub(crate) fn ledger_timeout(&self) -> Duration {
         Duration::from_millis(self.setup.settings.timing.ledger_timeout_ms)
     }
 
-    /// Takes the request's key, where it has one, and goes on.
-    pub(crate) fn take_ownership(&mut self, cx: CX![], number: RequestNumber) {
+    /// Acquires the request's key, if it has one, and starts the first stage.
+    pub(crate) fn acquire_key(&mut self, cx: CX![], number: RequestNumber) {
         let has_key = self
             .requests
             .get(&number)
             .is_some_and(|request| request.key.is_some());
         if has_key {
-            self.begin(cx, number, None);
+            self.propose_begin(cx, number, None);
         } else {
             self.start_stage(cx, number);
         }
@@ -90,11 +89,11 @@
         })
     }
 
-    fn begin(&mut self, cx: CX![], number: RequestNumber, take_over: Option<u64>) {
+    fn propose_begin(&mut self, cx: CX![], number: RequestNumber, take_over: Option<u64>) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        request.phase = Phase::Owning;
+        request.phase = RequestPhase::AcquiringKey;
         let remaining = request.deadline.saturating_duration_since(cx.now());
         let request = &self.requests[&number];
         let Some(begin) = self.begin_command(request, take_over) else {
@@ -102,15 +101,15 @@
         };
         let key = begin.key.clone();
         let timeout = self.ledger_timeout().min(remaining);
-        let ret = ret_some_to!([cx], begun(number) as (ProposalOutcome));
+        let ret = ret_some_to!([cx], handle_begin_reply(number) as (ProposalOutcome));
         self.propose_to_ledger(&key, &LedgerCommand::Begin(begin), timeout, ret);
     }
 
-    fn begun(&mut self, cx: CX![], number: RequestNumber, outcome: ProposalOutcome) {
+    fn handle_begin_reply(&mut self, cx: CX![], number: RequestNumber, outcome: ProposalOutcome) {
         let is_waiting = self
             .requests
             .get(&number)
-            .is_some_and(|request| request.phase == Phase::Owning);
+            .is_some_and(|request| request.phase == RequestPhase::AcquiringKey);
         if !is_waiting {
             return;
         }
@@ -120,23 +119,29 @@
                 self.start_stage(cx, number);
             }
             Some(LedgerReply::AlreadyFinished { outcome, epoch }) => {
-                self.answer_kept(cx, number, outcome, epoch)
+                self.answer_recorded_outcome(cx, number, outcome, epoch)
             }
             Some(LedgerReply::InProgress {
                 owner,
                 epoch,
                 claimed,
-            }) => self.wait_for_other(cx, number, owner, epoch, claimed),
+            }) => self.wait_for_other_copy(cx, number, owner, epoch, claimed),
             Some(LedgerReply::Conflict) => {
                 let message = "the key was used for another request";
-                self.answer_now(cx, number, ResultCode::IdempotencyConflict, message, None);
+                self.answer_without_ledger(
+                    cx,
+                    number,
+                    ResultCode::IdempotencyConflict,
+                    message,
+                    None,
+                );
             }
             Some(_) | None => {
-                let message = "the claim ledger can't be reached";
-                self.give_up(cx, number, ResultCode::LedgerUnavailable, message, None);
+                let message = "the claim ledger is not reachable";
+                self.fail_request(cx, number, ResultCode::LedgerUnavailable, message, None);
             }
         }
-        self.settle(cx);
+        self.dispatch_and_update_gauges(cx);
     }
 
     fn set_epoch(&mut self, number: RequestNumber, epoch: u64) {
@@ -147,9 +152,9 @@
         }
     }
 
-    /// Another copy has the key. Its owner may be dead: then the key is taken
-    /// over, unless a call was claimed, which may have run.
-    fn wait_for_other(
+    /// Handles a key that another copy owns. If the owner's process is gone, the key is taken over,
+    /// unless a claimed call may have run.
+    fn wait_for_other_copy(
         &mut self,
         cx: CX![],
         number: RequestNumber,
@@ -165,54 +170,54 @@
             .is_live(&owner.node, owner.incarnation);
         if !is_live && !claimed {
             if let Some(request) = self.requests.get_mut(&number) {
-                // Stages that may be repeated may have run there.
-                request.anything_ran = true;
+                // Repeatable stages may have run there.
+                request.may_have_run = true;
             }
-            self.begin(cx, number, Some(epoch));
+            self.propose_begin(cx, number, Some(epoch));
             return;
         }
         if !is_live {
-            let message = "the process that ran this key was lost after a call was sent";
-            self.answer_now(cx, number, ResultCode::AnswerLost, message, None);
+            let message = "the process that owned this key was lost after it claimed a call";
+            self.answer_without_ledger(cx, number, ResultCode::AnswerLost, message, None);
             return;
         }
         if let Some(request) = self.requests.get_mut(&number) {
-            request.phase = Phase::WaitingForOther;
-            after!(ASK_AGAIN_AFTER, [cx], ask_again(number));
+            request.phase = RequestPhase::WaitingForOtherCopy;
+            after!(OTHER_COPY_POLL_INTERVAL, [cx], poll_other_copy(number));
         }
     }
 
-    fn ask_again(&mut self, cx: CX![], number: RequestNumber) {
+    fn poll_other_copy(&mut self, cx: CX![], number: RequestNumber) {
         let is_waiting = self
             .requests
             .get(&number)
-            .is_some_and(|request| request.phase == Phase::WaitingForOther);
+            .is_some_and(|request| request.phase == RequestPhase::WaitingForOtherCopy);
         if is_waiting {
-            self.begin(cx, number, None);
+            self.propose_begin(cx, number, None);
         }
     }
 
-    /// Goes back to waiting after the key was taken over by another copy.
-    pub(crate) fn superseded(&mut self, cx: CX![], number: RequestNumber) {
+    /// Waits for the outcome after another copy took over the key.
+    pub(crate) fn handle_superseded(&mut self, cx: CX![], number: RequestNumber) {
         self.release_estimates(number);
-        self.begin(cx, number, None);
+        self.propose_begin(cx, number, None);
     }
 
-    /// Answers a repeat with what the first copy got.
-    pub(crate) fn answer_kept(
+    /// Answers a resend with the outcome that was recorded for its key.
+    pub(crate) fn answer_recorded_outcome(
         &mut self,
         cx: CX![],
         number: RequestNumber,
         outcome: RecordedOutcome,
         epoch: u64,
     ) {
-        let Some(mut request) = self.take_request(cx, number) else {
+        let Some(mut request) = self.remove_request(cx, number) else {
             return;
         };
         let Some(responder) = request.responder.take() else {
             return;
         };
-        self.count_answer(cx, &request, outcome.code);
+        self.record_answer_metrics(cx, &request, outcome.code);
         let mut head = crate::surface::head_for(outcome.code);
         head.headers.push(("silversail-kept", "true".into()));
         if outcome.code.outcome() == silversail_model::Outcome::NotRun {
@@ -220,7 +225,7 @@
                 .push(("silversail-retry-token", epoch.to_string()));
         }
         if request.stream {
-            // A repeat of a stream gets the kept answer as its one event.
+            // A resent stream gets the recorded answer as its only event.
             let name = outcome.code.outcome().as_str();
             head.content_type = crate::requests::answer::EVENT_STREAM_CONTENT_TYPE;
             let body = crate::requests::answer::event(name, &outcome.body);
@@ -230,9 +235,8 @@
         responder.respond(head, outcome.body);
     }
 
-    /// Ends a request that has its key, or wants it, with a refusal: the key is
-    /// fenced first, so that no other copy runs after the caller was told
-    /// "not run".
+    /// Refuses a request with a key. The key is fenced first, so that no other copy runs after the
+    /// caller was told "not run".
     pub(crate) fn fence(
         &mut self,
         cx: CX![],
@@ -243,7 +247,7 @@
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        request.phase = Phase::Finishing;
+        request.phase = RequestPhase::RecordingOutcome;
         let request = &self.requests[&number];
         let Some(begin) = self.begin_command(request, None) else {
             return;
@@ -257,11 +261,14 @@
             },
         };
         let timeout = self.ledger_timeout();
-        let ret = ret_some_to!([cx], fenced(number, code, body) as (ProposalOutcome));
+        let ret = ret_some_to!(
+            [cx],
+            handle_fence_reply(number, code, body) as (ProposalOutcome)
+        );
         self.propose_to_ledger(&key, &command, timeout, ret);
     }
 
-    fn fenced(
+    fn handle_fence_reply(
         &mut self,
         cx: CX![],
         number: RequestNumber,
@@ -275,19 +282,25 @@
                 self.answer_refusal(cx, number, code, body);
             }
             Some(LedgerReply::AlreadyFinished { outcome, epoch }) => {
-                self.answer_kept(cx, number, outcome, epoch)
+                self.answer_recorded_outcome(cx, number, outcome, epoch)
             }
             Some(LedgerReply::Conflict) => {
                 let message = "the key was used for another request";
-                self.answer_now(cx, number, ResultCode::IdempotencyConflict, message, None);
+                self.answer_without_ledger(
+                    cx,
+                    number,
+                    ResultCode::IdempotencyConflict,
+                    message,
+                    None,
+                );
             }
             Some(LedgerReply::InProgress { .. }) => {
-                let message = "another copy of the key is running";
-                self.answer_now(cx, number, ResultCode::RunningElsewhere, message, None);
+                let message = "another copy with the same key is running";
+                self.answer_without_ledger(cx, number, ResultCode::RunningElsewhere, message, None);
             }
             Some(_) | None => {
-                let message = format!("{}; the key can't be fenced", body.message);
-                self.answer_now(
+                let message = format!("{}; the key cannot be fenced", body.message);
+                self.answer_without_ledger(
                     cx,
                     number,
                     ResultCode::FenceUnavailable,
@@ -296,6 +309,6 @@
                 );
             }
         }
-        self.settle(cx);
+        self.dispatch_and_update_gauges(cx);
     }
 }
--- a/crates/daemon/src/requests/outcome.rs
+++ b/crates/daemon/src/requests/outcome.rs
@@ -1,4 +1,4 @@
-//! Phase 5: results of calls, retries and tokens.
+//! Phase 5: call results, retries and streamed tokens.
 
 use crate::requests::active::{CurrentCall, RequestNumber, StageReport};
 use crate::requests::actor::RequestActor;
@@ -12,18 +12,18 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Most attempts at one stage.
+/// Maximum attempts at one stage.
 const MAX_ATTEMPTS: u32 = 4;
 
 impl RequestActor {
-    pub(crate) fn take_result(
+    pub(crate) fn handle_call_result(
         &mut self,
         cx: CX![],
         attempt: u64,
         service: Duration,
         result: Result<StageOutput, CallFailure>,
     ) {
-        let Some(outstanding) = self.forget_outstanding(attempt) else {
+        let Some(outstanding) = self.remove_outstanding_call(attempt) else {
             return;
         };
         let now = self.now_millis(cx);
@@ -35,7 +35,7 @@
         }
         let number = outstanding.request;
         if matches!(result, Err(CallFailure::Lost(_))) {
-            self.call_broke_off(&outstanding, now);
+            self.connection_lost(&outstanding, now);
         }
         let is_current = self.requests.get(&number).is_some_and(|request| {
             request
@@ -44,25 +44,25 @@
                 .is_some_and(|call| call.attempt == attempt)
         });
         if !is_current {
-            // Of an attempt that the request no longer waits for.
-            let late = &self.setup.metrics.late_answers;
-            late.with_label_values(&["result"]).inc();
+            // The request no longer waits for this attempt.
+            let late_answers = &self.setup.metrics.late_answers;
+            late_answers.with_label_values(&["result"]).inc();
             return;
         }
         match result {
-            Ok(output) => self.stage_done(cx, number, service, output),
-            Err(CallFailure::Withheld) => self.choose_anew(cx, number),
+            Ok(output) => self.complete_stage(cx, number, service, output),
+            Err(CallFailure::Withheld) => self.reselect_backend(cx, number),
             Err(failure) => {
-                let was_turned_away = matches!(failure, CallFailure::NotRun(_));
-                self.stage_failed(cx, number, failure);
-                if was_turned_away {
-                    self.refuse_too_late(cx);
+                let was_rejected = matches!(failure, CallFailure::NotRun(_));
+                self.handle_stage_failure(cx, number, failure);
+                if was_rejected {
+                    self.reject_queued_past_backoff(cx);
                 }
             }
         }
     }
 
-    fn stage_done(
+    fn complete_stage(
         &mut self,
         cx: CX![],
         number: RequestNumber,
@@ -75,14 +75,14 @@
         let Some(call) = request.call.take() else {
             return;
         };
-        request.anything_ran = true;
+        request.may_have_run = true;
         let position = request.stage;
         let pipeline = request.pipeline.clone();
         let stage = &pipeline.stages[position];
         let queue_time = request
             .called_at
             .saturating_duration_since(request.queued_at);
-        request.reports.push(StageReport {
+        request.stage_reports.push(StageReport {
             stage: stage.name.clone(),
             kind: stage.kind,
             backend: call.backend,
@@ -92,10 +92,12 @@
             cost_ms: output.cost_ms,
             tokens: output.tokens,
         });
-        request.previous.insert(stage.name.0.clone(), output.value);
+        request
+            .stage_outputs
+            .insert(stage.name.0.clone(), output.value);
         request.stage += 1;
         request.attempts = 0;
-        request.avoid.clear();
+        request.failed_backends.clear();
         let tenant = request.tenant.clone();
         let fingerprint = request.fingerprint;
         let estimate = request.estimates.first().copied();
@@ -108,7 +110,7 @@
         }
         let service_ms = service.as_secs_f64() * 1_000.0;
         self.pools
-            .served(&pipeline.name, position, stage, service_ms);
+            .record_service_time(&pipeline.name, position, stage, service_ms);
         let metrics = &self.setup.metrics;
         let kind = stage.kind.as_str();
         let model = stage.model.as_deref().unwrap_or_default();
@@ -132,9 +134,9 @@
         }
     }
 
-    /// The back end said after it was chosen that it rests or leaves. Nothing was sent, so that it
-    /// costs no attempt and no retry.
-    fn choose_anew(&mut self, cx: CX![], number: RequestNumber) {
+    /// Selects another back end after the selected one reported that it backs off or drains.
+    /// Nothing was sent, so this uses up no attempt and no retry.
+    fn reselect_backend(&mut self, cx: CX![], number: RequestNumber) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
@@ -143,7 +145,7 @@
         self.start_stage(cx, number);
     }
 
-    fn stage_failed(&mut self, cx: CX![], number: RequestNumber, failure: CallFailure) {
+    fn handle_stage_failure(&mut self, cx: CX![], number: RequestNumber, failure: CallFailure) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
@@ -153,14 +155,14 @@
         let is_repeatable = request.current_stage().is_repeatable();
         let was_not_run = matches!(failure, CallFailure::NotRun(_));
         if !was_not_run {
-            request.anything_ran = true;
+            request.may_have_run = true;
         }
         let code = failure_code(&failure, is_repeatable);
-        request.avoid.push(call.backend.clone());
+        request.failed_backends.push(call.backend.clone());
         let may_repeat = was_not_run || is_repeatable;
         let is_final = matches!(failure, CallFailure::Deadline | CallFailure::Cancelled);
         if may_repeat && !is_final && request.attempts < MAX_ATTEMPTS {
-            if self.take_retry(&call) {
+            if self.try_take_retry(&call) {
                 let reason = code.reason();
                 self.setup
                     .metrics
@@ -170,29 +172,33 @@
                 self.start_stage(cx, number);
                 return;
             }
-            let message = "the retry budget of the back end is spent";
+            let message = "the retry budget of the back end is exhausted";
             let code = match was_not_run {
                 true => ResultCode::RetryBudgetSpent,
                 false => code,
             };
-            self.give_up(cx, number, code, message, None);
+            self.fail_request(cx, number, code, message, None);
             return;
         }
-        self.give_up(cx, number, code, &failure.to_string(), None);
+        self.fail_request(cx, number, code, &failure.to_string(), None);
     }
 
-    fn take_retry(&mut self, call: &CurrentCall) -> bool {
+    fn try_take_retry(&mut self, call: &CurrentCall) -> bool {
         let share = self.setup.settings.routing.retry_share;
-        self.budgets
+        self.retry_budgets
             .entry(call.backend.clone())
             .or_insert_with(|| RetryBudget::new(share))
             .try_take_retry()
     }
 
-    /// Passes a token on. When another engine runs the stream again, its first
-    /// tokens must be those that the caller has.
-    pub(crate) fn stream_token(&mut self, cx: CX![], attempt: u64, sequence: u64, text: String) {
-        let Some(number) = self.outstanding.get(&attempt).map(|call| call.request) else {
+    /// Forwards a token to the caller. If another engine repeats the generation, its first tokens
+    /// must match those already sent.
+    pub(crate) fn forward_token(&mut self, cx: CX![], attempt: u64, sequence: u64, text: String) {
+        let Some(number) = self
+            .outstanding_calls
+            .get(&attempt)
+            .map(|call| call.request)
+        else {
             return;
         };
         let Some(request) = self.requests.get_mut(&number) else {
@@ -206,10 +212,10 @@
             return;
         }
         let position = sequence as usize;
-        if let Some(sent) = request.streamed.get(position) {
-            if *sent != text {
-                let message = "another engine gave another text";
-                self.give_up(cx, number, ResultCode::StreamBroken, message, None);
+        if let Some(sent_token) = request.sent_tokens.get(position) {
+            if *sent_token != text {
+                let message = "another engine generated a different text";
+                self.fail_request(cx, number, ResultCode::StreamBroken, message, None);
             }
             return;
         }
@@ -226,42 +232,42 @@
             "text": text,
         });
         responder.chunk(event("token", data.to_string().as_bytes()));
-        request.streamed.push(text);
+        request.sent_tokens.push(text);
     }
 
-    /// The deadline of a request passed.
+    /// Fails a request whose deadline has passed.
     pub(crate) fn deadline_passed(&mut self, cx: CX![], number: RequestNumber) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
-        use crate::requests::active::Phase;
+        use crate::requests::active::RequestPhase;
         let (code, message) = match request.phase {
-            // The outcome is known already and is being kept.
-            Phase::Finishing => return,
-            Phase::WaitingForOther => (
+            // The outcome is already known and is being recorded.
+            RequestPhase::RecordingOutcome => return,
+            RequestPhase::WaitingForOtherCopy => (
                 ResultCode::RunningElsewhere,
-                "another copy of the key did not end in time",
+                "another copy with the same key did not complete before the deadline",
             ),
-            Phase::Owning | Phase::Queued | Phase::Claiming => {
+            RequestPhase::AcquiringKey | RequestPhase::Queued | RequestPhase::Claiming => {
                 (ResultCode::DeadlineExpired, "the deadline passed")
             }
-            Phase::Calling if request.current_stage().is_repeatable() => (
+            RequestPhase::Calling if request.current_stage().is_repeatable() => (
                 ResultCode::DeadlineMissed,
                 "the deadline passed during a stage",
             ),
-            Phase::Calling => (
+            RequestPhase::Calling => (
                 ResultCode::DeadlineWhileSent,
-                "the deadline passed while a call that may not be repeated was out",
+                "the deadline passed during a call that may not be repeated",
             ),
         };
         if code == ResultCode::RunningElsewhere {
-            self.answer_now(cx, number, code, message, None);
+            self.answer_without_ledger(cx, number, code, message, None);
         } else {
-            self.give_up(cx, number, code, message, None);
+            self.fail_request(cx, number, code, message, None);
         }
     }
 
-    /// Cancels the call that is out; its thread reports later and is ignored.
+    /// Cancels the current call; the result that its thread reports later is ignored.
     pub(crate) fn cancel_call(&mut self, number: RequestNumber) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
@@ -271,10 +277,10 @@
         };
         call.cancelled.store(true, Ordering::Relaxed);
         if !call.sent {
-            self.forget_outstanding(call.attempt);
+            self.remove_outstanding_call(call.attempt);
             return;
         }
-        request.anything_ran = true;
+        request.may_have_run = true;
         let kind = request.current_stage().kind;
         if kind == silversail_model::StageKind::Generation {
             let attempt = format!("{}-a{}", request.request_id, call.attempt);
@@ -283,7 +289,7 @@
     }
 }
 
-/// The code of a failure that is not retried.
+/// The result code of a call failure that is not retried.
 fn failure_code(failure: &CallFailure, is_repeatable: bool) -> ResultCode {
     match failure {
         CallFailure::NotRun(_) | CallFailure::Withheld => ResultCode::BackendRefused,
--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -1,6 +1,6 @@
-//! A request that may not be repeated runs at most once, and "not run" is true:
-//! concurrent resends through all processes under kills and cuts, checked
-//! against the services' own run log.
+//! A request that may not be repeated runs at most once, and "not run" is never a wrong answer:
+//! concurrent resends go through all processes during kills and link faults, and are checked
+//! against the run log of the services.
 
 mod common;
 
@@ -17,13 +17,13 @@
 
 const CALLERS: usize = 8;
 const KEYS_PER_CALLER: usize = 25;
-/// Copies of a key that callers send, each through another process.
+/// Copies of each key that a caller sends, through different processes.
 const COPIES: usize = 2;
 
 fn run_callers(addresses: &[SocketAddr], records: &Mutex<Vec<CallRecord>>) {
     thread::scope(|scope| {
         for number in 0..CALLERS {
-            scope.spawn(move || one_caller(number, addresses, records));
+            scope.spawn(move || run_caller(number, addresses, records));
         }
     });
 }
@@ -31,24 +31,24 @@
 fn violations(bench: &Bench, records: &Mutex<Vec<CallRecord>>) -> Vec<Violation> {
     let records = records.lock().expect("not poisoned");
     let runs = bench.emulator.run_log.records();
-    let open_runs: Vec<_> = runs
+    let pipeline_runs: Vec<_> = runs
         .into_iter()
         .filter(|run| run.service.starts_with("gate"))
         .collect();
     assert!(
-        open_runs.len() >= 20,
-        "hardly anything ran: {}",
-        open_runs.len()
+        pipeline_runs.len() >= 20,
+        "too few runs: {}",
+        pipeline_runs.len()
     );
-    check(&records, &open_runs)
+    check(&records, &pipeline_runs)
         .into_iter()
-        // A killed process takes its connections with it.
+        // A killed process loses its callers' connections.
         .filter(|violation| !matches!(violation, Violation::Lost { .. }))
         .collect()
 }
 
 #[test]
-fn kills_and_cuts_make_no_key_run_twice_and_no_refusal_untrue() {
+fn no_key_runs_twice_and_no_refusal_is_wrong_under_kills_and_link_faults() {
     let options = ClusterOptions {
         proxied: true,
         ..ClusterOptions::new(5, 3)
@@ -62,7 +62,7 @@
     let cluster = Mutex::new(cluster);
     thread::scope(|scope| {
         scope.spawn(|| {
-            // One process after another is killed, frozen or cut off.
+            // Kills, disconnects or suspends one process after another.
             let mut step = 0;
             while !done.load(Ordering::Relaxed) {
                 let position = step % 5;
@@ -95,7 +95,7 @@
     assert_eq!(violations(&bench, &records), []);
 }
 
-fn one_caller(number: usize, addresses: &[SocketAddr], records: &Mutex<Vec<CallRecord>>) {
+fn run_caller(number: usize, addresses: &[SocketAddr], records: &Mutex<Vec<CallRecord>>) {
     let caller = Caller::new(addresses.to_vec());
     for key in 0..KEYS_PER_CALLER {
         // Two callers share each key.
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn claims_survive_the_death_of_all_processes_at_once() {
+fn claims_survive_a_crash_of_all_processes_at_once() {
     let mut bench = Bench::start(ClusterOptions::new(3, 3));
     let records = Mutex::new(Vec::new());
     run_callers(&bench.addresses(), &records);
@@ -133,7 +133,7 @@
     assert_eq!(
         bench.emulator.run_log.records().len(),
         runs_before,
-        "a kept key ran again"
+        "a key with a recorded outcome ran again"
     );
     assert_eq!(violations(&bench, &records), []);
 }
--- a/crates/daemon/tests/crashing_requests.rs
+++ b/crates/daemon/tests/crashing_requests.rs
@@ -1,5 +1,5 @@
-//! Requests of pipelines that crash the back ends which run them: refused by all processes after
-//! three crashes, while others go on. The judgement is shared with pass-through requests.
+//! Pipeline requests that crash the back ends which run them are quarantined on all processes,
+//! while other requests are served.
 
 mod common;
 
@@ -15,19 +15,19 @@
 use std::thread;
 use std::time::Duration;
 
-/// An input that ends the back end that runs it.
+/// Input that crashes the back end that runs it.
 const CRASHING: &str = "crash";
-/// How long a back end is away after that. Its name in the configuration stays, so that ends less
-/// than 5 s apart count as one.
-const DOWN_FOR: Duration = Duration::from_millis(5_200);
-/// Back ends: more than crash while the first is away.
+/// Downtime of a back end after a crash. Crashes of one name less than 5 s apart count as one.
+const DOWNTIME: Duration = Duration::from_millis(5_200);
+/// Number of back ends, more than crash during one downtime.
 const BACKENDS: usize = 8;
-/// Between tries of a caller.
-const PAUSE: Duration = Duration::from_millis(400);
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Interval between the requests of a caller.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(400);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 const PATH: &str = "/v1/pipelines/open/requests";
 
-/// A service whose listening socket goes with the process that it stands for.
+/// Starts a service that closes its listening socket when it crashes and opens it again after the
+/// downtime.
 fn start_backend(crashes: Arc<AtomicUsize>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
     let address = listener.local_addr().expect("an address");
@@ -38,14 +38,14 @@
                 crashes.fetch_add(1, Ordering::SeqCst);
             }
             drop(listener);
-            thread::sleep(DOWN_FOR);
+            thread::sleep(DOWNTIME);
             listener = TcpListener::bind(address).expect("its own address");
         }
     });
     address
 }
 
-/// Answers calls one after the other; true once one has crashed it.
+/// Answers calls one after the other; true once a call has crashed the service.
 fn serve_until_crash(listener: &TcpListener) -> bool {
     for stream in listener.incoming() {
         let Ok(stream) = stream else {
@@ -58,7 +58,7 @@
     false
 }
 
-/// Whether the call crashes the back end; one that is no call is dropped.
+/// Answers one call; true if it crashes the service. Connections without a call are dropped.
 fn answer_call(mut stream: TcpStream) -> bool {
     let Some(call) = read_call(&stream) else {
         return false;
@@ -70,51 +70,57 @@
         json!({ "attempt": call["attempt"], "output": "fine", "cost_ms": 1.0 }).to_string();
     let length = answer.len();
     let head = format!("HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n");
-    // Whoever asked may be gone.
+    // The caller may have disconnected.
     let _ = stream.write_all((head + &answer).as_bytes());
     false
 }
 
 #[test]
-fn a_pipelines_request_that_crashed_three_back_ends_is_refused_everywhere() {
+fn a_pipeline_request_that_crashed_three_back_ends_is_refused_by_all_processes() {
     let bench = Bench::start(ClusterOptions::new(3, 3));
     let crashes = Arc::new(AtomicUsize::new(0));
-    let mut changed = document(&bench.emulator);
-    let backends = changed["backends"].as_array_mut().expect("back ends");
-    backends.retain(|one| one["kind"] != "service");
+    let mut changed_configuration = document(&bench.emulator);
+    let backends = changed_configuration["backends"]
+        .as_array_mut()
+        .expect("back ends");
+    backends.retain(|backend| backend["kind"] != "service");
     for number in 0..BACKENDS {
         let address = start_backend(crashes.clone()).to_string();
         backends.push(json!({
             "name": format!("gate-{number}"), "kind": "service", "address": address, "slots": 4,
         }));
     }
-    let (status, answer) = bench.cluster.change(0, "gates", 1, changed).expect("one");
+    let (status, answer) = bench
+        .cluster
+        .change(0, "gates", 1, changed_configuration)
+        .expect("a response");
     assert_eq!(status, 200, "{answer}");
     assert!(bench.cluster.wait_for_revision(2));
     let addresses = bench.addresses();
-    let ask = |node: usize, input: &str| {
+    let send_request = |node: usize, input: &str| {
         let body = json!({ "tenant": "desk", "input": input }).to_string();
         post(addresses[node], PATH, &body)
     };
-    let mut tries = 0;
-    let is_refused = wait_until(PATIENCE, || {
-        tries += 1;
-        thread::sleep(PAUSE);
-        ask(tries % 3, CRASHING).1["code"] == 2114
+    let mut attempts = 0;
+    let is_refused = wait_until(WAIT_TIMEOUT, || {
+        attempts += 1;
+        thread::sleep(REQUEST_INTERVAL);
+        send_request(attempts % 3, CRASHING).1["code"] == 2114
     });
-    let crashed = crashes.load(Ordering::SeqCst);
-    assert!(is_refused, "after {crashed} crashes");
-    // Three are borne after the third within 3 s; a try follows the other in half a second here.
-    assert!(crashed <= 6, "{crashed} crashes");
-    let is_refused_everywhere = wait_until(PATIENCE, || {
+    let crash_count = crashes.load(Ordering::SeqCst);
+    assert!(is_refused, "not refused after {crash_count} crashes");
+    // After the third crash, up to three more may occur until all processes have the quarantine
+    // list.
+    assert!(crash_count <= 6, "{crash_count} crashes");
+    let is_refused_everywhere = wait_until(WAIT_TIMEOUT, || {
         (0..3).all(|node| {
-            let (status, answer) = ask(node, CRASHING);
+            let (status, answer) = send_request(node, CRASHING);
             status == 400 && answer["code"] == 2114
         })
     });
     assert!(is_refused_everywhere);
     for node in 0..3 {
-        let (status, answer) = ask(node, "another");
+        let (status, answer) = send_request(node, "another");
         assert_eq!(status, 200, "{answer}");
     }
 }
--- a/crates/daemon/tests/requests.rs
+++ b/crates/daemon/tests/requests.rs
@@ -1,4 +1,4 @@
-//! A caller gets the whole answer to its own request, or a true refusal.
+//! A caller gets the complete answer to its own request, or a correct error.
 
 mod common;
 
@@ -12,13 +12,13 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-fn three() -> Bench {
+fn start_three_nodes() -> Bench {
     Bench::start(ClusterOptions::new(3, 3))
 }
 
 #[test]
-fn whole_answers_come_streamed_or_not_and_name_their_request() {
-    let bench = three();
+fn complete_answers_arrive_streamed_or_plain_for_their_request() {
+    let bench = start_three_nodes();
     let caller = bench.caller();
     let plain = caller.call(&call("chat", "plain"), 0, 1);
     assert_eq!(plain.outcome(), Some("completed"), "{:?}", plain.body);
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_broken_stream_is_resumed_at_the_next_token() {
-    let bench = three();
+    let bench = start_three_nodes();
     let caller = bench.caller();
     let options = |key: &str| CallOptions {
         stream: true,
@@ -48,14 +48,14 @@
     for attempt in 0..6 {
         let reply = caller.call(&options(&format!("cut-{attempt}")), attempt, 1);
         assert_eq!(reply.outcome(), Some("completed"), "{:?}", reply.body);
-        assert_eq!(reply.tokens.len(), 12, "no token twice, none lost");
+        assert_eq!(reply.tokens.len(), 12, "a token was lost or repeated");
         assert_eq!(json!(reply.tokens.concat()), reply.body["output"]);
     }
 }
 
 #[test]
-fn an_engine_that_never_sends_its_end_mark_gives_no_whole_answer() {
-    let bench = three();
+fn a_generation_without_an_end_mark_fails_at_its_deadline() {
+    let bench = start_three_nodes();
     for engine in ["engine-1", "engine-2"] {
         bench.emulator.faults(engine).set_mode(FaultMode::Hang);
     }
@@ -76,8 +76,8 @@
 #[case(FaultMode::Error)]
 #[case(FaultMode::Cut)]
 #[case(FaultMode::Refuse)]
-fn a_repeatable_stage_goes_elsewhere_when_a_back_end_answers_badly(#[case] mode: FaultMode) {
-    let bench = three();
+fn a_repeatable_stage_is_retried_on_another_back_end_after_a_bad_answer(#[case] mode: FaultMode) {
+    let bench = start_three_nodes();
     bench.emulator.faults("encoder-1").set_mode(mode);
     let caller = bench.caller();
     let retries = || -> f64 {
@@ -89,8 +89,7 @@
             })
             .sum()
     };
-    // Which encoder is chosen first is left to chance, so calls go on until
-    // the bad one was.
+    // The encoder is selected at random, so requests are sent until the faulty one was called.
     for attempt in 0..60 {
         let reply = caller.call(&call("chat", &format!("bad-{attempt}")), attempt, 1);
         assert_eq!(reply.outcome(), Some("completed"), "{:?}", reply.body);
@@ -98,7 +97,7 @@
             return;
         }
     }
-    panic!("nothing was retried");
+    panic!("no stage was retried");
 }
 
 #[rstest]
@@ -107,12 +106,12 @@
 #[case(FaultMode::Cut, "unknown", 3101)]
 #[case(FaultMode::Error, "failed", 3001)]
 #[case(FaultMode::Refuse, "not_run", 2111)]
-fn a_call_that_may_not_be_repeated_is_never_sent_again(
+fn a_call_that_may_not_be_repeated_is_not_retried(
     #[case] mode: FaultMode,
     #[case] outcome: &str,
     #[case] code: u64,
 ) {
-    let bench = three();
+    let bench = start_three_nodes();
     for gate in ["gate-1", "gate-2"] {
         bench.emulator.faults(gate).set_mode(mode);
     }
@@ -128,19 +127,19 @@
     for gate in ["gate-1", "gate-2"] {
         bench.emulator.faults(gate).set_mode(FaultMode::None);
     }
-    // A repeat with the same key through another process gets the kept answer.
-    let again = caller.call(&options, 1, 1);
-    assert_eq!(again.body["outcome"], first.body["outcome"]);
-    assert_eq!(again.body["code"], first.body["code"]);
-    let records = [first.record(&options), again.record(&options)];
+    // A resend with the same key through another process gets the recorded answer.
+    let resent = caller.call(&options, 1, 1);
+    assert_eq!(resent.body["outcome"], first.body["outcome"]);
+    assert_eq!(resent.body["code"], first.body["code"]);
+    let records = [first.record(&options), resent.record(&options)];
     let runs = bench.emulator.run_log.records();
     assert_eq!(check(&records, &runs), []);
     assert!(runs.len() <= 1, "{runs:?}");
 }
 
 #[test]
-fn a_refused_key_runs_again_only_for_a_caller_who_saw_the_refusal() {
-    let bench = three();
+fn a_refused_key_runs_again_only_with_its_retry_token() {
+    let bench = start_three_nodes();
     for gate in ["gate-1", "gate-2"] {
         bench.emulator.faults(gate).set_mode(FaultMode::Refuse);
     }
@@ -151,7 +150,7 @@
     for gate in ["gate-1", "gate-2"] {
         bench.emulator.faults(gate).set_mode(FaultMode::None);
     }
-    // An older copy, still on its way when the refusal was told.
+    // An older copy that was still in transit when the caller got the refusal.
     assert_eq!(caller.call(&options, 1, 1).outcome(), Some("not_run"));
     assert!(bench.emulator.run_log.records().is_empty());
     options.retry_token = refused.body["retry_token"].as_str().map(str::to_owned);
@@ -162,7 +161,7 @@
 
 #[test]
 fn the_same_key_with_another_body_is_a_conflict() {
-    let bench = three();
+    let bench = start_three_nodes();
     let caller = bench.caller();
     let first = call("open", "same");
     assert_eq!(caller.call(&first, 0, 1).outcome(), Some("completed"));
@@ -186,23 +185,28 @@
 #[case(r#"{"tenant":"nobody","input":1}"#, "chat", 403, 2005)]
 #[case(r#"{"tenant":"guest","input":1}"#, "open", 403, 2006)]
 #[case(r#"{"tenant":"desk","input":1,"deadline_ms":0}"#, "chat", 400, 2007)]
-fn bad_input_gets_a_numbered_refusal(
+fn invalid_input_gets_a_numbered_error(
     #[case] body: &str,
     #[case] pipeline: &str,
     #[case] status: u16,
     #[case] code: u64,
 ) {
-    let bench = three();
+    let bench = start_three_nodes();
     let address = bench.cluster.nodes[0].callers;
-    let (got, answer) = post(address, &format!("/v1/pipelines/{pipeline}/requests"), body);
-    assert_eq!((got, &answer["code"]), (status, &json!(code)), "{answer}");
+    let (actual_status, answer) =
+        post(address, &format!("/v1/pipelines/{pipeline}/requests"), body);
+    assert_eq!(
+        (actual_status, &answer["code"]),
+        (status, &json!(code)),
+        "{answer}"
+    );
     assert_eq!(answer["outcome"], "not_run");
     let reply = bench.caller().call(&call("chat", "after"), 0, 1);
     assert_eq!(reply.outcome(), Some("completed"));
 }
 
 #[test]
-fn oversized_slow_and_idle_callers_leave_others_unharmed() {
+fn oversized_slow_and_idle_callers_do_not_affect_others() {
     let mut options = ClusterOptions::new(3, 3);
     options.settings = json!({
         "limits": { "body_bytes": 20_000, "body_timeout_ms": 400, "header_timeout_ms": 800 },
@@ -238,8 +242,8 @@
 }
 
 #[test]
-fn a_caller_who_goes_away_cancels_the_generation() {
-    let bench = three();
+fn a_disconnected_caller_cancels_the_generation() {
+    let bench = start_three_nodes();
     for engine in ["engine-1", "engine-2"] {
         bench.emulator.faults(engine).set_slowdown(60.0);
     }
@@ -275,13 +279,13 @@
     assert!(open(0), "the request is still open");
     assert!(
         wait_until(Duration::from_secs(5), || engine_load() == 0),
-        "the engine goes on"
+        "the engine still generates"
     );
 }
 
 #[test]
-fn a_tenants_limit_holds_over_all_processes() {
-    let bench = three();
+fn a_tenant_limit_applies_across_all_processes() {
+    let bench = start_three_nodes();
     for engine in ["engine-1", "engine-2"] {
         bench.emulator.faults(engine).set_slowdown(40.0);
     }
@@ -303,7 +307,7 @@
             .collect();
         calls
             .into_iter()
-            .map(|one| one.join().expect("joined"))
+            .map(|call| call.join().expect("joined"))
             .collect()
     });
     let refused = replies
@@ -314,6 +318,6 @@
         .iter()
         .filter(|reply| reply.outcome() == Some("completed"))
         .count();
-    // The limit is 3 over the cluster, and each of 3 processes has a share of 1.
+    // The cluster-wide limit is 3, so each of the 3 processes has a share of 1.
     assert_eq!((completed, refused), (3, 15), "{replies:?}");
 }
