--- a/crates/daemon/src/requests/accept.rs
+++ b/crates/daemon/src/requests/accept.rs
@@ -212,8 +212,7 @@
         None => None,
         Some(Ok(token)) => Some(token),
         Some(Err(_)) => {
-            let message =
-                "Silversail-Retry-Token is not a token that this service issued".to_owned();
+            let message = "Silversail-Retry-Token is not a valid token".to_owned();
             return Err((ResultCode::InvalidIdempotencyKey, message));
         }
     };
--- a/crates/daemon/src/requests/answer.rs
+++ b/crates/daemon/src/requests/answer.rs
@@ -97,7 +97,7 @@
 }
 
 /// Encodes one server-sent event.
-pub fn event(name: &str, data: &[u8]) -> Vec<u8> {
+pub fn server_sent_event(name: &str, data: &[u8]) -> Vec<u8> {
     let mut bytes = format!("event: {name}\ndata: ").into_bytes();
     bytes.extend_from_slice(data);
     bytes.extend_from_slice(b"\n\n");
--- a/crates/daemon/src/requests/finish.rs
+++ b/crates/daemon/src/requests/finish.rs
@@ -5,7 +5,7 @@
 use crate::requests::active::{ActiveRequest, RequestNumber, RequestPhase};
 use crate::requests::actor::RequestActor;
 use crate::requests::answer::{
-    event, CompletedBody, ErrorBody, StageAnswer, EVENT_STREAM_CONTENT_TYPE,
+    server_sent_event, CompletedBody, ErrorBody, StageAnswer, EVENT_STREAM_CONTENT_TYPE,
 };
 use crate::requests::key_ownership::ledger_reply;
 use serde_json::Value;
@@ -200,7 +200,7 @@
         if request.stream_started {
             // The head was already sent, so the stream ends with an event that carries the error.
             let name = code.outcome().as_str();
-            responder.chunk(event(name, &body.encode()));
+            responder.chunk(server_sent_event(name, &body.encode()));
             responder.finish();
         } else {
             self.respond_refusal(responder, code, &body);
@@ -222,7 +222,7 @@
         if !request.stream_started {
             responder.head(ResponseHead::new(200, EVENT_STREAM_CONTENT_TYPE));
         }
-        responder.chunk(event(Outcome::Completed.as_str(), &body));
+        responder.chunk(server_sent_event(Outcome::Completed.as_str(), &body));
         responder.finish();
     }
 
@@ -269,11 +269,11 @@
         if code != ResultCode::Completed {
             metrics.refusals.with_label_values(&[code.reason()]).inc();
         }
-        let took = cx.now().saturating_duration_since(request.arrived_at);
+        let elapsed = cx.now().saturating_duration_since(request.arrived_at);
         metrics
             .request_seconds
             .with_label_values(&[pipeline, outcome])
-            .observe(took.as_secs_f64());
+            .observe(elapsed.as_secs_f64());
         log::info!(
             event = "answer",
             request = request.request_id.as_str(),
@@ -282,7 +282,7 @@
             code = code.number(),
             reason = code.reason(),
             stage = request.stage,
-            ms = took.as_millis() as u64;
+            ms = elapsed.as_millis() as u64;
             "request answered"
         );
     }
--- a/crates/daemon/src/requests/key_ownership.rs
+++ b/crates/daemon/src/requests/key_ownership.rs
@@ -228,7 +228,7 @@
             // A resent stream gets the recorded answer as its only event.
             let name = outcome.code.outcome().as_str();
             head.content_type = crate::requests::answer::EVENT_STREAM_CONTENT_TYPE;
-            let body = crate::requests::answer::event(name, &outcome.body);
+            let body = crate::requests::answer::server_sent_event(name, &outcome.body);
             responder.respond(head, body);
             return;
         }
--- a/crates/daemon/src/requests/mod.rs
+++ b/crates/daemon/src/requests/mod.rs
@@ -4,7 +4,7 @@
 //! 2. `admit`: checks freshness and limits, and admits the request.
 //! 3. `key_ownership`: acquires the idempotency key in the ledger, if the caller gave one.
 //! 4. `dispatch`: queues each stage, selects a back end, commits a claim for a stage that may not
-//! be repeated, and calls the back end.
+//!    be repeated, and calls the back end.
 //! 5. `outcome`: handles call results and retries.
 //! 6. `finish`: records the outcome and answers the caller.
 
--- a/crates/daemon/src/requests/outcome.rs
+++ b/crates/daemon/src/requests/outcome.rs
@@ -2,7 +2,7 @@
 
 use crate::requests::active::{CurrentCall, RequestNumber, StageReport};
 use crate::requests::actor::RequestActor;
-use crate::requests::answer::{event, EVENT_STREAM_CONTENT_TYPE};
+use crate::requests::answer::{server_sent_event, EVENT_STREAM_CONTENT_TYPE};
 use serde_json::json;
 use silversail_backend::{CallFailure, StageOutput};
 use silversail_http::ResponseHead;
@@ -231,7 +231,7 @@
             "sequence": sequence,
             "text": text,
         });
-        responder.chunk(event("token", data.to_string().as_bytes()));
+        responder.chunk(server_sent_event("token", data.to_string().as_bytes()));
         request.sent_tokens.push(text);
     }
 
--- a/crates/daemon/tests/resting_backends.rs
+++ b/crates/daemon/tests/resting_backends.rs
@@ -114,9 +114,9 @@
 /// Sends requests to one process for a fixed time; true for each that was served.
 fn send_requests(bench: &Bench) -> Vec<bool> {
     let address = bench.addresses()[0];
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut served = Vec::new();
-    while began.elapsed() < REQUEST_PERIOD {
+    while started_at.elapsed() < REQUEST_PERIOD {
         let body = json!({ "tenant": "desk", "input": "x" }).to_string();
         served.push(post(address, PATH, &body).0 == 200);
         thread::sleep(Duration::from_millis(10));
@@ -166,15 +166,15 @@
     };
     // The first request discovers the back-off.
     send_request();
-    let began = Instant::now();
+    let started_at = Instant::now();
     let (status, answer) = send_request();
-    let took = began.elapsed();
+    let elapsed = started_at.elapsed();
     assert_eq!(status, 503, "{answer}");
     assert_eq!(answer["code"], 2115, "{answer}");
     let reported = answer["retry_after_ms"].as_u64().unwrap_or_default();
     assert!((55_000..=60_000).contains(&reported), "{answer}");
     // The request's deadline is 3 s.
-    assert!(took < Duration::from_secs(1), "{took:?}");
+    assert!(elapsed < Duration::from_secs(1), "{elapsed:?}");
 }
 
 /// The engine that ran the last stage of a pipeline, and its number of attempts.
@@ -245,8 +245,8 @@
         leaves_after_ms: Some(0),
         ..ConductConfig::default()
     });
-    let began = Instant::now();
-    let served = generations(&bench, |_| began.elapsed() > Duration::from_secs(4));
+    let started_at = Instant::now();
+    let served = generations(&bench, |_| started_at.elapsed() > Duration::from_secs(4));
     let calls_to_leaving = served.iter().filter(|(engine, _)| engine == "engine-1");
     let calls_to_leaving = calls_to_leaving.count();
     assert!(
