--- a/crates/daemon/src/gateway/list_reader.rs
+++ b/crates/daemon/src/gateway/list_reader.rs
@@ -3,7 +3,7 @@
 //! recent read arrives, other nodes take over one by one, beginning with the replicating nodes,
 //! which distribute what they read.
 
-use crate::session::ListingLease;
+use crate::session::BackendListLease;
 use silversail_consensus::Millis;
 use silversail_model::NodeName;
 use std::collections::hash_map::DefaultHasher;
@@ -34,7 +34,7 @@
     /// Maximum rate of calls by the whole cluster, per second.
     pub calls_per_second: f64,
     /// Time for which a read stays valid.
-    pub lease: ListingLease,
+    pub lease: BackendListLease,
 }
 
 /// Position in the order in which nodes take over from the leader.
@@ -81,7 +81,7 @@
 
     /// Age of the list from which this node reads it, in milliseconds.
     fn takeover_age(&self) -> Millis {
-        let ListingLease(lease) = self.lease;
+        let BackendListLease(lease) = self.lease;
         match self.position {
             ReaderPosition::Replicating(index) => lease + REPLICATING_NODE_STEP * index as Millis,
             ReaderPosition::Other(index) => {
--- a/crates/daemon/src/gateway/state_updates.rs
+++ b/crates/daemon/src/gateway/state_updates.rs
@@ -42,10 +42,10 @@
     pub(super) fn update_list_reader(&mut self, now: Millis) {
         let is_leader = self.setup.control.borrow().is_leader;
         let state = self.setup.state.borrow();
-        let confirmed_at = state.listing_confirmed_at;
+        let confirmed_at = state.backend_list_confirmed_at;
         let read_at = confirmed_at.max(self.local_list_reads.read_at);
         let age = now.saturating_sub(read_at.unwrap_or(self.started_at));
-        let is_idle = !is_leader && age <= state.listing_lease.0;
+        let is_idle = !is_leader && age <= state.backend_list_lease.0;
         let reads_list = !is_idle && {
             let replicating = self.setup.directory.borrow().replicating();
             let nodes = state.view.nodes.iter().map(|status| &status.node);
@@ -56,9 +56,9 @@
                 position: ReaderPosition::of(&self.node, &replicating, others),
                 calls_per_read: self
                     .local_list_reads
-                    .calls_per_read(state.listing.as_deref()),
+                    .calls_per_read(state.backend_list.as_deref()),
                 calls_per_second: self.setup.settings.backend_list_rate,
-                lease: state.listing_lease,
+                lease: state.backend_list_lease,
             };
             input.should_read()
         };
@@ -75,7 +75,7 @@
         let list = self.dispatcher.instances.applied_list();
         let list = list.with_read(read.entries.iter().cloned());
         if let Some(relay) = &self.setup.relay {
-            call!([relay], list_read(read.entries));
+            call!([relay], backend_list_read(read.entries));
         }
         self.dispatcher.apply_backend_list(&list, now);
         self.place_waiting_orders(now);
@@ -190,7 +190,7 @@
     }
 
     pub(super) fn apply_backend_list(&mut self, now: Millis) {
-        let list = self.setup.state.borrow().listing.clone();
+        let list = self.setup.state.borrow().backend_list.clone();
         let Some(list) = list.filter(|list| Some(list.version) != self.backend_list_version) else {
             return;
         };
--- a/crates/daemon/src/gateway/surface_requests.rs
+++ b/crates/daemon/src/gateway/surface_requests.rs
@@ -124,7 +124,7 @@
     /// Returns the applied configuration document if a quorum confirmed it recently.
     pub(super) fn read_traffic(&self, now: Millis) -> SurfaceReply {
         let state = self.setup.state.borrow();
-        if !state.is_current(now, self.setup.settings.read_staleness_ms) {
+        if !state.has_current_configuration(now, self.setup.settings.read_staleness_ms) {
             return SurfaceReply::Unavailable(ResultCode::NotCurrent);
         }
         match &state.traffic {
--- a/crates/daemon/tests/list_reader.rs
+++ b/crates/daemon/tests/list_reader.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use silversail_daemon::gateway::list_reader::{ListReaderInput, ReaderPosition};
-use silversail_daemon::session::{ListingLease, NodeState, LISTING_LEASE};
+use silversail_daemon::session::{BackendListLease, NodeState, DEFAULT_BACKEND_LIST_LEASE};
 use silversail_daemon::settings::GatewaySettings;
 use silversail_model::NodeName;
 use silversail_peer::{BackendList, BackendListVersion};
@@ -34,7 +34,7 @@
         position,
         calls_per_read: PAGE_COUNT,
         calls_per_second: CALLS_PER_SECOND,
-        lease: ListingLease::default(),
+        lease: BackendListLease::default(),
     }
 }
 
@@ -56,7 +56,7 @@
 #[test]
 fn the_leader_always_reads_and_other_nodes_only_without_its_reads() {
     for position in positions() {
-        let mut input = reader_input(position, LISTING_LEASE);
+        let mut input = reader_input(position, DEFAULT_BACKEND_LIST_LEASE);
         assert!(!input.should_read(), "{position:?}");
         input.is_leader = true;
         assert!(input.should_read());
@@ -84,9 +84,9 @@
             .into_iter()
             .filter(move |position| reader_input(*position, age).should_read())
     };
-    let first: Vec<ReaderPosition> = reads_at(LISTING_LEASE + 100).collect();
+    let first: Vec<ReaderPosition> = reads_at(DEFAULT_BACKEND_LIST_LEASE + 100).collect();
     assert_eq!(first, [ReaderPosition::Replicating(0)]);
-    assert!(reads_at(LISTING_LEASE + 1_400)
+    assert!(reads_at(DEFAULT_BACKEND_LIST_LEASE + 1_400)
         .all(|position| matches!(position, ReaderPosition::Replicating(_))));
 }
 
@@ -124,15 +124,15 @@
 #[test]
 fn the_leaders_list_replaces_a_fallback_after_the_lease() {
     let mut state = NodeState::default();
-    assert!(state.take_listing(backend_list(3, 7, 0), 1_000));
+    assert!(state.apply_backend_list(backend_list(3, 7, 0), 1_000));
     let fallback = BackendListVersion::fallback_of(backend_list(3, 7, 0).version, 99);
     assert!(fallback > backend_list(3, 7, 0).version);
     assert!(fallback < backend_list(3, 8, 0).version);
-    assert!(state.take_listing(backend_list(3, 7, fallback.fallback), 4_000));
+    assert!(state.apply_backend_list(backend_list(3, 7, fallback.fallback), 4_000));
     // While the fallback is valid, an older version does not replace it.
-    assert!(!state.take_listing(backend_list(3, 7, 0), 5_000));
-    assert!(state.take_listing(backend_list(3, 7, 0), 4_001 + LISTING_LEASE));
-    assert!(state.take_listing(backend_list(3, 8, 0), 4_002 + LISTING_LEASE));
+    assert!(!state.apply_backend_list(backend_list(3, 7, 0), 5_000));
+    assert!(state.apply_backend_list(backend_list(3, 7, 0), 4_001 + DEFAULT_BACKEND_LIST_LEASE));
+    assert!(state.apply_backend_list(backend_list(3, 8, 0), 4_002 + DEFAULT_BACKEND_LIST_LEASE));
 }
 
 #[test]
@@ -168,7 +168,7 @@
     #[case] lease_ms: u64,
 ) {
     let settings = gateway_settings(leaving_bound_ms);
-    assert_eq!(settings.listing_lease(), ListingLease(lease_ms));
+    assert_eq!(settings.listing_lease(), BackendListLease(lease_ms));
     let interval = settings.long_list_interval().as_millis() as u64;
     // With jitter of the interval, the read itself and a heartbeat.
     assert!(interval * 13 / 10 + 300 + 400 <= lease_ms, "{interval} ms");
