--- a/crates/daemon/src/actors.rs
+++ b/crates/daemon/src/actors.rs
@@ -151,8 +151,10 @@
     pub fn deliver(&self, envelope: Envelope, now: Instant) {
         let from = envelope.from;
         let now = self.clock.millis(now);
-        self.directory.borrow_mut().heard(&from, now);
-        self.outbox.borrow_mut().heard(&from, envelope.incarnation);
+        self.directory.borrow_mut().record_message(&from, now);
+        self.outbox
+            .borrow_mut()
+            .record_message(&from, envelope.incarnation);
         match envelope.message {
             PeerMessage::Group { group, message } => self.deliver_to_group(group, from, message),
             PeerMessage::Session(SessionMessage::Reply(reply)) => {
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -1,9 +1,9 @@
 //! The nodes that this process knows: all of them from its settings, or learnt
 //! by discovery from a few contact addresses.
 
-mod nearness;
+mod proximity;
 
-pub use nearness::Relay;
+pub use proximity::Relay;
 use silversail_consensus::Millis;
 use silversail_model::{NodeName, Topology};
 use silversail_peer::{Contact, ContactWithAge, ContactsVersion};
@@ -59,7 +59,7 @@
     /// What is known of the contacts of other processes.
     held: BTreeMap<NodeName, ContactsVersion>,
     /// Whether an answer added nothing to what was known of its sender's contacts.
-    was_told_all: bool,
+    has_all_contacts: bool,
 }
 
 /// A directory shared by the actors of one node.
@@ -67,7 +67,7 @@
 
 impl Directory {
     /// A directory of `contacts`, all that there are.
-    pub fn fixed(own: NodeName, contacts: Vec<Contact>) -> Self {
+    pub fn with_fixed_nodes(own: NodeName, contacts: Vec<Contact>) -> Self {
         let known = contacts
             .into_iter()
             .map(|contact| {
@@ -86,12 +86,12 @@
             known,
             changes: 0,
             held: BTreeMap::new(),
-            was_told_all: false,
+            has_all_contacts: false,
         }
     }
 
     /// A directory that knows `own` only, and addresses to ask.
-    pub fn discovering(
+    pub fn with_discovery(
         own: Contact,
         contact_addresses: Vec<String>,
         first_start: bool,
@@ -116,7 +116,7 @@
             known: [(name, known)].into(),
             changes: 0,
             held: BTreeMap::new(),
-            was_told_all: false,
+            has_all_contacts: false,
         }
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// Names of the nodes that replicate the state, in order.
-    pub fn replicating(&self) -> Vec<NodeName> {
+    pub fn replicating_nodes(&self) -> Vec<NodeName> {
         let contacts = self.known.values().map(|known| &known.contact);
         contacts
             .filter(|contact| contact.replicates)
@@ -183,7 +183,7 @@
 
     /// Takes in a contact heard `ago` milliseconds before `now`. True when the
     /// node was unknown or is reached elsewhere.
-    pub fn hear(&mut self, contact: Contact, ago: Millis, now: Millis) -> bool {
+    pub fn record_contact(&mut self, contact: Contact, ago: Millis, now: Millis) -> bool {
         if contact.node == self.own || ago > FORGET_AFTER || !self.is_discovering() {
             return false;
         }
@@ -212,7 +212,7 @@
     }
 
     /// A message of `node` arrived.
-    pub fn heard(&mut self, node: &NodeName, now: Millis) {
+    pub fn record_message(&mut self, node: &NodeName, now: Millis) {
         if let Some(known) = self.known.get_mut(node) {
             known.heard_at = known.heard_at.max(now);
         }
@@ -230,7 +230,7 @@
     }
 
     /// Contacts that nobody heard of for long.
-    pub fn silent(&self, now: Millis) -> Vec<NodeName> {
+    pub fn stale_contacts(&self, now: Millis) -> Vec<NodeName> {
         let is_silent = |known: &&Known| now.saturating_sub(known.heard_at) > FORGET_AFTER;
         let silent = self.known.values().filter(is_silent);
         silent.map(|known| known.contact.node.clone()).collect()
@@ -240,7 +240,7 @@
     /// answers tell too few ages to keep all of them, and what is forgotten is asked for again,
     /// with all else. Of nodes that replicate only what was heard here counts: it tells whether
     /// their connections work.
-    pub fn keep(&mut self, live: &[NodeName], now: Millis) {
+    pub fn refresh_contacts(&mut self, live: &[NodeName], now: Millis) {
         for node in live {
             let known = self.known.get_mut(node);
             if let Some(known) = known.filter(|known| !known.contact.replicates) {
@@ -258,7 +258,7 @@
     }
 
     /// How long nothing was heard of each other node, in milliseconds.
-    pub fn silences(&self, now: Millis) -> Vec<(NodeName, Millis)> {
+    pub fn last_heard_ages(&self, now: Millis) -> Vec<(NodeName, Millis)> {
         let others = self.known.iter().filter(|(node, _)| **node != self.own);
         others
             .map(|(node, known)| (node.clone(), now.saturating_sub(known.heard_at)))
@@ -266,7 +266,7 @@
     }
 
     /// How long nothing was heard of `node`; none where it is not known.
-    pub fn silence_of(&self, node: &str, now: Millis) -> Option<Millis> {
+    pub fn last_heard_age(&self, node: &str, now: Millis) -> Option<Millis> {
         let known = self.known.get(&NodeName::from(node))?;
         Some(now.saturating_sub(known.heard_at))
     }
@@ -274,7 +274,7 @@
     /// What a process is told that asks for the others with their ages and `has` some of
     /// them: the replicating nodes, as everything waits for those, and of the rest the
     /// first [`MOST_TOLD`] that it lacks. With it comes what it has then.
-    pub fn others_for(
+    pub fn contacts_for(
         &self,
         has: Option<ContactsVersion>,
         now: Millis,
@@ -307,30 +307,30 @@
     }
 
     /// What is known of the contacts of `node`, to be told in a question to it.
-    pub fn held_of(&self, node: &NodeName) -> Option<ContactsVersion> {
+    pub fn contacts_version_of(&self, node: &NodeName) -> Option<ContactsVersion> {
         self.held.get(node).copied()
     }
 
     /// What is known of the contacts of the node at a peer address.
-    pub fn held_at(&self, peer_address: &str) -> Option<ContactsVersion> {
+    pub fn contacts_version_at(&self, peer_address: &str) -> Option<ContactsVersion> {
         let mut known = self.known.values();
         let at_address = known.find(|known| known.contact.peer_address == peer_address)?;
-        self.held_of(&at_address.contact.node)
+        self.contacts_version_of(&at_address.contact.node)
     }
 
     /// The contacts of `node` are known so far now.
-    pub fn holds(&mut self, node: NodeName, has: ContactsVersion) {
+    pub fn set_contacts_version(&mut self, node: NodeName, has: ContactsVersion) {
         let former = self.held.insert(node, has);
-        self.was_told_all |= former == Some(has);
+        self.has_all_contacts |= former == Some(has);
     }
 
     /// Whether some process has told all that it knew.
-    pub fn was_told_all(&self) -> bool {
-        self.was_told_all
+    pub fn has_all_contacts(&self) -> bool {
+        self.has_all_contacts
     }
 
     /// How long ago some of the others were heard, from the `first` on.
-    pub fn ages_from(&self, first: usize, now: Millis) -> Vec<(NodeName, Millis)> {
+    pub fn contact_ages(&self, first: usize, now: Millis) -> Vec<(NodeName, Millis)> {
         let others = self.known.values();
         let others = others.filter(|known| known.contact.node != self.own);
         let others: Vec<&Known> = others.collect();
@@ -349,7 +349,12 @@
 
     /// Takes in how long ago `teller` heard of others. Where one of them is not known here,
     /// the teller is asked for all its contacts next.
-    pub fn hear_ages(&mut self, teller: &NodeName, ages: &[(NodeName, Millis)], now: Millis) {
+    pub fn record_contact_ages(
+        &mut self,
+        teller: &NodeName,
+        ages: &[(NodeName, Millis)],
+        now: Millis,
+    ) {
         for (node, age) in ages.iter().filter(|(_, age)| *age <= FORGET_AFTER) {
             match self.known.get_mut(node) {
                 Some(known) => known.heard_at = known.heard_at.max(now.saturating_sub(*age)),
@@ -365,7 +370,7 @@
     /// start only, once a majority of the contact addresses has answered and
     /// the replicating nodes have been the same for a while. Two nodes that
     /// both heard a majority share an address that knows them both.
-    pub fn may_form(&self, now: Millis) -> bool {
+    pub fn may_form_group(&self, now: Millis) -> bool {
         match &self.source {
             Source::Settings => true,
             Source::Discovery {
--- a/crates/daemon/src/directory/nearness.rs
+++ b/crates/daemon/src/directory/proximity.rs
@@ -52,7 +52,7 @@
 
     /// The other nodes of this node's region; all others where there are none. Contact
     /// addresses lie in any region, so that what is known spreads between regions.
-    pub fn near_nodes(&self) -> Vec<NodeName> {
+    pub fn nearby_nodes(&self) -> Vec<NodeName> {
         let others = self.known.values().map(|known| &known.contact);
         let others: Vec<&Contact> = others.filter(|one| one.node != self.own).collect();
         let own_zone = &self.own().zone;
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -94,7 +94,7 @@
 
     /// Forgets contacts of which there was no sign for long, here or at the leader.
     fn forget_silent(&mut self, now: Millis) {
-        let silent = self.directory.borrow().silent(now);
+        let silent = self.directory.borrow().stale_contacts(now);
         if silent.is_empty() {
             return;
         }
@@ -104,7 +104,7 @@
             silent.into_iter().partition(|node| live.contains(node))
         };
         let mut directory = self.directory.borrow_mut();
-        directory.keep(&live, now);
+        directory.refresh_contacts(&live, now);
         directory.forget(&gone);
         for node in &gone {
             log::info!(event = "node_forgotten", node = node.as_str(); "no sign of the node for long");
@@ -116,7 +116,7 @@
             let directory = self.directory.borrow();
             let addresses = directory.contact_addresses().to_vec();
             let asks_all = directory.own().replicates;
-            (addresses, asks_all, directory.was_told_all())
+            (addresses, asks_all, directory.has_all_contacts())
         };
         if asks_all {
             for address in addresses {
@@ -135,7 +135,7 @@
             let directory = self.directory.borrow();
             let addresses = directory.contact_addresses();
             let address = addresses.choose(&mut self.random).cloned();
-            let node = directory.near_nodes().choose(&mut self.random).cloned();
+            let node = directory.nearby_nodes().choose(&mut self.random).cloned();
             (address, node)
         };
         if let Some(address) = address {
@@ -160,7 +160,7 @@
             self.directory.borrow_mut().address_answered(address);
             return;
         }
-        let has = self.directory.borrow().held_at(&address);
+        let has = self.directory.borrow().contacts_version_at(&address);
         let hello = self.hello(address.clone(), has);
         self.outbox.borrow_mut().send_to_address(&address, hello);
     }
@@ -171,7 +171,7 @@
     }
 
     fn ask_node(&mut self, node: &NodeName) {
-        let has = self.directory.borrow().held_of(node);
+        let has = self.directory.borrow().contacts_version_of(node);
         let hello = self.hello(String::new(), has);
         self.outbox.borrow_mut().send(node, hello);
     }
@@ -179,8 +179,8 @@
     /// A connection to a machine that was cut off or lost power may hang; the
     /// replicating nodes, which everything waits for, are dialled anew.
     fn renew_connections(&mut self, now: Millis) {
-        let replicating = self.directory.borrow().replicating();
-        let silences = self.directory.borrow().silences(now);
+        let replicating = self.directory.borrow().replicating_nodes();
+        let silences = self.directory.borrow().last_heard_ages(now);
         for (node, silence) in silences {
             if !replicating.contains(&node) || silence < ASK_AFTER {
                 continue;
@@ -209,7 +209,7 @@
                 sent_to,
                 has,
             } => {
-                self.hear(
+                self.record_contact(
                     ContactWithAge {
                         contact,
                         last_heard_age_ms: 0,
@@ -217,9 +217,9 @@
                     now,
                 );
                 let directory = self.directory.borrow();
-                let (others, next) = directory.others_for(has, now);
+                let (others, next) = directory.contacts_for(has, now);
                 let ages = match has == Some(next) {
-                    true => directory.ages_from(self.random.gen(), now),
+                    true => directory.contact_ages(self.random.gen(), now),
                     false => Vec::new(),
                 };
                 let known = DiscoveryMessage::HelloReply {
@@ -241,8 +241,10 @@
                 ages,
             } => {
                 self.directory.borrow_mut().address_answered(sent_to);
-                self.directory.borrow_mut().holds(from.clone(), has);
-                self.hear(
+                self.directory
+                    .borrow_mut()
+                    .set_contacts_version(from.clone(), has);
+                self.record_contact(
                     ContactWithAge {
                         contact,
                         last_heard_age_ms: 0,
@@ -250,9 +252,11 @@
                     now,
                 );
                 for other in others {
-                    self.hear(other, now);
+                    self.record_contact(other, now);
                 }
-                self.directory.borrow_mut().hear_ages(&from, &ages, now);
+                self.directory
+                    .borrow_mut()
+                    .record_contact_ages(&from, &ages, now);
             }
             DiscoveryMessage::Probe => self.send(&from, DiscoveryMessage::ProbeReply),
             // Any message is a sign of life, and noted as such.
@@ -260,7 +264,7 @@
         }
     }
 
-    fn hear(&mut self, heard: ContactWithAge, now: Millis) {
+    fn record_contact(&mut self, heard: ContactWithAge, now: Millis) {
         let ContactWithAge {
             contact,
             last_heard_age_ms,
@@ -269,10 +273,10 @@
         if self
             .directory
             .borrow_mut()
-            .hear(contact, last_heard_age_ms, now)
+            .record_contact(contact, last_heard_age_ms, now)
         {
             log::debug!(event = "node_found", node = told.node.as_str(), address = told.peer_address.as_str(); "a node was found");
-            self.outbox.borrow_mut().learn(&told);
+            self.outbox.borrow_mut().set_contact(&told);
         }
     }
 }
--- a/crates/daemon/src/gateway/following.rs
+++ b/crates/daemon/src/gateway/following.rs
@@ -47,7 +47,7 @@
         let age = now.saturating_sub(read_at.unwrap_or(self.started_at));
         let is_idle = !leads && age <= state.listing_lease.0;
         let reads = !is_idle && {
-            let replicating = self.setup.directory.borrow().replicating();
+            let replicating = self.setup.directory.borrow().replicating_nodes();
             let nodes = state.view.nodes.iter().map(|status| &status.node);
             let others = nodes.filter(|node| !replicating.contains(node));
             let knowledge = ListKnowledge {
--- a/crates/daemon/src/gateway/limits.rs
+++ b/crates/daemon/src/gateway/limits.rs
@@ -72,7 +72,7 @@
         if announcements.is_empty() {
             return;
         }
-        let relays = self.setup.directory.borrow().replicating();
+        let relays = self.setup.directory.borrow().replicating_nodes();
         for announcement in announcements {
             for relay in &relays {
                 let message = LimitMessage::Announce(announcement.clone());
--- a/crates/daemon/src/node/operators.rs
+++ b/crates/daemon/src/node/operators.rs
@@ -153,7 +153,7 @@
             None => OperatorReply::refuse(
                 ResultCode::NotAVoter,
                 "the history is kept by voters; ask one of them",
-                json!({ "voters": self.directory.borrow().replicating() }),
+                json!({ "voters": self.directory.borrow().replicating_nodes() }),
             ),
         }
     }
--- a/crates/daemon/src/node/start.rs
+++ b/crates/daemon/src/node/start.rs
@@ -245,7 +245,7 @@
     )
     .with_topology(topology);
     for node in &settings.cluster.nodes {
-        outbox.place(&node.name, &node.zone);
+        outbox.set_zone(&node.name, &node.zone);
     }
     Ok(Rc::new(RefCell::new(outbox)))
 }
--- a/crates/daemon/src/outbox.rs
+++ b/crates/daemon/src/outbox.rs
@@ -85,14 +85,14 @@
     }
 
     /// Learns where a node is reached.
-    pub fn learn(&mut self, contact: &Contact) {
-        self.place(&contact.node, &contact.zone);
+    pub fn set_contact(&mut self, contact: &Contact) {
+        self.set_zone(&contact.node, &contact.zone);
         self.transport
             .set_address(&contact.node, &contact.peer_address);
     }
 
     /// Learns the zone of a node.
-    pub fn place(&mut self, node: &NodeName, zone: &str) {
+    pub fn set_zone(&mut self, node: &NodeName, zone: &str) {
         let distance = self.topology.distance_to(zone);
         self.distances.insert(node.clone(), distance);
     }
@@ -103,7 +103,7 @@
     }
 
     /// A message of a node's process came.
-    pub fn heard(&mut self, from: &NodeName, incarnation: u64) {
+    pub fn record_message(&mut self, from: &NodeName, incarnation: u64) {
         self.transport.record_message(from, incarnation);
     }
 
--- a/crates/daemon/src/replica/actor.rs
+++ b/crates/daemon/src/replica/actor.rs
@@ -113,7 +113,7 @@
             None => State::Forming(Formation::new(
                 setup.node.clone(),
                 setup.replica,
-                setup.directory.borrow().replicating(),
+                setup.directory.borrow().replicating_nodes(),
             )),
         };
         after!(TICK, [cx], tick());
@@ -243,8 +243,8 @@
         self.state = State::Member(Box::new(new_replica(&self.setup, stored, now)));
     }
 
-    pub(super) fn replicating(&self) -> Vec<NodeName> {
-        self.setup.directory.borrow().replicating()
+    pub(super) fn replicating_nodes(&self) -> Vec<NodeName> {
+        self.setup.directory.borrow().replicating_nodes()
     }
 
     pub(super) fn node_of(&self, replica: ReplicaId) -> Option<NodeName> {
--- a/crates/daemon/src/replica/joining.rs
+++ b/crates/daemon/src/replica/joining.rs
@@ -90,11 +90,11 @@
     pub(super) fn formation_step(&mut self, step: FormationStep, now: Millis) {
         match step {
             FormationStep::Wait => {}
-            FormationStep::Form(_) if !self.setup.directory.borrow().may_form(now) => {}
+            FormationStep::Form(_) if !self.setup.directory.borrow().may_form_group(now) => {}
             FormationStep::Form(snapshot) => {
                 self.become_member(snapshot.clone(), now);
                 let form = GroupMessage::Formation(FormationMessage::Form(snapshot));
-                for voter in self.replicating() {
+                for voter in self.replicating_nodes() {
                     if voter != self.setup.node {
                         self.send_group(&voter, form.clone());
                     }
@@ -115,7 +115,7 @@
     }
 
     pub(super) fn probe_or_join(&mut self, now: Millis) {
-        let replicating = self.replicating();
+        let replicating = self.replicating_nodes();
         match &mut self.state {
             State::Forming(formation) => {
                 formation.start_round(replicating);
@@ -138,7 +138,7 @@
                     replica: self.setup.replica,
                     node: self.setup.node.0.clone(),
                 });
-                for target in self.replicating() {
+                for target in self.replicating_nodes() {
                     if target != self.setup.node {
                         self.send_group(&target, GroupMessage::Formation(join.clone()));
                     }
@@ -163,7 +163,7 @@
         let emptied = FormationMessage::StorageEmpty {
             replica: self.setup.replica,
         };
-        for target in self.replicating() {
+        for target in self.replicating_nodes() {
             if target != self.setup.node {
                 self.send_group(&target, GroupMessage::Formation(emptied.clone()));
             }
@@ -172,7 +172,7 @@
 
     /// A group of one has nobody to ask.
     pub(super) fn form_alone(&mut self, now: Millis) {
-        if self.replicating() == [self.setup.node.clone()] {
+        if self.replicating_nodes() == [self.setup.node.clone()] {
             let own = (self.setup.node.clone(), self.setup.replica);
             self.probe_answered(own.0, own.1, None, now);
         }
--- a/crates/daemon/src/replica/membership_changes.rs
+++ b/crates/daemon/src/replica/membership_changes.rs
@@ -38,7 +38,7 @@
         let joining = self.joins.values().map(|join| &join.request);
         let directory = self.setup.directory.borrow();
         let is_silent = |node: &str| {
-            let silence = directory.silence_of(node, now);
+            let silence = directory.last_heard_age(node, now);
             let is_settled = self.rounds_as_leader > ROUNDS_BEFORE_REMOVAL;
             is_settled
                 && directory.is_discovering()
--- a/crates/daemon/src/replica/proposals.rs
+++ b/crates/daemon/src/replica/proposals.rs
@@ -45,7 +45,7 @@
             .setup
             .directory
             .borrow()
-            .silence_of(leader.as_str(), now);
+            .last_heard_age(leader.as_str(), now);
         silence.is_none_or(|silence| {
             silence >= SILENT_HEARTBEATS * self.setup.config.heartbeat_interval
         })
--- a/crates/daemon/src/replica/proposer.rs
+++ b/crates/daemon/src/replica/proposer.rs
@@ -125,7 +125,7 @@
         timeout: Duration,
         ret: Ret<ProposalOutcome>,
     ) {
-        let voters = self.directory.borrow().replicating();
+        let voters = self.directory.borrow().replicating_nodes();
         let own = self.outbox.borrow().node().clone();
         if let Some(position) = voters.iter().position(|voter| *voter == own) {
             self.target = position;
@@ -144,10 +144,10 @@
     fn pass_over_silent(&mut self, now: Instant) {
         let now = self.clock.millis(now);
         let directory = self.directory.borrow();
-        let voters = directory.replicating();
+        let voters = directory.replicating_nodes();
         let is_heard = |target: &usize| {
             let voter = &voters[target % voters.len()];
-            let silence = directory.silence_of(voter.as_str(), now);
+            let silence = directory.last_heard_age(voter.as_str(), now);
             silence.is_some_and(|silence| silence < SILENT_VOTER)
         };
         let mut targets = self.target..self.target + voters.len();
@@ -167,7 +167,7 @@
                 command: outstanding.command.clone(),
             },
         };
-        let voters = self.directory.borrow().replicating();
+        let voters = self.directory.borrow().replicating_nodes();
         if voters.is_empty() {
             return;
         }
@@ -221,7 +221,7 @@
             ProposalResult::NotLeader(Some(leader)) => {
                 outstanding.seeks_leader = false;
                 outstanding.resend_at = cx.now() + RESEND_AFTER;
-                let voters = self.directory.borrow().replicating();
+                let voters = self.directory.borrow().replicating_nodes();
                 if let Some(position) = voters.iter().position(|voter| *voter == leader) {
                     self.target = position;
                 }
--- a/crates/daemon/src/session/relay.rs
+++ b/crates/daemon/src/session/relay.rs
@@ -172,7 +172,7 @@
         let services = batched_services(&control);
         drop((control, evidence, sightings));
         let directory = self.setup.directory.borrow();
-        let replicating = directory.replicating();
+        let replicating = directory.replicating_nodes();
         let own = &directory.own().node;
         let topology = &self.setup.topology;
         table.assign_services(&services, &self.makers, &replicating, own, topology, now);
@@ -191,7 +191,7 @@
         let update = self.views.update_since(sent, &self.view);
         let mut outbox = self.setup.outbox.borrow_mut();
         let own = outbox.node().clone();
-        let relays = self.setup.directory.borrow().replicating();
+        let relays = self.setup.directory.borrow().replicating_nodes();
         for relay in relays.iter().filter(|relay| **relay != own) {
             let message = SessionMessage::View(update.clone());
             outbox.send(relay, PeerMessage::Session(message));
@@ -387,7 +387,7 @@
     pub(super) fn tell_relays(&self, message: SessionMessage) {
         let mut outbox = self.setup.outbox.borrow_mut();
         let own = outbox.node().clone();
-        let relays = self.setup.directory.borrow().replicating();
+        let relays = self.setup.directory.borrow().replicating_nodes();
         for relay in relays.iter().filter(|relay| **relay != own) {
             outbox.send(relay, PeerMessage::Session(message.clone()));
         }
--- a/crates/daemon/src/session/session_actor.rs
+++ b/crates/daemon/src/session/session_actor.rs
@@ -176,7 +176,7 @@
 
     fn send_to_all_relays(&mut self, cx: CX![]) {
         let heartbeat = self.heartbeat(self.setup.clock.millis(cx.now()));
-        let relays = self.setup.directory.borrow().replicating();
+        let relays = self.setup.directory.borrow().replicating_nodes();
         let mut outbox = self.setup.outbox.borrow_mut();
         for relay in relays {
             outbox.send(&relay, heartbeat.clone());
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -361,7 +361,7 @@
             replicates,
         };
         if let Some(discovery) = &self.discovery {
-            return Directory::discovering(
+            return Directory::with_discovery(
                 contact(&discovery.own, self.is_voter()),
                 discovery.contact_addresses(),
                 discovery.first_start,
@@ -373,7 +373,7 @@
         let contacts = nodes
             .map(|node| contact(node, self.cluster.voters.contains(&node.name)))
             .collect();
-        Directory::fixed(self.node.clone(), contacts).with_topology(topology)
+        Directory::with_fixed_nodes(self.node.clone(), contacts).with_topology(topology)
     }
 
     /// Where to listen for other processes.
--- a/crates/daemon/tests/directory.rs
+++ b/crates/daemon/tests/directory.rs
@@ -21,34 +21,34 @@
 
 /// A directory of the node `own` that has not heard of any other.
 fn directory(own: usize) -> Directory {
-    Directory::discovering(contact(own), vec![contact(0).peer_address], true, 0)
+    Directory::with_discovery(contact(own), vec![contact(0).peer_address], true, 0)
 }
 
 /// A directory that heard of `nodes` nodes at `now`.
 fn knowing(nodes: usize, now: u64) -> Directory {
     let mut directory = directory(0);
     for number in 1..nodes {
-        assert!(directory.hear(contact(number), 0, now));
+        assert!(directory.record_contact(contact(number), 0, now));
     }
     directory
 }
 
 fn known(directory: &Directory) -> usize {
-    directory.silences(0).len()
+    directory.last_heard_ages(0).len()
 }
 
 /// One question and its answer.
 fn ask(asker: &mut Directory, teller: &mut Directory, now: u64) -> Vec<ContactWithAge> {
     let name = teller.own().node.clone();
-    let held = asker.held_of(&name);
-    let (others, has) = teller.others_for(held, now);
-    asker.hear(teller.own().clone(), 0, now);
+    let held = asker.contacts_version_of(&name);
+    let (others, has) = teller.contacts_for(held, now);
+    asker.record_contact(teller.own().clone(), 0, now);
     for other in &others {
-        asker.hear(other.contact.clone(), other.last_heard_age_ms, now);
+        asker.record_contact(other.contact.clone(), other.last_heard_age_ms, now);
     }
-    asker.holds(name.clone(), has);
+    asker.set_contacts_version(name.clone(), has);
     if held == Some(has) {
-        asker.hear_ages(&name, &teller.ages_from(now as usize, now), now);
+        asker.record_contact_ages(&name, &teller.contact_ages(now as usize, now), now);
     }
     others
 }
@@ -68,17 +68,17 @@
 fn the_replicating_nodes_are_told_with_the_first_answer() {
     let (mut asker, mut teller) = (directory(NODES), knowing(NODES, 0));
     ask(&mut asker, &mut teller, 100);
-    assert_eq!(asker.replicating().len(), REPLICATING);
-    assert!(!asker.was_told_all());
+    assert_eq!(asker.replicating_nodes().len(), REPLICATING);
+    assert!(!asker.has_all_contacts());
 }
 
 #[test]
 fn an_asker_knows_that_it_was_told_all_when_an_answer_adds_nothing() {
     let (mut asker, mut teller) = (directory(NODES), knowing(20, 0));
     ask(&mut asker, &mut teller, 100);
-    assert!(!asker.was_told_all());
+    assert!(!asker.has_all_contacts());
     ask(&mut asker, &mut teller, 200);
-    assert!(asker.was_told_all());
+    assert!(asker.has_all_contacts());
 }
 
 /// Before, each answer told of all contacts: 20 KB of 300.
@@ -87,13 +87,13 @@
     let (mut asker, mut teller) = (directory(NODES), knowing(NODES, 0));
     for round in 0..20 {
         let others = ask(&mut asker, &mut teller, round * 100);
-        let (_, has) = teller.others_for(asker.held_of(&contact(0).node), 0);
+        let (_, has) = teller.contacts_for(asker.contacts_version_of(&contact(0).node), 0);
         let known = DiscoveryMessage::HelloReply {
             contact: contact(0),
             sent_to: String::new(),
             others,
             has,
-            ages: teller.ages_from(round as usize, round * 100),
+            ages: teller.contact_ages(round as usize, round * 100),
         };
         let envelope = Envelope {
             version: PROTOCOL_VERSION,
@@ -116,8 +116,8 @@
         peer_address: "10.9.9.9:7740".into(),
         ..contact(12)
     };
-    teller.hear(moved.clone(), 0, 150);
-    teller.hear(contact(25), 0, 150);
+    teller.record_contact(moved.clone(), 0, 150);
+    teller.record_contact(contact(25), 0, 150);
     let others = ask(&mut asker, &mut teller, 200);
     let rest: Vec<NodeName> = others
         .into_iter()
@@ -135,13 +135,13 @@
         incarnation: 77,
         changes: 10_000,
     };
-    let (others, _) = teller.others_for(Some(former), 200);
+    let (others, _) = teller.contacts_for(Some(former), 200);
     assert_eq!(others.len(), 19);
 }
 
 /// Forgets all that were not heard of for long; how many.
 fn forget_silent(directory: &mut Directory, now: u64) -> usize {
-    let silent = directory.silent(now);
+    let silent = directory.stale_contacts(now);
     directory.forget(&silent);
     silent.len()
 }
@@ -155,15 +155,15 @@
         ask(&mut asker, &mut teller, round * 100);
     }
     assert_eq!(known(&asker), MANY);
-    let silent = asker.silent(25_000);
+    let silent = asker.stale_contacts(25_000);
     assert!(silent.len() > MANY / 2, "{}", silent.len());
     let lost = contact(200).node;
     let (gone, live): (Vec<NodeName>, Vec<NodeName>) =
         silent.into_iter().partition(|node| *node == lost);
-    asker.keep(&live, 25_000);
+    asker.refresh_contacts(&live, 25_000);
     asker.forget(&gone);
-    let replicating = asker.replicating();
-    let silent = asker.silent(44_000);
+    let replicating = asker.replicating_nodes();
+    let silent = asker.stale_contacts(44_000);
     assert!(
         silent.iter().all(|node| replicating.contains(node)),
         "{silent:?}"
@@ -178,14 +178,14 @@
     for round in 0..30_u64 {
         let now = round * 2_000;
         for number in (1..NODES).filter(|number| *number != 200) {
-            teller.heard(&contact(number).node, now);
+            teller.record_message(&contact(number).node, now);
         }
         ask(&mut asker, &mut teller, now);
         ask(&mut asker, &mut teller, now + 777);
         forget_silent(&mut teller, now + 777);
         forget_silent(&mut asker, now + 777);
     }
-    assert!(asker.silence_of(silent.as_str(), 60_000).is_none());
+    assert!(asker.last_heard_age(silent.as_str(), 60_000).is_none());
     assert_eq!(known(&asker), NODES - 1);
 }
 
@@ -195,7 +195,7 @@
     ask(&mut asker, &mut teller, 100);
     assert_eq!(forget_silent(&mut asker, 25_000), 20);
     for number in 1..20 {
-        teller.heard(&contact(number).node, 25_000);
+        teller.record_message(&contact(number).node, 25_000);
     }
     for round in 0..3 {
         ask(&mut asker, &mut teller, 25_000 + round);
--- a/crates/daemon/tests/relay_choice.rs
+++ b/crates/daemon/tests/relay_choice.rs
@@ -44,7 +44,8 @@
         .iter()
         .map(|zone| contact(&format!("voter-{zone}"), zone, true));
     let own = NodeName(format!("node-{own:02}"));
-    Directory::fixed(own, nodes.chain(voters).collect()).with_topology(topology("east-1"))
+    Directory::with_fixed_nodes(own, nodes.chain(voters).collect())
+        .with_topology(topology("east-1"))
 }
 
 fn names(relays: &[Relay]) -> Vec<&str> {
@@ -85,7 +86,8 @@
     let voting = ["east-1", "east-2", "north-1"];
     let voters = voting.map(|zone| contact(&format!("voter-{zone}"), zone, true));
     let own = NodeName("voter-east-2".into());
-    let directory = Directory::fixed(own, voters.into()).with_topology(topology("east-2"));
+    let directory =
+        Directory::with_fixed_nodes(own, voters.into()).with_topology(topology("east-2"));
     assert_eq!(directory.relays()[0].node.as_str(), "voter-east-2");
 }
 
@@ -97,7 +99,7 @@
         contact("n2", "z2", true),
         contact("n3", "z1", false),
     ];
-    let directory = Directory::fixed("n3".into(), nodes.into());
+    let directory = Directory::with_fixed_nodes("n3".into(), nodes.into());
     let relays = directory.relays();
     assert_eq!(names(&relays)[0], "n1");
     let all: BTreeSet<&str> = names(&relays).into_iter().collect();
