--- a/crates/daemon/examples/clock_cost.rs
+++ b/crates/daemon/examples/clock_cost.rs
@@ -1,7 +1,7 @@
 //! What it costs to look for a suspension of the machine, once a turn of a process's loop:
 //! `cargo run --release -p silversail-daemon --example clock_cost`.
 
-use silversail_daemon::clock::{now, SuspensionWatch};
+use silversail_daemon::clock::{now, SuspensionMonitor};
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -10,10 +10,10 @@
 const TURNS_PER_SECOND: f64 = 2_000.0;
 
 fn main() {
-    let mut watch = SuspensionWatch::start();
+    let mut watch = SuspensionMonitor::start();
     let began = Instant::now();
     for _ in 0..LOOKS {
-        black_box(watch.look());
+        black_box(watch.poll());
     }
     let look = began.elapsed() / LOOKS;
     let began = Instant::now();
--- a/crates/daemon/src/actors.rs
+++ b/crates/daemon/src/actors.rs
@@ -292,13 +292,13 @@
     }
 
     /// What hands leadership over, by group.
-    pub fn hand_overs(&self) -> Vec<Fwd<()>> {
+    pub fn leadership_transfers(&self) -> Vec<Fwd<()>> {
         let Some(voter) = &self.voter else {
             return Vec::new();
         };
         let ledgers = voter.ledgers.iter();
-        std::iter::once(fwd_to!([voter.control], hand_over() as ()))
-            .chain(ledgers.map(|replica| fwd_to!([replica], hand_over() as ())))
+        std::iter::once(fwd_to!([voter.control], transfer_leadership() as ()))
+            .chain(ledgers.map(|replica| fwd_to!([replica], transfer_leadership() as ())))
             .collect()
     }
 }
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -14,13 +14,13 @@
 static SUSPENDED_MS: AtomicU64 = AtomicU64::new(0);
 
 /// The steady time, and the time for which the machine was suspended as far as
-/// [`SuspensionWatch::look`] has seen it.
+/// [`SuspensionMonitor::poll`] has seen it.
 pub fn now() -> Instant {
     Instant::now() + Duration::from_millis(SUSPENDED_MS.load(Ordering::Relaxed))
 }
 
 /// A time of [`now`] by the steady clock, for waits for sockets.
-pub fn steady(instant: Instant) -> Instant {
+pub fn to_monotonic(instant: Instant) -> Instant {
     let suspended = Duration::from_millis(SUSPENDED_MS.load(Ordering::Relaxed));
     instant.checked_sub(suspended).unwrap_or(instant)
 }
@@ -31,19 +31,19 @@
 
 /// How far the clock that counts suspended time is ahead of the steady one.
 #[derive(Debug)]
-pub struct SuspensionMeter {
+pub struct SuspensionDetector {
     counted_lead: Duration,
 }
 
-impl SuspensionMeter {
-    /// A meter that starts now; `lead` is how far the clock that counts suspended time is ahead.
+impl SuspensionDetector {
+    /// A detector that starts now; `lead` is how far the clock that counts suspended time is ahead.
     pub fn new(lead: Duration) -> Self {
         Self { counted_lead: lead }
     }
 
     /// The time for which the machine was suspended since the last one that was counted; none
     /// where the clocks went on alike.
-    pub fn suspended(&mut self, lead: Duration) -> Option<Duration> {
+    pub fn detect(&mut self, lead: Duration) -> Option<Duration> {
         let grown = lead.saturating_sub(self.counted_lead);
         if grown < Duration::from_millis(SHORTEST_SUSPENSION_MS) {
             return None;
@@ -54,23 +54,23 @@
 }
 
 /// Looks for suspensions, once a turn of the process's loop and before it handles anything.
-pub struct SuspensionWatch {
+pub struct SuspensionMonitor {
     /// None where the system has no clock that counts suspended time.
-    meter: Option<SuspensionMeter>,
+    detector: Option<SuspensionDetector>,
 }
 
-impl SuspensionWatch {
+impl SuspensionMonitor {
     /// Starts looking.
     pub fn start() -> Self {
         Self {
-            meter: lead_of_boot_clock().map(SuspensionMeter::new),
+            detector: lead_of_boot_clock().map(SuspensionDetector::new),
         }
     }
 
     /// Counts a suspension since the last look, so that [`now`] is past it; returns how long it
     /// was.
-    pub fn look(&mut self) -> Option<Duration> {
-        let suspended = self.meter.as_mut()?.suspended(lead_of_boot_clock()?)?;
+    pub fn poll(&mut self) -> Option<Duration> {
+        let suspended = self.detector.as_mut()?.detect(lead_of_boot_clock()?)?;
         SUSPENDED_MS.fetch_add(suspended.as_millis() as u64, Ordering::Relaxed);
         Some(suspended)
     }
--- a/crates/daemon/src/crashes.rs
+++ b/crates/daemon/src/crashes.rs
@@ -12,13 +12,13 @@
 use std::sync::Arc;
 
 /// What comes of connections that broke off.
-pub enum Finding {
+pub enum DiagnosisProgress {
     /// The back end is to be asked for a connection.
-    Ask(Probe),
+    Probe(Probe),
     /// It is being asked.
     Pending,
     /// It is known why they broke off.
-    Known(Diagnosis),
+    Complete(Diagnosis),
 }
 
 /// Finds out why connections break off, and tells of crashes.
@@ -27,7 +27,7 @@
     state: SharedNodeState,
     metrics: Arc<Metrics>,
     /// Has a heartbeat sent at once.
-    tell_at_once: Fwd<()>,
+    heartbeat_trigger: Fwd<()>,
 }
 
 impl CrashReporter {
@@ -37,32 +37,32 @@
             watch: CrashDetector::default(),
             state,
             metrics,
-            tell_at_once: fwd_nop!(),
+            heartbeat_trigger: fwd_nop!(),
         }
     }
 
     /// Takes what has a heartbeat sent at once.
-    pub fn set_tell_at_once(&mut self, tell_at_once: Fwd<()>) {
-        self.tell_at_once = tell_at_once;
+    pub fn set_heartbeat_trigger(&mut self, heartbeat_trigger: Fwd<()>) {
+        self.heartbeat_trigger = heartbeat_trigger;
     }
 
     /// Requests broke off at a back end.
-    pub fn broke_off(&mut self, broken: ConnectionLoss, now: Millis) -> Finding {
+    pub fn connection_lost(&mut self, broken: ConnectionLoss, now: Millis) -> DiagnosisProgress {
         match self.watch.connection_lost(broken, now) {
-            ConnectionLossAction::Probe(probe) => Finding::Ask(probe),
-            ConnectionLossAction::Wait => Finding::Pending,
-            ConnectionLossAction::Known(diagnosis) => Finding::Known(diagnosis),
+            ConnectionLossAction::Probe(probe) => DiagnosisProgress::Probe(probe),
+            ConnectionLossAction::Wait => DiagnosisProgress::Pending,
+            ConnectionLossAction::Known(diagnosis) => DiagnosisProgress::Complete(diagnosis),
         }
     }
 
     /// A back end was asked for a connection.
-    pub fn probed(&mut self, backend: &str, answer: ProbeResult) -> Option<Diagnosis> {
+    pub fn probe_finished(&mut self, backend: &str, answer: ProbeResult) -> Option<Diagnosis> {
         self.watch.probe_finished(backend, answer)
     }
 
     /// Counts what broke off. Where the back end ended, its suspects count in `quarantine` at
     /// once and are told; true then.
-    pub fn report(
+    pub fn report_crash(
         &mut self,
         diagnosis: &Diagnosis,
         quarantine: &mut RequestQuarantine,
@@ -84,12 +84,12 @@
         }
         let news = &mut self.state.borrow_mut().crash_news;
         news.crashed(backend, diagnosis.lost_at, suspects, now);
-        fwd!([self.tell_at_once], ());
+        fwd!([self.heartbeat_trigger], ());
         true
     }
 
     /// A request got a whole answer, so it crashes nothing; told where others are to know.
-    pub fn ended_well(
+    pub fn request_completed(
         &mut self,
         fingerprint: RequestFingerprint,
         quarantine: &mut RequestQuarantine,
--- a/crates/daemon/src/gateway/actor.rs
+++ b/crates/daemon/src/gateway/actor.rs
@@ -205,7 +205,7 @@
 
     /// Takes what has a heartbeat sent at once.
     pub fn set_tell_at_once(&mut self, _: CX![], tell_at_once: Fwd<()>) {
-        self.crashes.set_tell_at_once(tell_at_once);
+        self.crashes.set_heartbeat_trigger(tell_at_once);
     }
 
     pub(super) fn tick(&mut self, cx: CX![]) {
--- a/crates/daemon/src/gateway/crashes.rs
+++ b/crates/daemon/src/gateway/crashes.rs
@@ -1,7 +1,7 @@
 //! The actor's part against requests that crash back ends: why connections break off, and what is
 //! not sent any more.
 
-use crate::crashes::Finding;
+use crate::crashes::DiagnosisProgress;
 use crate::gateway::actor::GatewayActor;
 use silversail_consensus::Millis;
 use silversail_decisions::Event as LogEvent;
@@ -11,15 +11,15 @@
 impl GatewayActor {
     /// Requests broke off at a back end: whether it has ended is asked at once.
     pub(super) fn broke_off(&mut self, broken: ConnectionLoss, now: Millis) {
-        match self.crashes.broke_off(broken, now) {
-            Finding::Ask(probe) => self.setup.calls.probe(probe),
-            Finding::Pending => {}
-            Finding::Known(diagnosis) => self.diagnosed(&diagnosis, now),
+        match self.crashes.connection_lost(broken, now) {
+            DiagnosisProgress::Probe(probe) => self.setup.calls.probe(probe),
+            DiagnosisProgress::Pending => {}
+            DiagnosisProgress::Complete(diagnosis) => self.diagnosed(&diagnosis, now),
         }
     }
 
     pub(super) fn probed(&mut self, instance: &str, answer: ProbeResult, now: Millis) {
-        if let Some(diagnosis) = self.crashes.probed(instance, answer) {
+        if let Some(diagnosis) = self.crashes.probe_finished(instance, answer) {
             self.diagnosed(&diagnosis, now);
         }
     }
@@ -35,7 +35,7 @@
             fingerprints: sends.map(|one| one.fingerprint.to_string()).collect(),
         });
         let quarantine = &mut self.dispatcher.quarantine;
-        if self.crashes.report(diagnosis, quarantine, now) {
+        if self.crashes.report_crash(diagnosis, quarantine, now) {
             self.end_quarantined(now);
         }
     }
@@ -52,7 +52,7 @@
         let fingerprint = self.dispatcher.fingerprint_of(number);
         if let Some(fingerprint) = fingerprint.filter(|_| is_good) {
             let quarantine = &mut self.dispatcher.quarantine;
-            self.crashes.ended_well(fingerprint, quarantine);
+            self.crashes.request_completed(fingerprint, quarantine);
         }
     }
 
--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/exchange.rs
@@ -92,7 +92,7 @@
         plan: &SendPlan,
         watch: StreamWatch,
     ) -> SendResult {
-        let end = clock::steady(self.clock.instant(plan.end));
+        let end = clock::to_monotonic(self.clock.instant(plan.end));
         let sent = timeout_at(end.into(), self.try_send(request, id, plan, watch, end)).await;
         match sent {
             Ok(Ok(result)) => result,
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -8,7 +8,7 @@
 pub use errors::NodeError;
 
 use crate::actors::NodeActors;
-use crate::clock::{self, Clock, SuspensionWatch};
+use crate::clock::{self, Clock, SuspensionMonitor};
 use crate::directory::SharedDirectory;
 use crate::event::Event;
 use crate::gateway::runtime::GatewayRuntime;
@@ -70,7 +70,7 @@
     directory: SharedDirectory,
     settings_path: PathBuf,
     gateway: Option<Rc<GatewayRuntime>>,
-    suspension_watch: SuspensionWatch,
+    suspension_monitor: SuspensionMonitor,
     log: DecisionLog,
     /// What back ends said of themselves: those of the gateway, and those of pipelines.
     notices: [BackendNotices; 2],
@@ -117,7 +117,7 @@
     }
 
     fn note_suspension(&mut self) {
-        if let Some(suspended) = self.suspension_watch.look() {
+        if let Some(suspended) = self.suspension_monitor.poll() {
             self.metrics.suspensions.inc();
             let gap_ms = suspended.as_millis() as u64;
             log::warn!(event = "machine_suspended", gap_ms = gap_ms; "the machine was suspended");
@@ -278,7 +278,7 @@
                 .as_ref()
                 .map(|one| Duration::from_millis(one.stop_grace_ms)),
             log: self.log.clone(),
-            hand_over: self.actors.hand_overs(),
+            leadership_transfers: self.actors.leadership_transfers(),
         };
         let stop = actor!(&mut self.stakker, StopActor::init(setup), ret_nop!());
         self.stop = Some(stop);
--- a/crates/daemon/src/node/start.rs
+++ b/crates/daemon/src/node/start.rs
@@ -3,7 +3,7 @@
 use super::{Node, NodeError, NodeParts};
 use crate::actors::{ActorBuilder, ActorContext, GatewayPorts, Platform, ReplicaFiles};
 use crate::calls::{CallRunner, Calls, OrderSender};
-use crate::clock::{self, wall_clock_ms, Clock, SuspensionWatch};
+use crate::clock::{self, wall_clock_ms, Clock, SuspensionMonitor};
 use crate::event::{Event, EventSender};
 use crate::gateway::calls::RuntimeCalls;
 use crate::gateway::notices::NoticeListener;
@@ -40,7 +40,7 @@
 /// Starts a process.
 pub(super) fn start(parts: NodeParts) -> Result<Node, NodeError> {
     let settings = Arc::new(parts.settings);
-    let suspension_watch = SuspensionWatch::start();
+    let suspension_monitor = SuspensionMonitor::start();
     let now = clock::now();
     let (events, receiver) = channel();
     let metrics = Arc::new(Metrics::new());
@@ -125,7 +125,7 @@
         directory,
         settings_path: parts.settings_path,
         gateway: gateway.map(Rc::new),
-        suspension_watch,
+        suspension_monitor,
         log,
         notices: all_notices,
         _lock: lock,
--- a/crates/daemon/src/quarantine/leader.rs
+++ b/crates/daemon/src/quarantine/leader.rs
@@ -126,7 +126,7 @@
         let commit = Commit { crashes };
         let ret = ret_some_to!([cx], committed(commit) as (ProposalOutcome));
         let proposer = &self.setup.proposer;
-        call!([proposer], propose_here(command, COMMIT_TIMEOUT, ret));
+        call!([proposer], propose_locally(command, COMMIT_TIMEOUT, ret));
     }
 
     /// What was to be committed is, or not: then it is due still.
--- a/crates/daemon/src/replica/actor.rs
+++ b/crates/daemon/src/replica/actor.rs
@@ -186,7 +186,7 @@
     }
 
     /// Hands leadership over before a planned stop.
-    pub fn hand_over(&mut self, cx: CX![]) {
+    pub fn transfer_leadership(&mut self, cx: CX![]) {
         let now = self.now(cx);
         if let State::Member(replica) = &mut self.state {
             replica.tick(now);
--- a/crates/daemon/src/replica/proposer.rs
+++ b/crates/daemon/src/replica/proposer.rs
@@ -118,7 +118,7 @@
 
     /// Proposes `command` at this node first, for those that know that it leads: the voter that
     /// answered last may be the former leader, which is dead.
-    pub fn propose_here(
+    pub fn propose_locally(
         &mut self,
         cx: CX![],
         command: Vec<u8>,
--- a/crates/daemon/src/requests/crashes.rs
+++ b/crates/daemon/src/requests/crashes.rs
@@ -1,7 +1,7 @@
 //! Requests that crash the back ends of pipelines: evidence, and what is not called any more. See
 //! `silversail_quarantine`.
 
-use crate::crashes::Finding;
+use crate::crashes::DiagnosisProgress;
 use crate::requests::active::RequestNumber;
 use crate::requests::actor::{OutstandingCall, RequestActor};
 use silversail_consensus::Millis;
@@ -11,7 +11,7 @@
 impl RequestActor {
     /// Takes what has a heartbeat sent at once.
     pub fn set_tell_at_once(&mut self, _: CX![], tell_at_once: Fwd<()>) {
-        self.crashes.set_tell_at_once(tell_at_once);
+        self.crashes.set_heartbeat_trigger(tell_at_once);
     }
 
     /// Whether back ends crash under a request.
@@ -34,17 +34,17 @@
                 fingerprint: request.fingerprint,
             }],
         };
-        match self.crashes.broke_off(broken, now) {
-            Finding::Ask(probe) => self.setup.calls.probe(probe),
-            Finding::Pending => {}
-            Finding::Known(diagnosis) => self.diagnosed(&diagnosis, now),
+        match self.crashes.connection_lost(broken, now) {
+            DiagnosisProgress::Probe(probe) => self.setup.calls.probe(probe),
+            DiagnosisProgress::Pending => {}
+            DiagnosisProgress::Complete(diagnosis) => self.diagnosed(&diagnosis, now),
         }
     }
 
     /// A back end at which calls broke off was tried anew.
     pub fn probed(&mut self, cx: CX![], backend: String, answer: ProbeResult) {
         let now = self.now_millis(cx);
-        if let Some(diagnosis) = self.crashes.probed(&backend, answer) {
+        if let Some(diagnosis) = self.crashes.probe_finished(&backend, answer) {
             self.diagnosed(&diagnosis, now);
         }
         self.settle(cx);
@@ -53,7 +53,8 @@
     fn diagnosed(&mut self, diagnosis: &Diagnosis, now: Millis) {
         let cause = diagnosis.answer.cause();
         log::info!(event = "broke_off", backend = diagnosis.instance.as_str(), cause = cause, calls = diagnosis.sends.len(); "calls broke off");
-        self.crashes.report(diagnosis, &mut self.quarantine, now);
+        self.crashes
+            .report_crash(diagnosis, &mut self.quarantine, now);
     }
 
     /// Takes the list of refused requests in force.
--- a/crates/daemon/src/requests/dispatch.rs
+++ b/crates/daemon/src/requests/dispatch.rs
@@ -338,7 +338,7 @@
             model: stage.model.clone(),
             max_tokens: stage.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
             priority: (wall_clock_ms() + remaining.as_millis() as u64) as i64,
-            deadline: clock::steady(request.deadline),
+            deadline: clock::to_monotonic(request.deadline),
             repeatable: stage.is_repeatable(),
             cancelled: call.cancelled.clone(),
         };
--- a/crates/daemon/src/requests/outcome.rs
+++ b/crates/daemon/src/requests/outcome.rs
@@ -125,7 +125,8 @@
             .with_label_values(&[model])
             .inc_by(u64::from(output.tokens));
         if is_last {
-            self.crashes.ended_well(fingerprint, &mut self.quarantine);
+            self.crashes
+                .request_completed(fingerprint, &mut self.quarantine);
             self.complete(cx, number);
         } else {
             self.start_stage(cx, number);
--- a/crates/daemon/src/rollout/leader.rs
+++ b/crates/daemon/src/rollout/leader.rs
@@ -166,7 +166,7 @@
             let proposer = &self.setup.proposer;
             call!(
                 [proposer],
-                propose_here(command, ELAPSED_TIMEOUT, ret_nop!())
+                propose_locally(command, ELAPSED_TIMEOUT, ret_nop!())
             );
         }
     }
@@ -242,7 +242,7 @@
             let proposer = &self.setup.proposer;
             call!(
                 [proposer],
-                propose_here(command.encode(), DECISION_TIMEOUT, ret)
+                propose_locally(command.encode(), DECISION_TIMEOUT, ret)
             );
         }
     }
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -39,7 +39,7 @@
     /// Decisions.
     pub log: DecisionLog,
     /// Hands leadership over, by group.
-    pub hand_over: Vec<Fwd<()>>,
+    pub leadership_transfers: Vec<Fwd<()>>,
 }
 
 /// When the steps of a stop come where the time of the kill is known, counted from
@@ -121,8 +121,8 @@
                 if let Some(gateway) = &self.setup.gateway {
                     gateway.close();
                 }
-                for hand_over in &self.setup.hand_over {
-                    fwd!([hand_over], ());
+                for transfer in &self.setup.leadership_transfers {
+                    fwd!([transfer], ());
                 }
                 Some(Step::Flushing(now + FLUSH))
             }
--- a/crates/daemon/tests/clock.rs
+++ b/crates/daemon/tests/clock.rs
@@ -1,7 +1,7 @@
 //! Suspensions of the machine, by the lead of the clock that counts them.
 
 use rstest::rstest;
-use silversail_daemon::clock::{Clock, SuspensionMeter};
+use silversail_daemon::clock::{Clock, SuspensionDetector};
 use std::time::{Duration, Instant};
 
 fn ms(millis: u64) -> Duration {
@@ -12,11 +12,11 @@
 fn a_suspension_is_counted_once_and_what_was_before_the_start_is_not() {
     // The machine was suspended for an hour before this process started.
     let before = ms(3_600_000);
-    let mut meter = SuspensionMeter::new(before);
-    assert_eq!(meter.suspended(before), None);
-    assert_eq!(meter.suspended(before + ms(5_000)), Some(ms(5_000)));
-    assert_eq!(meter.suspended(before + ms(5_000)), None);
-    assert_eq!(meter.suspended(before + ms(7_500)), Some(ms(2_500)));
+    let mut detector = SuspensionDetector::new(before);
+    assert_eq!(detector.detect(before), None);
+    assert_eq!(detector.detect(before + ms(5_000)), Some(ms(5_000)));
+    assert_eq!(detector.detect(before + ms(5_000)), None);
+    assert_eq!(detector.detect(before + ms(7_500)), Some(ms(2_500)));
 }
 
 /// The clocks are read one after the other; a step of one of them back counts nothing.
@@ -26,16 +26,16 @@
 #[case(1_100, Some(100))]
 #[case(0, None)]
 fn small_and_negative_leads_are_no_suspension(#[case] lead: u64, #[case] counted: Option<u64>) {
-    let mut meter = SuspensionMeter::new(ms(1_000));
-    assert_eq!(meter.suspended(ms(lead)), counted.map(ms));
+    let mut detector = SuspensionDetector::new(ms(1_000));
+    assert_eq!(detector.detect(ms(lead)), counted.map(ms));
 }
 
 /// Many small leads in a row are not lost: what was not counted yet stays in the lead.
 #[test]
 fn small_leads_add_up() {
-    let mut meter = SuspensionMeter::new(ms(0));
+    let mut detector = SuspensionDetector::new(ms(0));
     let counted: Duration = (1..=30)
-        .filter_map(|step| meter.suspended(ms(step * 10)))
+        .filter_map(|step| detector.detect(ms(step * 10)))
         .sum();
     assert_eq!(counted, ms(300));
 }
