--- a/crates/daemon/src/actors.rs
+++ b/crates/daemon/src/actors.rs
@@ -5,7 +5,7 @@
 
 pub use builder::ActorBuilder;
 
-use crate::calls::{Calls, OrderSender};
+use crate::calls::{OrderSender, StageCalls};
 use crate::clock::Clock;
 use crate::directory::SharedDirectory;
 use crate::discovery::DiscoveryActor;
@@ -16,7 +16,7 @@
 use crate::orders::OrderActor;
 use crate::outbox::SharedOutbox;
 use crate::quarantine::QuarantineLeaderActor;
-use crate::replica::{LogWriter, ProposerActor, ReplicaActor, SharedStatus};
+use crate::replica::{LogWriter, ProposerActor, ReplicaActor, SharedGroupStatus};
 use crate::requests::RequestActor;
 use crate::rollout::{RolloutActor, RolloutLeaderActor};
 use crate::session::{RelayActor, SessionActor, SharedEvidence, SharedNodeState, SharedSightings};
@@ -64,7 +64,7 @@
 }
 
 /// What was found where a replica is stored.
-pub struct ReplicaFiles {
+pub struct OpenedReplica {
     /// Identity of the stored state.
     pub identity: ReplicaId,
     /// The stored state; none where nothing was.
@@ -86,13 +86,13 @@
 /// What differs between real and simulated nodes.
 pub trait Platform {
     /// Opens what a replica of `group` has stored.
-    fn open_replica(&mut self, group: GroupId) -> Result<ReplicaFiles, NodeError>;
+    fn open_replica(&mut self, group: GroupId) -> Result<OpenedReplica, NodeError>;
 
     /// A number that differs between nodes and starts.
     fn seed(&mut self) -> u64;
 
     /// Runs back-end calls; none on a node that serves no requests.
-    fn calls(&self) -> Option<Box<dyn Calls>>;
+    fn calls(&self) -> Option<Box<dyn StageCalls>>;
 
     /// Sends orders to engines; none where no orders are given.
     fn order_sender(&self) -> Option<Box<dyn OrderSender>>;
@@ -139,7 +139,7 @@
     /// Serves pass-through requests.
     pub gateway: Option<ActorOwn<GatewayActor>>,
     /// Status of the replicas.
-    pub statuses: BTreeMap<GroupId, SharedStatus>,
+    pub statuses: BTreeMap<GroupId, SharedGroupStatus>,
     ledger_proposers: Vec<ActorOwn<ProposerActor>>,
     directory: SharedDirectory,
     outbox: SharedOutbox,
--- a/crates/daemon/src/actors/builder.rs
+++ b/crates/daemon/src/actors/builder.rs
@@ -7,7 +7,7 @@
 use crate::node::NodeError;
 use crate::orders::{OrderActor, OrderSetup};
 use crate::quarantine::{QuarantineLeaderActor, QuarantineLeaderSetup};
-use crate::replica::{ProposerActor, ReplicaActor, ReplicaSetup, SharedStatus};
+use crate::replica::{ProposerActor, ReplicaActor, ReplicaSetup, SharedGroupStatus};
 use crate::requests::{RequestActor, RequestSetup};
 use crate::rollout::{RolloutActor, RolloutLeaderActor, RolloutLeaderSetup, RolloutSetup};
 use crate::session::{
@@ -34,7 +34,7 @@
     stakker: &'a mut Stakker,
     context: ActorContext,
     platform: &'a mut P,
-    statuses: BTreeMap<GroupId, SharedStatus>,
+    statuses: BTreeMap<GroupId, SharedGroupStatus>,
 }
 
 impl<'a, P: Platform> ActorBuilder<'a, P> {
@@ -51,7 +51,7 @@
     /// Opens the replicas and starts all actors.
     pub fn build(mut self) -> Result<NodeActors, NodeError> {
         let settings = self.context.settings.clone();
-        self.context.state.borrow_mut().listing_lease = settings.listing_lease();
+        self.context.state.borrow_mut().listing_lease = settings.backend_list_lease();
         let voter = match settings.is_voter() {
             true => Some(self.voter()?),
             false => None,
@@ -108,7 +108,7 @@
         })
     }
 
-    fn status_of(&mut self, group: GroupId) -> SharedStatus {
+    fn status_of(&mut self, group: GroupId) -> SharedGroupStatus {
         self.statuses.entry(group).or_default().clone()
     }
 
@@ -124,7 +124,7 @@
             status: self.status_of(GroupId::Control),
             outbox: self.context.outbox.clone(),
             node_lease: settings.timing.node_lease_ms,
-            listing_lease: settings.listing_lease(),
+            listing_lease: settings.backend_list_lease(),
             evidence: evidence.clone(),
             sightings: sightings.clone(),
             clock: self.context.clock,
--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -41,7 +41,7 @@
 }
 
 /// Runs back-end calls; the end of each is reported as an event.
-pub trait Calls {
+pub trait StageCalls {
     /// Starts a stage call. `streams` tells whether its tokens are wanted one
     /// by one. An error means that nothing was sent.
     fn start(
@@ -67,7 +67,7 @@
 
 /// Runs calls on threads and reports to the main thread.
 #[derive(Clone)]
-pub struct CallRunner {
+pub struct CallThreadPool {
     agents: Agents,
     listener: NoticeListener,
     events: EventSender,
@@ -77,7 +77,7 @@
     idle: Arc<AtomicUsize>,
 }
 
-impl CallRunner {
+impl CallThreadPool {
     /// A runner without threads.
     pub fn new(agents: Agents, listener: NoticeListener, events: EventSender) -> Self {
         let (jobs, waiting_jobs) = channel();
@@ -179,7 +179,7 @@
     }
 }
 
-impl Calls for CallRunner {
+impl StageCalls for CallThreadPool {
     fn start(
         &self,
         attempt: u64,
@@ -206,7 +206,7 @@
     }
 }
 
-impl OrderSender for CallRunner {
+impl OrderSender for CallThreadPool {
     fn send_order(&self, id: OrderId, address: String, order: EngineOrder) -> io::Result<()> {
         self.submit(Job::Order { id, address, order })
     }
--- a/crates/daemon/src/evacuation.rs
+++ b/crates/daemon/src/evacuation.rs
@@ -20,7 +20,7 @@
 
 /// An operator's order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ZoneOrder {
+pub struct EvacuationRequest {
     /// The zone.
     pub zone: String,
     /// Whether it is evacuated from now on.
@@ -28,7 +28,7 @@
 }
 
 /// Whoever waits for the answer to an order.
-pub trait OrderCaller {
+pub trait EvacuationCaller {
     /// Whether an answer still reaches somebody.
     fn is_waiting(&self) -> bool;
 
@@ -50,8 +50,8 @@
 
 /// An order that is proposed.
 pub(crate) struct Pending {
-    order: ZoneOrder,
-    caller: Box<dyn OrderCaller>,
+    order: EvacuationRequest,
+    caller: Box<dyn EvacuationCaller>,
     arrived_at: Instant,
 }
 
@@ -67,7 +67,12 @@
     }
 
     /// Takes an order and answers it once it is committed.
-    pub fn order(&mut self, cx: CX![], order: ZoneOrder, caller: Box<dyn OrderCaller>) {
+    pub fn order(
+        &mut self,
+        cx: CX![],
+        order: EvacuationRequest,
+        caller: Box<dyn EvacuationCaller>,
+    ) {
         if let Err(code) = self.check(&order.zone) {
             self.record(&order, code.reason());
             caller.answer(Err(code));
@@ -133,7 +138,7 @@
         waited < PROPOSED_AGAIN_WITHIN && pending.caller.is_waiting()
     }
 
-    fn record(&self, order: &ZoneOrder, outcome: &str) {
+    fn record(&self, order: &EvacuationRequest, outcome: &str) {
         let held = self.setup.state.borrow().evacuations_revision();
         self.setup.log.record(LogEvent::EvacuationOrdered {
             zone: order.zone.clone(),
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -37,7 +37,7 @@
     /// A caller's request.
     Caller(CallerRequest),
     /// The caller of a request went away.
-    CallerGone(RequestNumber),
+    CallerDisconnected(RequestNumber),
     /// A caller asks which addresses to use.
     EntryPoints {
         /// Zone to prefer.
--- a/crates/daemon/src/gateway/actor.rs
+++ b/crates/daemon/src/gateway/actor.rs
@@ -15,7 +15,7 @@
 use crate::gateway::works::Works;
 use crate::metrics::Metrics;
 use crate::outbox::SharedOutbox;
-use crate::replica::{ProposerActor, SharedStatus};
+use crate::replica::{ProposerActor, SharedGroupStatus};
 use crate::rollout::RolloutActor;
 use crate::session::{RelayActor, SharedNodeState};
 use crate::settings::GatewaySettings;
@@ -70,7 +70,7 @@
     /// Tells all nodes the list of back ends; none on a node that is no relay.
     pub relay: Option<Actor<RelayActor>>,
     /// Status of the control group's replica.
-    pub control: SharedStatus,
+    pub control: SharedGroupStatus,
     /// The outside protocols.
     pub protocols: Protocols,
     /// Calls to back ends.
@@ -303,7 +303,7 @@
         let open = self.dispatcher.open_requests() + self.batcher.order_and_call_counts().0;
         let metrics = &self.setup.metrics;
         metrics.gateway_requests.set(open as i64);
-        metrics.take_log_counts(&self.setup.log.counts());
+        metrics.set_log_counts(&self.setup.log.counts());
     }
 
     pub(super) fn arrived(
@@ -320,7 +320,7 @@
         };
         self.open.insert(number, open);
         for name in &call.stripped_headers {
-            let withheld = &self.setup.metrics.withheld_headers;
+            let withheld = &self.setup.metrics.stripped_headers;
             withheld.with_label_values(&[name]).inc();
         }
         let is_refusing = self.setup.state.borrow().refusing;
--- a/crates/daemon/src/gateway/answers.rs
+++ b/crates/daemon/src/gateway/answers.rs
@@ -1,7 +1,7 @@
 //! The actor's answers to the operator, the platform and callers who ask for
 //! addresses.
 
-use crate::evacuation::OrderCaller;
+use crate::evacuation::EvacuationCaller;
 use crate::gateway::actor::GatewayActor;
 use crate::gateway::entry_points::{choose_entry_points, EntryCaller};
 use crate::gateway::event::{SurfaceReply, SurfaceRequest};
@@ -24,7 +24,7 @@
 /// An operator at the surface of the platform.
 struct SurfaceCaller(oneshot::Sender<SurfaceReply>);
 
-impl OrderCaller for SurfaceCaller {
+impl EvacuationCaller for SurfaceCaller {
     fn is_waiting(&self) -> bool {
         !self.0.is_closed()
     }
--- a/crates/daemon/src/gateway/counting.rs
+++ b/crates/daemon/src/gateway/counting.rs
@@ -42,7 +42,7 @@
     /// Counts a batch call by the version that it goes to.
     pub(super) fn note_call(&mut self, call: &BatchCall) {
         let pieces = call.pieces.len() as f64;
-        self.setup.metrics.batch_pieces.observe(pieces);
+        self.setup.metrics.batch_size.observe(pieces);
         let failures = self.count_version(&call.service, &call.version);
         self.call_failures.insert(call.call, failures);
     }
--- a/crates/daemon/src/gateway/event.rs
+++ b/crates/daemon/src/gateway/event.rs
@@ -1,6 +1,6 @@
 //! What the gateway's tasks tell its actor, and what they are told.
 
-use crate::evacuation::ZoneOrder;
+use crate::evacuation::EvacuationRequest;
 use crate::gateway::entry_points::EntryCaller;
 use crate::rollout::RolloutOutcome;
 use silversail_control::{EvacuationRevision, PublishReply, PublishedTraffic};
@@ -104,7 +104,7 @@
     /// Publish a traffic configuration.
     Publish(Box<PublishedTraffic>),
     /// Begin or end the evacuation of a zone.
-    Evacuate(ZoneOrder),
+    Evacuate(EvacuationRequest),
     /// Begin a rollout.
     BeginRollout(RolloutOrder),
     /// Tell the latest rollout of a service.
--- a/crates/daemon/src/gateway/notices.rs
+++ b/crates/daemon/src/gateway/notices.rs
@@ -29,7 +29,7 @@
     }
 
     fn count_withheld(&self, reason: UnavailableReason, path: ExchangeKind) {
-        let counted = &self.metrics.sends_withheld;
+        let counted = &self.metrics.unavailable_sends;
         let labels = [reason.name(), path.name()];
         counted.with_label_values(&labels).inc();
     }
--- a/crates/daemon/src/gateway/surface.rs
+++ b/crates/daemon/src/gateway/surface.rs
@@ -1,6 +1,6 @@
 //! The surfaces for the operator, for readiness and for entry points.
 
-use crate::evacuation::ZoneOrder;
+use crate::evacuation::EvacuationRequest;
 use crate::event::{Event, EventSender};
 use crate::gateway::entry_points::EntryCaller;
 use crate::gateway::event::{GatewayEvent, SurfaceReply, SurfaceRequest};
@@ -78,7 +78,7 @@
                 return refused(ResultCode::UnexpectedBody);
             }
             Some(SurfaceCall::Evacuate { zone, evacuated }) => {
-                SurfaceRequest::Evacuate(ZoneOrder { zone, evacuated })
+                SurfaceRequest::Evacuate(EvacuationRequest { zone, evacuated })
             }
             Some(SurfaceCall::BeginRollout) if request.body.len() > LARGEST_ROLLOUT_ORDER => {
                 return refused(ResultCode::BodyTooLarge);
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -43,7 +43,7 @@
     pub backend_notices: IntCounterVec,
     /// Sends that were not made, as the back end said after it was chosen that it rests or leaves,
     /// by reason and what was to be sent.
-    pub sends_withheld: IntCounterVec,
+    pub unavailable_sends: IntCounterVec,
     /// Permits of back ends with limits that requests of this node were sent with, by path.
     pub permits_spent: IntCounterVec,
     /// Permits that this node issued to itself and others.
@@ -55,7 +55,7 @@
     /// Verdicts on such requests, on the leader that told them.
     pub quarantine_verdicts: IntCounter,
     /// Headers of the system's own that callers sent and that were withheld, by name.
-    pub withheld_headers: IntCounterVec,
+    pub stripped_headers: IntCounterVec,
     /// Reads of the list of back ends by what came of them.
     pub list_reads: IntCounterVec,
     /// Entries of the list of back ends that name none, by why, at each read.
@@ -63,7 +63,7 @@
     /// Requests and phases by how far the back ends are that get them.
     pub work_by_distance: IntCounterVec,
     /// Pieces in each batch call.
-    pub batch_pieces: Histogram,
+    pub batch_size: Histogram,
     /// Decision lines taken and dropped, by class.
     pub decision_lines: IntGaugeVec,
     /// Stages waiting for a back end.
@@ -148,13 +148,13 @@
         registry
             .register(Box::new(stage_cost.clone()))
             .expect(VALID);
-        let batch_pieces = Histogram::with_opts(
+        let batch_size = Histogram::with_opts(
             HistogramOpts::new("silversail_batch_pieces", "Pieces in a batch call")
                 .buckets(BATCH_BUCKETS.to_vec()),
         )
         .expect(VALID);
         registry
-            .register(Box::new(batch_pieces.clone()))
+            .register(Box::new(batch_size.clone()))
             .expect(VALID);
         let decision_lines = IntGaugeVec::new(
             Opts::new(
@@ -214,7 +214,7 @@
             stage_cost,
             tokens: counter("silversail_tokens_total", "Tokens generated", &["model"]),
             open_requests: gauge("silversail_open_requests", "Requests under way"),
-            withheld_headers: counter(
+            stripped_headers: counter(
                 "silversail_withheld_headers_total",
                 "Headers of the system's own that callers sent and that were withheld",
                 &["name"],
@@ -239,7 +239,7 @@
                 "What back ends said of themselves in answers",
                 &["kind", "path"],
             ),
-            sends_withheld: counter(
+            unavailable_sends: counter(
                 "silversail_sends_withheld_total",
                 "Sends not made as the back end rests, leaves or has a limit by its own word",
                 &["reason", "path"],
@@ -272,7 +272,7 @@
                 "Entries of the list of back ends that name none, at each read",
                 &["reason"],
             ),
-            batch_pieces,
+            batch_size,
             decision_lines,
             gateway_requests: gauge(
                 "silversail_gateway_open_requests",
@@ -321,7 +321,7 @@
     }
 
     /// Takes over how many decision lines were taken and dropped.
-    pub fn take_log_counts(&self, counts: &LogCounts) {
+    pub fn set_log_counts(&self, counts: &LogCounts) {
         for (fate, count) in [
             ("taken", counts.taken),
             ("dropped_steps", counts.dropped_steps),
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -135,7 +135,7 @@
                     call!([requests], request(request));
                 }
             }
-            Event::CallerGone(number) => {
+            Event::CallerDisconnected(number) => {
                 if let Some(requests) = requests {
                     call!([requests], caller_gone(number));
                 }
--- a/crates/daemon/src/node/operators.rs
+++ b/crates/daemon/src/node/operators.rs
@@ -2,9 +2,9 @@
 
 use super::Node;
 use crate::clock;
-use crate::evacuation::{OrderCaller, ZoneOrder};
+use crate::evacuation::{EvacuationCaller, EvacuationRequest};
 use crate::replica::{GroupStatus, ProposalOutcome};
-use crate::rollout::{RolloutCaller, RolloutOutcome, RolloutRefused};
+use crate::rollout::{RolloutCaller, RolloutOutcome, RolloutRejection};
 use crate::surface::operators::{
     GroupBody, LimitedBackend, OperatorReply, OperatorRequest, RestingBackend, StatusBody,
 };
@@ -24,7 +24,7 @@
 /// the surface's thread waits for it.
 struct OperatorCaller(SyncSender<OperatorReply>);
 
-impl OrderCaller for OperatorCaller {
+impl EvacuationCaller for OperatorCaller {
     fn is_waiting(&self) -> bool {
         true
     }
@@ -55,8 +55,8 @@
 }
 
 /// Why a node without a gateway takes no order of a rollout.
-fn no_gateway() -> RolloutRefused {
-    RolloutRefused {
+fn no_gateway() -> RolloutRejection {
+    RolloutRejection {
         code: ResultCode::UnknownService,
         problem: "this node serves no services with versions".to_owned(),
     }
@@ -169,11 +169,11 @@
         );
     }
 
-    fn evacuate(&self, order: ZoneOrder, reply: SyncSender<OperatorReply>) {
+    fn evacuate(&self, order: EvacuationRequest, reply: SyncSender<OperatorReply>) {
         let caller = Box::new(OperatorCaller(reply));
         match &self.actors.evacuation {
             Some(evacuation) => call!([evacuation], order(order, caller)),
-            None => OrderCaller::answer(caller, Err(ResultCode::UnknownZone)),
+            None => EvacuationCaller::answer(caller, Err(ResultCode::UnknownZone)),
         }
     }
 
--- a/crates/daemon/src/node/start.rs
+++ b/crates/daemon/src/node/start.rs
@@ -1,8 +1,8 @@
 //! How a process starts: data folder, sockets, actors, surfaces, pollers.
 
 use super::{Node, NodeError, NodeParts};
-use crate::actors::{ActorBuilder, ActorContext, GatewayPorts, Platform, ReplicaFiles};
-use crate::calls::{CallRunner, Calls, OrderSender};
+use crate::actors::{ActorBuilder, ActorContext, GatewayPorts, OpenedReplica, Platform};
+use crate::calls::{CallThreadPool, OrderSender, StageCalls};
 use crate::clock::{self, wall_clock_ms, Clock, SuspensionMonitor};
 use crate::event::{Event, EventSender};
 use crate::gateway::calls::RuntimeCalls;
@@ -78,7 +78,7 @@
     let mut platform = ProcessPlatform {
         data_folder: settings.data_folder.clone().unwrap_or_default(),
         events: events.clone(),
-        calls: CallRunner::new(agents.clone(), stage_listener.clone(), events.clone()),
+        calls: CallThreadPool::new(agents.clone(), stage_listener.clone(), events.clone()),
         gateway: gateway.as_ref().map(|gateway| gateway.calls()),
         protocols: parts.protocols,
         notices,
@@ -136,14 +136,14 @@
 struct ProcessPlatform {
     data_folder: PathBuf,
     events: EventSender,
-    calls: CallRunner,
+    calls: CallThreadPool,
     gateway: Option<RuntimeCalls>,
     protocols: Protocols,
     notices: BackendNotices,
 }
 
 impl Platform for ProcessPlatform {
-    fn open_replica(&mut self, group: GroupId) -> Result<ReplicaFiles, NodeError> {
+    fn open_replica(&mut self, group: GroupId) -> Result<OpenedReplica, NodeError> {
         let folder = self.data_folder.join(group.to_string());
         let opened = ReplicaStore::open(&folder, || ReplicaId(rand::random()))?;
         if opened.torn_bytes > 0 {
@@ -160,7 +160,7 @@
         };
         let queue = WriteQueue::start(opened.store, notify)
             .map_err(|error| NodeError::new(ResultCode::DataFolder, error))?;
-        Ok(ReplicaFiles {
+        Ok(OpenedReplica {
             identity: opened.identity,
             stored: opened.state,
             writer: Box::new(StorageWriter(queue)),
@@ -171,7 +171,7 @@
         rand::random()
     }
 
-    fn calls(&self) -> Option<Box<dyn Calls>> {
+    fn calls(&self) -> Option<Box<dyn StageCalls>> {
         Some(Box::new(self.calls.clone()))
     }
 
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -9,7 +9,7 @@
 
 use crate::calls::OrderSender;
 use crate::clock::Clock;
-use crate::replica::{ProposalOutcome, ProposerActor, SharedStatus};
+use crate::replica::{ProposalOutcome, ProposerActor, SharedGroupStatus};
 use crate::session::SharedNodeState;
 use silversail_backend::order::{EngineOrder, ORDER_TIMEOUT};
 use silversail_backend::{CallFailure, EngineLoad};
@@ -38,7 +38,7 @@
     /// The replicated configuration and orders.
     pub machine: Rc<RefCell<ControlState>>,
     /// Status of the own replica of the control group.
-    pub status: SharedStatus,
+    pub status: SharedGroupStatus,
     /// For what is leaving.
     pub state: SharedNodeState,
     /// Commits orders.
--- a/crates/daemon/src/quarantine/leader.rs
+++ b/crates/daemon/src/quarantine/leader.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Clock;
 use crate::metrics::Metrics;
-use crate::replica::{ProposalOutcome, ProposerActor, SharedStatus};
+use crate::replica::{ProposalOutcome, ProposerActor, SharedGroupStatus};
 use crate::session::SharedSightings;
 use silversail_consensus::Millis;
 use silversail_control::{ControlCommand, ControlState, ReportedCrash};
@@ -30,7 +30,7 @@
     /// The replicated judgement.
     pub machine: Rc<RefCell<ControlState>>,
     /// Status of the own replica of the control group.
-    pub status: SharedStatus,
+    pub status: SharedGroupStatus,
     /// What nodes told.
     pub sightings: SharedSightings,
     /// Commits.
--- a/crates/daemon/src/replica/actor.rs
+++ b/crates/daemon/src/replica/actor.rs
@@ -6,7 +6,7 @@
 use crate::outbox::SharedOutbox;
 use crate::replica::formation::Formation;
 use crate::replica::log_writer::LogWriter;
-use crate::replica::status::SharedStatus;
+use crate::replica::status::SharedGroupStatus;
 use silversail_consensus::{
     ConsensusConfig, Entry, HardState, Index, JoinRequest, Message, Millis, Payload, Replica,
     ReplicaId, Snapshot, StateMachine, StoredState, Term, WriteBatch,
@@ -50,7 +50,7 @@
     /// The replicated state.
     pub machine: Rc<RefCell<M>>,
     /// Status for other actors.
-    pub status: SharedStatus,
+    pub status: SharedGroupStatus,
     /// Sending.
     pub outbox: SharedOutbox,
     /// Writing.
--- a/crates/daemon/src/replica/mod.rs
+++ b/crates/daemon/src/replica/mod.rs
@@ -12,4 +12,4 @@
 pub use actor::{ReplicaActor, ReplicaSetup};
 pub use log_writer::{LogWriter, StorageWriter};
 pub use proposer::{ProposalOutcome, ProposerActor};
-pub use status::{GroupStatus, SharedStatus};
+pub use status::{GroupStatus, SharedGroupStatus};
--- a/crates/daemon/src/replica/status.rs
+++ b/crates/daemon/src/replica/status.rs
@@ -43,7 +43,7 @@
 }
 
 /// Status shared inside a process.
-pub type SharedStatus = Rc<RefCell<GroupStatus>>;
+pub type SharedGroupStatus = Rc<RefCell<GroupStatus>>;
 
 impl GroupStatus {
     /// Renews the status from a replica.
--- a/crates/daemon/src/requests/actor.rs
+++ b/crates/daemon/src/requests/actor.rs
@@ -1,6 +1,6 @@
 //! The actor of the data path: its state and its entry points.
 
-use crate::calls::Calls;
+use crate::calls::StageCalls;
 use crate::clock::Clock;
 use crate::crashes::CrashReporter;
 use crate::metrics::Metrics;
@@ -38,7 +38,7 @@
     /// Proposers to the ledger groups, by part.
     pub ledgers: Vec<Actor<ProposerActor>>,
     /// Runs back-end calls.
-    pub calls: Box<dyn Calls>,
+    pub calls: Box<dyn StageCalls>,
     /// Counters.
     pub metrics: Arc<Metrics>,
     /// What back ends say of themselves, by address.
--- a/crates/daemon/src/rollout/leader.rs
+++ b/crates/daemon/src/rollout/leader.rs
@@ -6,7 +6,7 @@
 use super::recording::{count_answers, Recorder};
 use crate::clock::Clock;
 use crate::metrics::Metrics;
-use crate::replica::{ProposalOutcome, ProposerActor, SharedStatus};
+use crate::replica::{ProposalOutcome, ProposerActor, SharedGroupStatus};
 use crate::session::{SharedEvidence, SharedNodeState};
 use silversail_consensus::Millis;
 use silversail_control::rollouts::needs_elapsed_time;
@@ -40,7 +40,7 @@
     /// The replicated rollouts.
     pub machine: Rc<RefCell<ControlState>>,
     /// Status of the own replica of the control group.
-    pub status: SharedStatus,
+    pub status: SharedGroupStatus,
     /// For the list of back ends.
     pub state: SharedNodeState,
     /// What nodes told of rollouts.
--- a/crates/daemon/src/rollout/mod.rs
+++ b/crates/daemon/src/rollout/mod.rs
@@ -9,5 +9,5 @@
 
 pub use clocks::ElapsedClocks;
 pub use leader::{RolloutLeaderActor, RolloutLeaderSetup};
-pub use orders::{RolloutActor, RolloutCaller, RolloutOutcome, RolloutRefused, RolloutSetup};
+pub use orders::{RolloutActor, RolloutCaller, RolloutOutcome, RolloutRejection, RolloutSetup};
 pub use recording::state_name;
--- a/crates/daemon/src/rollout/orders.rs
+++ b/crates/daemon/src/rollout/orders.rs
@@ -29,14 +29,14 @@
 /// Why an order is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{} {}: {problem}", code.number(), code.reason())]
-pub struct RolloutRefused {
+pub struct RolloutRejection {
     /// Numbered code.
     pub code: ResultCode,
     /// In words.
     pub problem: String,
 }
 
-impl RolloutRefused {
+impl RolloutRejection {
     fn new(code: ResultCode, problem: impl Into<String>) -> Self {
         let problem = problem.into();
         Self { code, problem }
@@ -50,7 +50,7 @@
     }
 }
 
-impl From<RolloutOrderError> for RolloutRefused {
+impl From<RolloutOrderError> for RolloutRejection {
     fn from(error: RolloutOrderError) -> Self {
         let code = match &error {
             RolloutOrderError::Underway { .. } => ResultCode::RolloutUnderway,
@@ -63,7 +63,7 @@
 }
 
 /// What an order came to: the number of the rollout that is as ordered.
-pub type RolloutOutcome = Result<RolloutNumber, RolloutRefused>;
+pub type RolloutOutcome = Result<RolloutNumber, RolloutRejection>;
 
 /// Whoever waits for the answer to an order.
 pub trait RolloutCaller {
@@ -159,12 +159,12 @@
         latest.map_or(0, |rollout| rollout.number)
     }
 
-    fn check(&self, now: Instant, order: &RolloutOrder) -> Result<(), RolloutRefused> {
+    fn check(&self, now: Instant, order: &RolloutOrder) -> Result<(), RolloutRejection> {
         check_order(order)?;
         let state = self.setup.state.borrow();
         let Some(traffic) = &state.traffic else {
             let problem = "this node holds no traffic configuration yet";
-            return Err(RolloutRefused::new(
+            return Err(RolloutRejection::new(
                 ResultCode::NoTrafficConfiguration,
                 problem,
             ));
@@ -199,7 +199,7 @@
                 self.propose(cx, pending);
                 return;
             }
-            _ => Err(RolloutRefused::no_leader()),
+            _ => Err(RolloutRejection::no_leader()),
         };
         self.record(&pending.order, pending.seen, outcome_name(&outcome));
         pending.caller.answer(outcome);
@@ -215,7 +215,7 @@
         };
         let Some(latest) = latest else {
             let problem = format!("service '{service}' never had a rollout");
-            caller.answer(Err(RolloutRefused::new(ResultCode::NoRollout, problem)));
+            caller.answer(Err(RolloutRejection::new(ResultCode::NoRollout, problem)));
             return;
         };
         let number = latest.number;
@@ -246,11 +246,11 @@
     ) {
         let outcome = match reply_of(outcome) {
             Some(RolloutReply::Changed | RolloutReply::InForce { .. }) => Ok(number),
-            Some(_) => Err(RolloutRefused::new(
+            Some(_) => Err(RolloutRejection::new(
                 ResultCode::RolloutEnded,
                 "the rollout is complete, or another one has followed it",
             )),
-            None => Err(RolloutRefused::no_leader()),
+            None => Err(RolloutRejection::no_leader()),
         };
         let order = RolloutOrder {
             service,
@@ -283,9 +283,9 @@
     Ok(())
 }
 
-fn not_current() -> RolloutRefused {
+fn not_current() -> RolloutRejection {
     let problem = "this node can't confirm that what it holds is current";
-    RolloutRefused::new(ResultCode::NotCurrent, problem)
+    RolloutRejection::new(ResultCode::NotCurrent, problem)
 }
 
 fn reply_of(outcome: ProposalOutcome) -> Option<RolloutReply> {
--- a/crates/daemon/src/session/relay.rs
+++ b/crates/daemon/src/session/relay.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::directory::SharedDirectory;
 use crate::outbox::SharedOutbox;
-use crate::replica::SharedStatus;
+use crate::replica::SharedGroupStatus;
 use crate::session::large_updates::{LargeUpdates, UpdateKind};
 use crate::session::node_state::ListingLease;
 use crate::session::relay_limits::AnnouncementBudget;
@@ -48,7 +48,7 @@
     /// The replicated configuration.
     pub machine: Rc<RefCell<ControlState>>,
     /// Status of the own replica of the control group.
-    pub status: SharedStatus,
+    pub status: SharedGroupStatus,
     /// Sending.
     pub outbox: SharedOutbox,
     /// How long a node stays in the view without a heartbeat.
--- a/crates/daemon/src/settings/gateway.rs
+++ b/crates/daemon/src/settings/gateway.rs
@@ -68,22 +68,22 @@
 
 impl GatewaySettings {
     /// For how long nodes rely on a read of the list of back ends.
-    pub fn listing_lease(&self) -> ListingLease {
+    pub fn backend_list_lease(&self) -> ListingLease {
         let lease = (self.leaving_bound_ms as f64 * LEASE_PART) as u64;
         ListingLease(lease.max(LISTING_LEASE))
     }
 
     /// Time between the reads of a list that takes many calls.
     pub fn long_list_interval(&self) -> Duration {
-        Duration::from_millis(self.listing_lease().0).mul_f64(LONG_LIST_PART)
+        Duration::from_millis(self.backend_list_lease().0).mul_f64(LONG_LIST_PART)
     }
 }
 
 impl Settings {
     /// For how long nodes rely on a read of the list of back ends.
-    pub fn listing_lease(&self) -> ListingLease {
+    pub fn backend_list_lease(&self) -> ListingLease {
         let gateway = self.gateway.as_ref();
-        gateway.map_or_else(ListingLease::default, GatewaySettings::listing_lease)
+        gateway.map_or_else(ListingLease::default, GatewaySettings::backend_list_lease)
     }
 
     /// Share of a core that this process may use, in hundredths.
--- a/crates/daemon/src/surface/callers.rs
+++ b/crates/daemon/src/surface/callers.rs
@@ -56,7 +56,7 @@
         }));
         let events = self.events.clone();
         Box::new(move || {
-            let _ = events.send(Event::CallerGone(number));
+            let _ = events.send(Event::CallerDisconnected(number));
         })
     }
 
--- a/crates/daemon/src/surface/operators.rs
+++ b/crates/daemon/src/surface/operators.rs
@@ -5,7 +5,7 @@
 //! `POST` and `DELETE /v1/rollouts/{service}`, `GET /v1/quarantine`, `DELETE /v1/quarantine/{fingerprint}`,
 //! `GET /v1/status`, `GET /metrics`.
 
-use crate::evacuation::ZoneOrder;
+use crate::evacuation::EvacuationRequest;
 use crate::event::{Event, EventSender};
 use crate::metrics::Metrics;
 use crate::replica::status::ReplicaReport;
@@ -62,7 +62,7 @@
     /// A change.
     Change(ChangeRequest),
     /// Begin or end the evacuation of a zone.
-    Evacuate(ZoneOrder),
+    Evacuate(EvacuationRequest),
     /// Begin a rollout.
     BeginRollout(RolloutOrder),
     /// Take the rollout of a service back.
@@ -325,7 +325,10 @@
         return Err(refused);
     }
     let zone = zone.to_owned();
-    Ok(OperatorRequest::Evacuate(ZoneOrder { zone, evacuated }))
+    Ok(OperatorRequest::Evacuate(EvacuationRequest {
+        zone,
+        evacuated,
+    }))
 }
 
 fn parse_rollout(path: &str, request: &mut Request) -> Result<OperatorRequest, OperatorReply> {
--- a/crates/daemon/tests/list_reader.rs
+++ b/crates/daemon/tests/list_reader.rs
@@ -167,7 +167,7 @@
     #[case] lease_ms: u64,
 ) {
     let settings = gateway(leaving_bound_ms);
-    assert_eq!(settings.listing_lease(), ListingLease(lease_ms));
+    assert_eq!(settings.backend_list_lease(), ListingLease(lease_ms));
     let interval = settings.long_list_interval().as_millis() as u64;
     // With the spread of the interval, the read itself and a heartbeat.
     assert!(interval * 13 / 10 + 300 + 400 <= lease_ms, "{interval} ms");
@@ -179,7 +179,7 @@
     #[values(3_000, 4_000, 5_000)] leaving_bound_ms: u64,
 ) {
     const READ_AND_SPREAD: u64 = 800;
-    let lease = gateway(leaving_bound_ms).listing_lease();
+    let lease = gateway(leaving_bound_ms).backend_list_lease();
     let first = ListKnowledge {
         lease,
         ..knowledge(
--- a/crates/simulation/src/calls.rs
+++ b/crates/simulation/src/calls.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use silversail_backend::{CallFailure, StageCall, StageOutput};
 use silversail_consensus::Millis;
-use silversail_daemon::calls::Calls;
+use silversail_daemon::calls::StageCalls;
 use silversail_serving::crashes::Probe;
 use silversail_testbed::RunRecord;
 use std::cell::RefCell;
@@ -49,7 +49,7 @@
 /// Calls of one node.
 pub struct SimulatedCalls(pub Rc<RefCell<CallDesk>>);
 
-impl Calls for SimulatedCalls {
+impl StageCalls for SimulatedCalls {
     fn start(&self, attempt: u64, call: StageCall, _: bool, _: bool) -> io::Result<()> {
         let mut guard = self.0.borrow_mut();
         let desk = &mut *guard;
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -5,8 +5,8 @@
 use crate::disk::{SharedDisk, SimulatedWriter};
 use crate::network::{SharedNetwork, SimulatedTransport};
 use silversail_consensus::{Millis, ReplicaId};
-use silversail_daemon::actors::{ActorBuilder, ActorContext, NodeActors, Platform, ReplicaFiles};
-use silversail_daemon::calls::{Calls, OrderSender};
+use silversail_daemon::actors::{ActorBuilder, ActorContext, NodeActors, OpenedReplica, Platform};
+use silversail_daemon::calls::{OrderSender, StageCalls};
 use silversail_daemon::clock::Clock;
 use silversail_daemon::metrics::Metrics;
 use silversail_daemon::outbox::Outbox;
@@ -59,12 +59,12 @@
 }
 
 impl Platform for SimulatedPlatform<'_> {
-    fn open_replica(&mut self, group: GroupId) -> Result<ReplicaFiles, NodeError> {
+    fn open_replica(&mut self, group: GroupId) -> Result<OpenedReplica, NodeError> {
         let new_identity = ReplicaId(self.seed());
         let disk = self.parts.disks[&group].clone();
         let identity = *disk.borrow_mut().identity.get_or_insert(new_identity);
         let stored = disk.borrow().stored();
-        Ok(ReplicaFiles {
+        Ok(OpenedReplica {
             identity,
             stored,
             writer: Box::new(SimulatedWriter(disk)),
@@ -76,9 +76,9 @@
         self.seed
     }
 
-    fn calls(&self) -> Option<Box<dyn Calls>> {
+    fn calls(&self) -> Option<Box<dyn StageCalls>> {
         let calls = SimulatedCalls(self.parts.desk.clone());
-        (!self.parts.is_hollow).then(|| Box::new(calls) as Box<dyn Calls>)
+        (!self.parts.is_hollow).then(|| Box::new(calls) as Box<dyn StageCalls>)
     }
 
     fn order_sender(&self) -> Option<Box<dyn OrderSender>> {
--- a/crates/simulation/tests/evacuations.rs
+++ b/crates/simulation/tests/evacuations.rs
@@ -3,7 +3,9 @@
 
 use rstest::rstest;
 use silversail_control::{ControlCommand, EvacuationOrder};
-use silversail_daemon::evacuation::{EvacuationActor, EvacuationSetup, OrderCaller, ZoneOrder};
+use silversail_daemon::evacuation::{
+    EvacuationActor, EvacuationCaller, EvacuationRequest, EvacuationSetup,
+};
 use silversail_daemon::replica::ProposalOutcome;
 use silversail_decisions::DecisionLog;
 use silversail_model::topology::RoundTrips;
@@ -147,7 +149,7 @@
     answer: Rc<RefCell<Option<Result<u64, ResultCode>>>>,
 }
 
-impl OrderCaller for Call {
+impl EvacuationCaller for Call {
     fn is_waiting(&self) -> bool {
         self.is_waiting
     }
@@ -178,7 +180,7 @@
     };
     let stakker = &mut node.stakker;
     let actor = actor!(stakker, EvacuationActor::init(setup), ret_nop!());
-    let order = ZoneOrder {
+    let order = EvacuationRequest {
         zone: zone.to_owned(),
         evacuated,
     };
