--- a/crates/daemon/src/actors.rs
+++ b/crates/daemon/src/actors.rs
@@ -1,5 +1,5 @@
-//! The actors of one node: how they are put together, and which message goes to
-//! which. Real processes and simulated nodes use the same.
+//! The actors of one node: their construction, and the dispatch of messages to them. Real
+//! processes and simulated nodes share this code.
 
 mod builder;
 
@@ -40,105 +40,108 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// What a node's actors share.
+/// Dependencies that all actors of a node share.
 #[derive(Clone)]
 pub struct ActorContext {
     /// Settings of the process.
     pub settings: Arc<Settings>,
-    /// Where the zones lie.
+    /// Zones with their regions.
     pub topology: Arc<Topology>,
-    /// Sending.
+    /// Sends messages to peers.
     pub outbox: SharedOutbox,
-    /// What the node has in force.
+    /// Configuration, view and other replicated state that the node applies.
     pub state: SharedNodeState,
-    /// The nodes that it knows.
+    /// The known nodes.
     pub directory: SharedDirectory,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
-    /// Decisions.
+    /// Decision log of the process.
     pub log: DecisionLog,
-    /// What pipelines' back ends say of themselves, by address.
+    /// Notices of pipelines' back ends about themselves, by address.
     pub stage_notices: BackendNotices,
-    /// Time.
+    /// Clock of the process.
     pub clock: Clock,
 }
 
-/// What was found where a replica is stored.
+/// An opened replica: its stored state, and the writer to its storage.
 pub struct OpenedReplica {
-    /// Identity of the stored state.
+    /// Identity that is stored with the state.
     pub identity: ReplicaId,
-    /// The stored state; none where nothing was.
+    /// The stored state; none if the storage was empty.
     pub stored: Option<StoredState>,
-    /// Takes the replica's writes.
+    /// Persists the replica's log and snapshots.
     pub writer: Box<dyn LogWriter>,
 }
 
-/// What the gateway needs of its process.
+/// Dependencies of the gateway on its process.
 pub struct GatewayPorts {
-    /// The outside protocols.
+    /// Codecs of the external protocols.
     pub protocols: Protocols,
-    /// Calls to back ends.
+    /// Sends calls to back ends.
     pub calls: Box<dyn GatewayCalls>,
-    /// What back ends say of themselves, as the calls hear it.
+    /// Notices of back ends about themselves, recorded from their answers.
     pub notices: BackendNotices,
 }
 
-/// What differs between real and simulated nodes.
+/// Environment of a node: storage, randomness and calls, real or simulated.
 pub trait Platform {
-    /// Opens what a replica of `group` has stored.
+    /// Opens the storage of this node's replica of `group`.
+    ///
+    /// # Errors
+    /// If the storage can't be read or is corrupt.
     fn open_replica(&mut self, group: GroupId) -> Result<OpenedReplica, NodeError>;
 
-    /// A number that differs between nodes and starts.
+    /// A random seed that differs between nodes and between starts.
     fn seed(&mut self) -> u64;
 
-    /// Runs back-end calls; none on a node that serves no requests.
+    /// Runs stage calls; none on a node that serves no requests.
     fn calls(&self) -> Option<Box<dyn StageCalls>>;
 
-    /// Sends orders to engines; none where no orders are given.
+    /// Sends orders to engines; none on a platform without orders.
     fn order_sender(&self) -> Option<Box<dyn OrderSender>>;
 
-    /// What the gateway needs; none on a node without one.
+    /// Dependencies of the gateway; none on a node without one.
     fn gateway(&self) -> Option<GatewayPorts> {
         None
     }
 }
 
-/// The replicas of a voter.
+/// The replicas and the relay of a voter.
 pub struct VoterActors {
     control: ActorOwn<ReplicaActor<ControlState>>,
     ledgers: Vec<ActorOwn<ReplicaActor<LedgerState>>>,
     relay: ActorOwn<RelayActor>,
-    /// What nodes told of rollouts, while this node leads.
+    /// Evidence on rollouts that nodes reported, while this node leads.
     pub evidence: SharedEvidence,
     sightings: SharedSightings,
-    machine: Rc<RefCell<ControlState>>,
+    control_state: Rc<RefCell<ControlState>>,
 }
 
 /// The actors of one node.
 pub struct NodeActors {
-    /// On voters: the replicas and the relay.
+    /// The replicas and the relay; none on a node that does not vote.
     pub voter: Option<VoterActors>,
-    /// Proposes to the control group.
+    /// Proposes commands to the control group.
     pub control_proposer: ActorOwn<ProposerActor>,
-    /// Takes operators' orders on zones; none on a node without a gateway.
+    /// Handles operators' requests to evacuate zones; none on a node without a gateway.
     pub evacuation: Option<ActorOwn<EvacuationActor>>,
-    /// Takes operators' orders on rollouts; none on a node without a gateway.
+    /// Handles operators' rollout orders; none on a node without a gateway.
     pub rollout: Option<ActorOwn<RolloutActor>>,
-    /// On voters: drives rollouts while this node leads.
+    /// On voters: controls rollouts while this node leads.
     pub rollout_leader: Option<ActorOwn<RolloutLeaderActor>>,
-    /// On voters: commits crashes while this node leads.
+    /// On voters: commits crash reports while this node leads.
     pub quarantine_leader: Option<ActorOwn<QuarantineLeaderActor>>,
-    /// Finds the other nodes.
+    /// Exchanges contacts with the other nodes.
     pub discovery: ActorOwn<DiscoveryActor>,
-    /// Keeps the node in step.
+    /// Sends heartbeats to the relay and applies replicated state.
     pub session: ActorOwn<SessionActor>,
-    /// Serves requests.
+    /// Serves pipeline requests; none on a node that serves no requests.
     pub requests: Option<ActorOwn<RequestActor>>,
-    /// Orders engines.
+    /// On voters: issues orders to engines while this node leads.
     pub orders: Option<ActorOwn<OrderActor>>,
-    /// Serves pass-through requests.
+    /// Serves pass-through requests; none on a node without a gateway.
     pub gateway: Option<ActorOwn<GatewayActor>>,
-    /// Status of the replicas.
+    /// Status of this node's replicas, by group.
     pub statuses: BTreeMap<GroupId, SharedGroupStatus>,
     ledger_proposers: Vec<ActorOwn<ProposerActor>>,
     directory: SharedDirectory,
@@ -147,7 +150,7 @@
 }
 
 impl NodeActors {
-    /// Hands a message to the actor that it is for.
+    /// Delivers a message to the actor that handles it.
     pub fn deliver(&self, envelope: Envelope, now: Instant) {
         let from = envelope.from;
         let now = self.clock.millis(now);
@@ -183,7 +186,7 @@
                 self.deliver_to_relay(from, SessionMessage::BackendList(listing));
             }
             PeerMessage::Session(message) => self.deliver_to_relay(from, message),
-            PeerMessage::Discovery(message) => call!([self.discovery], message(from, message)),
+            PeerMessage::Discovery(message) => call!([self.discovery], handle_message(from, message)),
             PeerMessage::Work(message) => {
                 if let Some(gateway) = &self.gateway {
                     call!([gateway], work(from, message));
@@ -236,10 +239,10 @@
         if let GroupMessage::ProposeReply { proposal, result } = message {
             let proposer = match group {
                 GroupId::Control => Some(&self.control_proposer),
-                GroupId::Ledger(part) => self.ledger_proposers.get(usize::from(part)),
+                GroupId::Ledger(index) => self.ledger_proposers.get(usize::from(index)),
             };
             if let Some(proposer) = proposer {
-                call!([proposer], reply(proposal, result));
+                call!([proposer], handle_reply(proposal, result));
             }
             return;
         }
@@ -247,58 +250,59 @@
             return;
         };
         match group {
-            GroupId::Control => call!([voter.control], message(from, message)),
-            GroupId::Ledger(part) => {
-                if let Some(replica) = voter.ledgers.get(usize::from(part)) {
-                    call!([replica], message(from, message));
+            GroupId::Control => call!([voter.control], handle_message(from, message)),
+            GroupId::Ledger(index) => {
+                if let Some(replica) = voter.ledgers.get(usize::from(index)) {
+                    call!([replica], handle_message(from, message));
                 }
             }
         }
     }
 
-    /// Tells a replica that so many of its oldest writes are synced.
+    /// Reports to a group's replica that its `count` oldest writes are synced.
     pub fn synced(&self, group: GroupId, count: usize) {
         let Some(voter) = &self.voter else {
             return;
         };
         match group {
             GroupId::Control => call!([voter.control], synced(count)),
-            GroupId::Ledger(part) => {
-                if let Some(replica) = voter.ledgers.get(usize::from(part)) {
+            GroupId::Ledger(index) => {
+                if let Some(replica) = voter.ledgers.get(usize::from(index)) {
                     call!([replica], synced(count));
                 }
             }
         }
     }
 
-    /// The state of this node's replica of the control group; none on a node that does not vote.
+    /// State of this node's replica of the control group; none on a node that does not vote.
     pub fn control_state(&self) -> Option<&RefCell<ControlState>> {
         let voter = self.voter.as_ref()?;
-        Some(&voter.machine)
+        Some(&voter.control_state)
     }
 
-    /// The latest accepted changes, as this node's replica knows them; none on
-    /// a node that does not vote.
+    /// The latest accepted configuration changes in this node's replica; none on a node that
+    /// does not vote.
     pub fn history(&self) -> Option<Vec<HistoryEntry>> {
-        let machine = self.voter.as_ref()?.machine.borrow();
-        Some(machine.configuration.history().cloned().collect())
+        let control_state = self.voter.as_ref()?.control_state.borrow();
+        Some(control_state.configuration.history().cloned().collect())
     }
 
-    /// This node read the list of back ends; on the leader all nodes hear of it.
+    /// Passes a backend list that this node read to its relay, which distributes it to all nodes
+    /// on the leader.
     pub fn list_read(&self, entries: Vec<BackendListEntry>) {
         if let Some(voter) = &self.voter {
             call!([voter.relay], list_read(entries));
         }
     }
 
-    /// What hands leadership over, by group.
+    /// Callbacks that transfer leadership to another node, one for each of this node's replicas.
     pub fn leadership_transfers(&self) -> Vec<Fwd<()>> {
         let Some(voter) = &self.voter else {
             return Vec::new();
         };
-        let ledgers = voter.ledgers.iter();
+        let ledger_replicas = voter.ledgers.iter();
         std::iter::once(fwd_to!([voter.control], transfer_leadership() as ()))
-            .chain(ledgers.map(|replica| fwd_to!([replica], transfer_leadership() as ())))
+            .chain(ledger_replicas.map(|replica| fwd_to!([replica], transfer_leadership() as ())))
             .collect()
     }
 }
--- a/crates/daemon/src/actors/builder.rs
+++ b/crates/daemon/src/actors/builder.rs
@@ -1,4 +1,4 @@
-//! Puts the actors of one node together.
+//! Constructs and connects the actors of one node.
 
 use super::{ActorContext, NodeActors, Platform, VoterActors};
 use crate::discovery::DiscoveryActor;
@@ -23,13 +23,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The actors that take operators' orders from the gateway's surface.
-struct GatewayOperators {
+/// Actors that handle operators' requests to the gateway's API.
+struct OperatorActors {
     evacuation: Option<Actor<EvacuationActor>>,
     rollout: Option<Actor<RolloutActor>>,
 }
 
-/// Puts a node's actors together.
+/// Constructs the actors of a node.
 pub struct ActorBuilder<'a, P> {
     stakker: &'a mut Stakker,
     context: ActorContext,
@@ -38,7 +38,7 @@
 }
 
 impl<'a, P: Platform> ActorBuilder<'a, P> {
-    /// A builder of actors on `stakker`.
+    /// A builder of actors that run on `stakker`.
     pub fn new(stakker: &'a mut Stakker, context: ActorContext, platform: &'a mut P) -> Self {
         Self {
             stakker,
@@ -48,7 +48,10 @@
         }
     }
 
-    /// Opens the replicas and starts all actors.
+    /// Opens the replicas' storage and starts all actors.
+    ///
+    /// # Errors
+    /// If the storage of a replica can't be opened.
     pub fn build(mut self) -> Result<NodeActors, NodeError> {
         let settings = self.context.settings.clone();
         self.context.state.borrow_mut().listing_lease = settings.backend_list_lease();
@@ -58,13 +61,13 @@
         };
         let control_proposer = self.proposer(GroupId::Control);
         let ledger_proposers: Vec<ActorOwn<ProposerActor>> = (0..settings.cluster.ledger_groups)
-            .map(|part| self.proposer(GroupId::Ledger(part)))
+            .map(|index| self.proposer(GroupId::Ledger(index)))
             .collect();
         let requests = self.requests(&ledger_proposers);
         let relay = voter.as_ref().map(|voter| (*voter.relay).clone());
         let evacuation = self.evacuation(&control_proposer);
         let rollout = self.rollout(&control_proposer);
-        let operators = GatewayOperators {
+        let operators = OperatorActors {
             evacuation: evacuation.as_deref().cloned(),
             rollout: rollout.as_deref().cloned(),
         };
@@ -133,10 +136,10 @@
         let on_applied = fwd_to!([relay], configuration_applied() as ());
         let control = self.replica(GroupId::Control, machine.clone(), on_applied)?;
         let mut ledgers = Vec::new();
-        for part in 0..settings.cluster.ledger_groups {
+        for index in 0..settings.cluster.ledger_groups {
             let ledger = LedgerState::new(settings.timing.ledger_retention_ms);
             let ledger = Rc::new(RefCell::new(ledger));
-            ledgers.push(self.replica(GroupId::Ledger(part), ledger, fwd_nop!())?);
+            ledgers.push(self.replica(GroupId::Ledger(index), ledger, fwd_nop!())?);
         }
         Ok(VoterActors {
             control,
@@ -144,7 +147,7 @@
             relay,
             evidence,
             sightings,
-            machine,
+            control_state: machine,
         })
     }
 
@@ -154,20 +157,20 @@
         machine: Rc<RefCell<M>>,
         on_applied: Fwd<()>,
     ) -> Result<ActorOwn<ReplicaActor<M>>, NodeError> {
-        let files = self.platform.open_replica(group)?;
+        let opened = self.platform.open_replica(group)?;
         let settings = &self.context.settings;
         let setup = ReplicaSetup {
             group,
             node: settings.node.clone(),
-            replica: files.identity,
+            replica: opened.identity,
             directory: self.context.directory.clone(),
-            stored: files.stored,
+            stored: opened.stored,
             config: settings.consensus_config(),
             seed: self.platform.seed(),
-            machine,
+            state_machine: machine,
             status: self.status_of(group),
             outbox: self.context.outbox.clone(),
-            writer: files.writer,
+            writer: opened.writer,
             on_applied,
             clock: self.context.clock,
         };
@@ -260,7 +263,7 @@
         let status = self.status_of(GroupId::Control);
         let context = &self.context;
         let setup = RolloutLeaderSetup {
-            machine: voter.machine.clone(),
+            control_state: voter.control_state.clone(),
             status,
             state: context.state.clone(),
             evidence: voter.evidence.clone(),
@@ -282,7 +285,7 @@
         let status = self.status_of(GroupId::Control);
         let context = &self.context;
         let setup = QuarantineLeaderSetup {
-            machine: voter.machine.clone(),
+            control_state: voter.control_state.clone(),
             status,
             sightings: voter.sightings.clone(),
             proposer: (**proposer).clone(),
@@ -297,7 +300,7 @@
     fn gateway(
         &mut self,
         proposer: &ActorOwn<ProposerActor>,
-        operators: GatewayOperators,
+        operators: OperatorActors,
         relay: Option<Actor<RelayActor>>,
     ) -> Option<ActorOwn<GatewayActor>> {
         let control = self.status_of(GroupId::Control);
@@ -331,22 +334,22 @@
         gateway: Option<&ActorOwn<GatewayActor>>,
         rollout: Option<&ActorOwn<RolloutActor>>,
     ) -> ActorOwn<SessionActor> {
-        let tell_requests: Fwd<()> = match requests {
+        let notify_requests: Fwd<()> = match requests {
             Some(requests) => fwd_to!([requests], node_state_changed() as ()),
             None => fwd_nop!(),
         };
-        let tell_gateway: Fwd<()> = match gateway {
+        let notify_gateway: Fwd<()> = match gateway {
             Some(gateway) => fwd_to!([gateway], node_state_changed() as ()),
             None => fwd_nop!(),
         };
-        let tell_rollout: Fwd<()> = match rollout {
+        let notify_rollout: Fwd<()> = match rollout {
             Some(rollout) => fwd_to!([rollout], node_state_changed() as ()),
             None => fwd_nop!(),
         };
         let on_change = fwd_do!(move |_: ()| {
-            fwd!([tell_rollout], ());
-            fwd!([tell_requests], ());
-            fwd!([tell_gateway], ());
+            fwd!([notify_rollout], ());
+            fwd!([notify_requests], ());
+            fwd!([notify_gateway], ());
         });
         let context = &self.context;
         let settings = &context.settings;
@@ -374,7 +377,7 @@
         let sender = self.platform.order_sender()?;
         let timing = self.context.settings.timing.clone();
         let setup = OrderSetup {
-            machine: voter.machine.clone(),
+            control_state: voter.control_state.clone(),
             status: self.status_of(GroupId::Control),
             state: self.context.state.clone(),
             proposer: (**proposer).clone(),
--- a/crates/daemon/src/call_guard.rs
+++ b/crates/daemon/src/call_guard.rs
@@ -1,4 +1,4 @@
-//! Keeps calls of pipelines from back ends that rest or leave by their own word.
+//! Guards pipelines' calls against back ends that asked for back-off or announced a shutdown.
 
 use crate::gateway::notices::NoticeListener;
 use silversail_backend::{CallGuard, HeadReport};
@@ -6,19 +6,18 @@
 use silversail_serving::ports::SelfReport;
 use std::time::Duration;
 
-/// How long a pipeline's back end that said it leaves gets nothing. Its name in the configuration
-/// bears no identity of a start, so that nothing tells when another one has taken its place: it
-/// is tried again after this time, which is longer than back ends take to leave, and says it again
-/// where it is still there.
-const LEAVING_FOR: Duration = Duration::from_secs(30);
+/// Time for which a pipeline's back end that announced its shutdown gets no calls. Its name in the
+/// configuration does not identify a start, so its successor can't be recognised; it is tried again
+/// after this time, which is longer than a shutdown takes.
+const SHUTDOWN_BACK_OFF: Duration = Duration::from_secs(30);
 
-/// Stands between one kind of exchange and one back end, which is known by its address.
+/// Applies and records the notices of the back end at one address, for one kind of exchange.
 pub struct AddressGuard<'a> {
-    /// What back ends said.
+    /// What back ends self_report.
     pub listener: &'a NoticeListener,
-    /// The back end.
+    /// Address of the back end.
     pub address: &'a str,
-    /// What is exchanged.
+    /// Kind of exchange that is guarded.
     pub path: ExchangeKind,
 }
 
@@ -28,13 +27,13 @@
     }
 
     fn heard(&self, report: &HeadReport) {
-        let until_gone = report.is_leaving.then_some(LEAVING_FOR);
-        let said = SelfReport {
-            rest: report.rest.max(until_gone),
+        let shutdown_back_off = report.is_leaving.then_some(SHUTDOWN_BACK_OFF);
+        let self_report = SelfReport {
+            rest: report.rest.max(shutdown_back_off),
             has_unreadable_rest: report.has_unreadable_rest,
             limit: report.limit,
             ..SelfReport::default()
         };
-        self.listener.heard(self.address, self.path, &said);
+        self.listener.heard(self.address, self.path, &self_report);
     }
 }
--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -1,5 +1,5 @@
-//! Threads that run back-end calls. A thread that ends a call waits for the
-//! next; a new one is started only when none waits.
+//! Thread pool for blocking back-end calls. Idle threads are reused; a new thread is started
+//! only if none is idle.
 
 use crate::call_guard::AddressGuard;
 use crate::event::{Event, EventSender};
@@ -17,8 +17,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Stack size of a call thread, in bytes.
 const STACK_BYTES: usize = 256 << 10;
-/// Longest wait for a connection without a request.
+/// Timeout of a connection attempt that probes a back end.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 enum Job {
@@ -40,10 +41,12 @@
     },
 }
 
-/// Runs back-end calls; the end of each is reported as an event.
+/// Runs stage calls; the end of each is reported as an event.
 pub trait StageCalls {
-    /// Starts a stage call. `streams` tells whether its tokens are wanted one
-    /// by one. An error means that nothing was sent.
+    /// Starts a stage call. `streams` tells whether each token is reported as an event.
+    ///
+    /// # Errors
+    /// If no thread could be started; nothing was sent then.
     fn start(
         &self,
         attempt: u64,
@@ -52,50 +55,53 @@
         streams: bool,
     ) -> io::Result<()>;
 
-    /// Tries to connect to a back end, without a request.
+    /// Probes a back end by a connection attempt without a request.
     fn probe(&self, probe: Probe);
 
-    /// Tells an engine that a stream is not wanted any more.
+    /// Cancels the generation of a stream at an engine.
     fn cancel_generation(&self, address: String, attempt: String);
 }
 
 /// Sends orders to engines; the end of each is reported as an event.
 pub trait OrderSender {
-    /// Starts sending. An error means that nothing was sent.
+    /// Starts to send an order.
+    ///
+    /// # Errors
+    /// If no thread could be started; nothing was sent then.
     fn send_order(&self, id: OrderId, address: String, order: EngineOrder) -> io::Result<()>;
 }
 
-/// Runs calls on threads and reports to the main thread.
+/// Thread pool that runs calls and reports their ends to the main thread.
 #[derive(Clone)]
 pub struct CallThreadPool {
     agents: Agents,
     listener: NoticeListener,
     events: EventSender,
     jobs: Sender<Job>,
-    waiting_jobs: Arc<Mutex<Receiver<Job>>>,
-    /// Threads that wait for a job, less jobs that wait for a thread.
-    idle: Arc<AtomicUsize>,
+    queued_jobs: Arc<Mutex<Receiver<Job>>>,
+    /// Number of idle threads minus the number of queued jobs.
+    idle_threads: Arc<AtomicUsize>,
 }
 
 impl CallThreadPool {
-    /// A runner without threads.
+    /// A pool without threads; they are started on demand.
     pub fn new(agents: Agents, listener: NoticeListener, events: EventSender) -> Self {
-        let (jobs, waiting_jobs) = channel();
+        let (jobs, queued_jobs) = channel();
         Self {
             agents,
             listener,
             events,
             jobs,
-            waiting_jobs: Arc::new(Mutex::new(waiting_jobs)),
-            idle: Arc::new(AtomicUsize::new(0)),
+            queued_jobs: Arc::new(Mutex::new(queued_jobs)),
+            idle_threads: Arc::new(AtomicUsize::new(0)),
         }
     }
 
     fn submit(&self, job: Job) -> io::Result<()> {
         let reserved = self
-            .idle
-            .fetch_update(Ordering::AcqRel, Ordering::Acquire, |idle| {
-                idle.checked_sub(1)
+            .idle_threads
+            .fetch_update(Ordering::AcqRel, Ordering::Acquire, |idle_threads| {
+                idle_threads.checked_sub(1)
             });
         if reserved.is_err() {
             self.start_thread()?;
@@ -114,7 +120,7 @@
 
     fn run(&self) {
         loop {
-            let job = match self.waiting_jobs.lock() {
+            let job = match self.queued_jobs.lock() {
                 Ok(jobs) => jobs.recv(),
                 Err(_) => return,
             };
@@ -122,7 +128,7 @@
                 Ok(job) => self.run_job(job),
                 Err(_) => return,
             }
-            self.idle.fetch_add(1, Ordering::AcqRel);
+            self.idle_threads.fetch_add(1, Ordering::AcqRel);
         }
     }
 
@@ -141,9 +147,9 @@
                 let _ = self.events.send(Event::OrderSent { id, result });
             }
             Job::Probe(probe) => {
-                let answer = connect(&probe.address);
+                let answer = probe_connection(&probe.address);
                 let backend = probe.instance;
-                // The main thread is gone only when the process ends.
+                // Sending fails only while the process exits.
                 let _ = self.events.send(Event::BackendProbed { backend, answer });
             }
             Job::Cancel { address, attempt } => {
@@ -159,7 +165,7 @@
                 let started = Instant::now();
                 let guard = self.guard(&call.address);
                 let result = if is_generation {
-                    let mut sink = EventSink {
+                    let mut sink = TokenEventSink {
                         attempt,
                         events: streams.then_some(&self.events),
                     };
@@ -172,7 +178,7 @@
                     service: started.elapsed(),
                     result,
                 };
-                // The main thread is gone only when the process ends.
+                // Sending fails only while the process exits.
                 let _ = self.events.send(event);
             }
         }
@@ -196,12 +202,12 @@
     }
 
     fn probe(&self, probe: Probe) {
-        // Without a thread the back end is asked when the next call breaks off.
+        // If no thread can be started, the next lost connection probes the back end again.
         let _ = self.submit(Job::Probe(probe));
     }
 
     fn cancel_generation(&self, address: String, attempt: String) {
-        // Without a thread the engine ends the stream by itself.
+        // If no thread can be started, the engine ends the stream by itself.
         let _ = self.submit(Job::Cancel { address, attempt });
     }
 }
@@ -212,7 +218,7 @@
     }
 }
 
-fn connect(address: &str) -> ProbeResult {
+fn probe_connection(address: &str) -> ProbeResult {
     let Ok(address) = address.parse() else {
         return ProbeResult::Silent;
     };
@@ -223,13 +229,13 @@
     }
 }
 
-/// Sends tokens to the main thread, where they are wanted.
-struct EventSink<'a> {
+/// Sends the tokens of a streamed call to the main thread.
+struct TokenEventSink<'a> {
     attempt: u64,
     events: Option<&'a EventSender>,
 }
 
-impl TokenSink for EventSink<'_> {
+impl TokenSink for TokenEventSink<'_> {
     fn token(&mut self, sequence: u64, text: &str) {
         if let Some(events) = self.events {
             let _ = events.send(Event::Token {
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,107 +1,107 @@
-//! The time of the process: steady, and counting the time for which its machine was suspended.
+//! Monotonic time of the process that includes the time for which the machine was suspended.
 //!
-//! The steady clock of the system stands still while a machine is suspended, so that a lease, a
-//! permit or a confirmation would seem as fresh after it as before, on that machine only. What
-//! bounds trust is measured by [`now`]; waits for sockets may use the steady clock, where waking
-//! up late does no harm.
+//! The system's monotonic clock stops while a machine is suspended, so that leases and permits
+//! would not expire on that machine. Leases, permits and freshness are measured with [`now`];
+//! socket timeouts may use the monotonic clock, as waking up late does no harm there.
 
 use nix::time::{clock_gettime, ClockId};
 use silversail_consensus::Millis;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Time for which the machine was suspended while this process lived, in milliseconds.
+/// Time for which the machine was suspended since this process started, in milliseconds.
 static SUSPENDED_MS: AtomicU64 = AtomicU64::new(0);
 
-/// The steady time, and the time for which the machine was suspended as far as
-/// [`SuspensionMonitor::poll`] has seen it.
+/// The monotonic time plus the suspended time that [`SuspensionMonitor::poll`] has detected.
 pub fn now() -> Instant {
     Instant::now() + Duration::from_millis(SUSPENDED_MS.load(Ordering::Relaxed))
 }
 
-/// A time of [`now`] by the steady clock, for waits for sockets.
+/// Converts a time of [`now`] to the monotonic clock, for socket timeouts.
 pub fn to_monotonic(instant: Instant) -> Instant {
     let suspended = Duration::from_millis(SUSPENDED_MS.load(Ordering::Relaxed));
     instant.checked_sub(suspended).unwrap_or(instant)
 }
 
-/// Shortest suspension that is counted, in milliseconds: the two clocks are read one after the
-/// other, and a thread may lose the processor in between.
-const SHORTEST_SUSPENSION_MS: u64 = 100;
+/// Shortest suspension that is detected, in milliseconds. The two clocks are not read at the
+/// same instant, as a thread may be preempted in between.
+const MIN_SUSPENSION_MS: u64 = 100;
 
-/// How far the clock that counts suspended time is ahead of the steady one.
+/// Detects suspensions from the lead of the boot-time clock, which includes suspended time,
+/// over the monotonic clock.
 #[derive(Debug)]
 pub struct SuspensionDetector {
-    counted_lead: Duration,
+    accounted_lead: Duration,
 }
 
 impl SuspensionDetector {
-    /// A detector that starts now; `lead` is how far the clock that counts suspended time is ahead.
+    /// A detector that starts at the present `lead` of the boot-time clock.
     pub fn new(lead: Duration) -> Self {
-        Self { counted_lead: lead }
+        Self { accounted_lead: lead }
     }
 
-    /// The time for which the machine was suspended since the last one that was counted; none
-    /// where the clocks went on alike.
+    /// Time for which the machine was suspended since the last detected suspension; none if the
+    /// lead has grown by less than the minimum.
     pub fn detect(&mut self, lead: Duration) -> Option<Duration> {
-        let grown = lead.saturating_sub(self.counted_lead);
-        if grown < Duration::from_millis(SHORTEST_SUSPENSION_MS) {
+        let growth = lead.saturating_sub(self.accounted_lead);
+        if growth < Duration::from_millis(MIN_SUSPENSION_MS) {
             return None;
         }
-        self.counted_lead = lead;
-        Some(grown)
+        self.accounted_lead = lead;
+        Some(growth)
     }
 }
 
-/// Looks for suspensions, once a turn of the process's loop and before it handles anything.
+/// Monitors the machine for suspensions; polled in each iteration of the main loop before events
+/// are handled.
 pub struct SuspensionMonitor {
-    /// None where the system has no clock that counts suspended time.
+    /// None if the system has no boot-time clock.
     detector: Option<SuspensionDetector>,
 }
 
 impl SuspensionMonitor {
-    /// Starts looking.
+    /// Starts monitoring; earlier suspensions are not counted.
     pub fn start() -> Self {
         Self {
-            detector: lead_of_boot_clock().map(SuspensionDetector::new),
+            detector: boot_clock_lead().map(SuspensionDetector::new),
         }
     }
 
-    /// Counts a suspension since the last look, so that [`now`] is past it; returns how long it
-    /// was.
+    /// Adds a suspension since the last call to the time of [`now`], and returns its duration.
     pub fn poll(&mut self) -> Option<Duration> {
-        let suspended = self.detector.as_mut()?.detect(lead_of_boot_clock()?)?;
+        let suspended = self.detector.as_mut()?.detect(boot_clock_lead()?)?;
         SUSPENDED_MS.fetch_add(suspended.as_millis() as u64, Ordering::Relaxed);
         Some(suspended)
     }
 }
 
-/// How far the clock that counts suspended time is ahead of the steady one.
-fn lead_of_boot_clock() -> Option<Duration> {
-    let steady = clock_gettime(ClockId::CLOCK_MONOTONIC).ok()?;
+/// Lead of the boot-time clock, which includes suspended time, over the monotonic clock.
+fn boot_clock_lead() -> Option<Duration> {
+    let monotonic = clock_gettime(ClockId::CLOCK_MONOTONIC).ok()?;
     let boot = clock_gettime(ClockId::CLOCK_BOOTTIME).ok()?;
-    Some(Duration::from(boot).saturating_sub(Duration::from(steady)))
+    Some(Duration::from(boot).saturating_sub(Duration::from(monotonic)))
 }
 
-/// Counts milliseconds from the start of the process.
+/// Converts instants to milliseconds since the start of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
-    /// The time of day at `start`, in milliseconds since the Unix epoch.
+    /// Wall-clock time at `start`, in milliseconds since the Unix epoch.
     started_at_unix: u64,
 }
 
-/// Where the count starts: above zero, so that differences from before the
-/// start stay representable.
-const START_MILLIS: Millis = 1_000_000;
+/// Milliseconds at the start of the process. Above zero, so that times before the start can be
+/// represented.
+const INITIAL_MILLIS: Millis = 1_000_000;
 
 impl Clock {
-    /// A clock that starts at `start`, which is now.
+    /// A clock that starts at `start`, which has to be the present time.
     pub fn new(start: Instant) -> Self {
         Self::at(start, wall_clock_ms())
     }
 
-    /// A clock that starts at `start`, so many milliseconds after the Unix epoch.
+    /// A clock that starts at `start`, which is `started_at_unix` milliseconds after the Unix
+    /// epoch.
     pub fn at(start: Instant, started_at_unix: u64) -> Self {
         Self {
             start,
@@ -109,24 +109,24 @@
         }
     }
 
-    /// A count as milliseconds since the Unix epoch, by the time of day at the start: later steps
-    /// of that clock do not show.
+    /// Converts process milliseconds to milliseconds since the Unix epoch, based on the
+    /// wall-clock time at the start; later steps of the wall clock have no effect.
     pub fn unix_millis(&self, millis: Millis) -> u64 {
-        (self.started_at_unix + millis).saturating_sub(START_MILLIS)
+        (self.started_at_unix + millis).saturating_sub(INITIAL_MILLIS)
     }
 
-    /// The count at `instant`.
+    /// Process milliseconds at `instant`.
     pub fn millis(&self, instant: Instant) -> Millis {
-        START_MILLIS + instant.saturating_duration_since(self.start).as_millis() as Millis
+        INITIAL_MILLIS + instant.saturating_duration_since(self.start).as_millis() as Millis
     }
 
-    /// The instant of a count.
+    /// Instant at the given process milliseconds.
     pub fn instant(&self, millis: Millis) -> Instant {
-        self.start + Duration::from_millis(millis.saturating_sub(START_MILLIS))
+        self.start + Duration::from_millis(millis.saturating_sub(INITIAL_MILLIS))
     }
 }
 
-/// Milliseconds since the Unix epoch; for retention and incarnations only.
+/// Wall-clock time in milliseconds since the Unix epoch; for retention and incarnations only.
 pub fn wall_clock_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/daemon/src/crashes.rs
+++ b/crates/daemon/src/crashes.rs
@@ -1,4 +1,4 @@
-//! What a process finds out and tells of back ends that crash; shared by the paths that send.
+//! Detection and reporting of back-end crashes, shared by pipeline and pass-through requests.
 
 use crate::metrics::Metrics;
 use crate::session::SharedNodeState;
@@ -11,57 +11,57 @@
 use stakker::{fwd, fwd_nop, Fwd};
 use std::sync::Arc;
 
-/// What comes of connections that broke off.
+/// Progress of the diagnosis of a lost connection.
 pub enum DiagnosisProgress {
-    /// The back end is to be asked for a connection.
+    /// The back end has to be probed.
     Probe(Probe),
-    /// It is being asked.
+    /// A probe of the back end is in progress.
     Pending,
-    /// It is known why they broke off.
+    /// The cause of the connection loss is known.
     Complete(Diagnosis),
 }
 
-/// Finds out why connections break off, and tells of crashes.
+/// Diagnoses lost connections and reports crashes.
 pub struct CrashReporter {
-    watch: CrashDetector,
+    detector: CrashDetector,
     state: SharedNodeState,
     metrics: Arc<Metrics>,
-    /// Has a heartbeat sent at once.
+    /// Sends a heartbeat at once.
     heartbeat_trigger: Fwd<()>,
 }
 
 impl CrashReporter {
-    /// A reporter that tells with the process's heartbeats.
+    /// A reporter whose reports are sent with the process's heartbeats.
     pub fn new(state: SharedNodeState, metrics: Arc<Metrics>) -> Self {
         Self {
-            watch: CrashDetector::default(),
+            detector: CrashDetector::default(),
             state,
             metrics,
             heartbeat_trigger: fwd_nop!(),
         }
     }
 
-    /// Takes what has a heartbeat sent at once.
+    /// Sets the callback that sends a heartbeat at once.
     pub fn set_heartbeat_trigger(&mut self, heartbeat_trigger: Fwd<()>) {
         self.heartbeat_trigger = heartbeat_trigger;
     }
 
-    /// Requests broke off at a back end.
-    pub fn connection_lost(&mut self, broken: ConnectionLoss, now: Millis) -> DiagnosisProgress {
-        match self.watch.connection_lost(broken, now) {
+    /// Records requests whose connections to a back end were lost.
+    pub fn connection_lost(&mut self, loss: ConnectionLoss, now: Millis) -> DiagnosisProgress {
+        match self.detector.connection_lost(loss, now) {
             ConnectionLossAction::Probe(probe) => DiagnosisProgress::Probe(probe),
             ConnectionLossAction::Wait => DiagnosisProgress::Pending,
             ConnectionLossAction::Known(diagnosis) => DiagnosisProgress::Complete(diagnosis),
         }
     }
 
-    /// A back end was asked for a connection.
+    /// Records the result of a probe, and returns the diagnosis if one was pending.
     pub fn probe_finished(&mut self, backend: &str, answer: ProbeResult) -> Option<Diagnosis> {
-        self.watch.probe_finished(backend, answer)
+        self.detector.probe_finished(backend, answer)
     }
 
-    /// Counts what broke off. Where the back end ended, its suspects count in `quarantine` at
-    /// once and are told; true then.
+    /// Counts the lost connections. If the back end crashed, its suspects are added to
+    /// `quarantine` and reported at once. Returns whether a crash was reported.
     pub fn report_crash(
         &mut self,
         diagnosis: &Diagnosis,
@@ -77,7 +77,7 @@
             return false;
         }
         let backend = &diagnosis.instance;
-        let sends = diagnosis.sends.iter().map(|one| one.fingerprint);
+        let sends = diagnosis.sends.iter().map(|send| send.fingerprint);
         let suspects = quarantine.crashed(backend, sends, now);
         if suspects.is_empty() {
             return false;
@@ -88,7 +88,8 @@
         true
     }
 
-    /// A request got a whole answer, so it crashes nothing; told where others are to know.
+    /// Records that a request was answered completely and so did not crash its back end; reported
+    /// if other nodes need to know.
     pub fn request_completed(
         &mut self,
         fingerprint: RequestFingerprint,
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -1,5 +1,5 @@
-//! The nodes that this process knows: all of them from its settings, or learnt
-//! by discovery from a few contact addresses.
+//! The nodes that this process knows: all of them from its settings, or found
+//! by discovery through a few contact addresses.
 
 mod proximity;
 
@@ -12,39 +12,39 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// A contact that nobody heard of for so long is forgotten, in milliseconds.
-const FORGET_AFTER: Millis = 20_000;
-/// Most nodes that do not replicate the state that one answer tells of. Answers that tell of all
-/// of hundreds fill the links of the contact addresses when all processes start at once; one that
-/// asks each 100 ms knows all soon enough.
-const MOST_TOLD: usize = 100;
-/// Most ages of contacts in one answer: with two answers in 2 s, each of hundreds of contacts is
-/// heard of well before it counts as silent (`daemon/tests/directory.rs`).
-const MOST_AGES: usize = 150;
-/// A first formation waits for so long after the start, in milliseconds.
-const FORM_NOT_BEFORE: Millis = 1_000;
-/// The replicating nodes must be the same for so long before a first
+/// Time without any message of a node, here or at other nodes, after which its contact is removed,
+/// in milliseconds.
+const CONTACT_LIFETIME_MS: Millis = 20_000;
+/// Maximum number of new non-replicating contacts in one reply. Larger replies would saturate the
+/// links of the contact addresses when hundreds of processes start at once.
+const MAX_CONTACTS_PER_REPLY: usize = 100;
+/// Maximum number of contact ages in one reply; enough that hundreds of contacts are refreshed
+/// within their lifetime.
+const MAX_AGES_PER_REPLY: usize = 150;
+/// Minimum time from the start of the process to the first formation, in milliseconds.
+const MIN_FORMATION_DELAY_MS: Millis = 1_000;
+/// Time for which the set of replicating nodes must be unchanged before a first
 /// formation, in milliseconds.
-const FORM_SETTLED_FOR: Millis = 600;
+const FORMATION_STABLE_MS: Millis = 600;
 
-struct Known {
+struct KnownContact {
     contact: Contact,
     heard_at: Millis,
-    /// The change with which the contact came or moved.
-    changed_by: u64,
+    /// Change number at which the contact was added or its address changed.
+    change_number: u64,
 }
 
-/// How a process comes to know the others.
-enum Source {
-    /// The settings name them all.
+/// Where the contacts of other processes come from.
+enum ContactSource {
+    /// The settings name all nodes.
     Settings,
-    /// Contact addresses, and whether this is the first start of the cluster.
+    /// Found by discovery through contact addresses.
     Discovery {
         contact_addresses: Vec<String>,
         first_start: bool,
         started_at: Millis,
-        answered: BTreeSet<String>,
-        replicating_since: Millis,
+        answered_addresses: BTreeSet<String>,
+        replicating_unchanged_since: Millis,
     },
 }
 
@@ -52,13 +52,13 @@
 pub struct Directory {
     own: NodeName,
     topology: Arc<Topology>,
-    source: Source,
-    known: BTreeMap<NodeName, Known>,
-    /// Counts the contacts that came or moved.
+    source: ContactSource,
+    known: BTreeMap<NodeName, KnownContact>,
+    /// Number of contacts that were added or changed their address.
     changes: u64,
-    /// What is known of the contacts of other processes.
-    held: BTreeMap<NodeName, ContactsVersion>,
-    /// Whether an answer added nothing to what was known of its sender's contacts.
+    /// Version up to which each other node's contacts were received.
+    contacts_versions: BTreeMap<NodeName, ContactsVersion>,
+    /// Whether some node's reply confirmed that all its contacts were received.
     has_all_contacts: bool,
 }
 
@@ -66,15 +66,15 @@
 pub type SharedDirectory = Rc<RefCell<Directory>>;
 
 impl Directory {
-    /// A directory of `contacts`, all that there are.
+    /// A directory in which `contacts` are all nodes of the cluster.
     pub fn with_fixed_nodes(own: NodeName, contacts: Vec<Contact>) -> Self {
         let known = contacts
             .into_iter()
             .map(|contact| {
-                let known = Known {
+                let known = KnownContact {
                     contact,
                     heard_at: Millis::MAX,
-                    changed_by: 0,
+                    change_number: 0,
                 };
                 (known.contact.node.clone(), known)
             })
@@ -82,15 +82,15 @@
         Self {
             own,
             topology: Arc::default(),
-            source: Source::Settings,
+            source: ContactSource::Settings,
             known,
             changes: 0,
-            held: BTreeMap::new(),
+            contacts_versions: BTreeMap::new(),
             has_all_contacts: false,
         }
     }
 
-    /// A directory that knows `own` only, and addresses to ask.
+    /// A directory that knows only `own` and the contact addresses at which to find others.
     pub fn with_discovery(
         own: Contact,
         contact_addresses: Vec<String>,
@@ -98,35 +98,35 @@
         now: Millis,
     ) -> Self {
         let name = own.node.clone();
-        let known = Known {
+        let known = KnownContact {
             contact: own,
             heard_at: Millis::MAX,
-            changed_by: 0,
+            change_number: 0,
         };
         Self {
             own: name.clone(),
             topology: Arc::default(),
-            source: Source::Discovery {
+            source: ContactSource::Discovery {
                 contact_addresses,
                 first_start,
                 started_at: now,
-                answered: BTreeSet::new(),
-                replicating_since: now,
+                answered_addresses: BTreeSet::new(),
+                replicating_unchanged_since: now,
             },
             known: [(name, known)].into(),
             changes: 0,
-            held: BTreeMap::new(),
+            contacts_versions: BTreeMap::new(),
             has_all_contacts: false,
         }
     }
 
-    /// The same directory with the places of the nodes' zones.
+    /// Sets the topology by which distances between nodes are computed.
     pub fn with_topology(mut self, topology: Arc<Topology>) -> Self {
         self.topology = topology;
         self
     }
 
-    /// Where the nodes' zones lie.
+    /// Regions of the nodes' zones.
     pub fn topology(&self) -> &Topology {
         &self.topology
     }
@@ -136,7 +136,7 @@
         &self.known[&self.own].contact
     }
 
-    /// Names of the nodes that replicate the state, in order.
+    /// Names of the nodes that replicate the state, in ascending order.
     pub fn replicating_nodes(&self) -> Vec<NodeName> {
         let contacts = self.known.values().map(|known| &known.contact);
         contacts
@@ -145,21 +145,21 @@
             .collect()
     }
 
-    /// Contact addresses to ask; none where the settings name all nodes.
+    /// Contact addresses for discovery; empty if the settings name all nodes.
     pub fn contact_addresses(&self) -> &[String] {
         match &self.source {
-            Source::Settings => &[],
-            Source::Discovery {
+            ContactSource::Settings => &[],
+            ContactSource::Discovery {
                 contact_addresses, ..
             } => contact_addresses,
         }
     }
 
-    /// Takes other contact addresses, after the settings changed. True when
+    /// Replaces the contact addresses after a change of the settings. Returns whether
     /// they differ.
     pub fn set_contact_addresses(&mut self, addresses: Vec<String>) -> bool {
         match &mut self.source {
-            Source::Discovery {
+            ContactSource::Discovery {
                 contact_addresses, ..
             } if *contact_addresses != addresses => {
                 *contact_addresses = addresses;
@@ -169,27 +169,27 @@
         }
     }
 
-    /// Whether this node has to look for others.
+    /// Whether nodes are found by discovery.
     pub fn is_discovering(&self) -> bool {
-        matches!(self.source, Source::Discovery { .. })
+        matches!(self.source, ContactSource::Discovery { .. })
     }
 
-    /// A contact address answered.
+    /// Records that the process at a contact address replied.
     pub fn address_answered(&mut self, address: String) {
-        if let Source::Discovery { answered, .. } = &mut self.source {
-            answered.insert(address);
+        if let ContactSource::Discovery { answered_addresses, .. } = &mut self.source {
+            answered_addresses.insert(address);
         }
     }
 
-    /// Takes in a contact heard `ago` milliseconds before `now`. True when the
-    /// node was unknown or is reached elsewhere.
-    pub fn record_contact(&mut self, contact: Contact, ago: Millis, now: Millis) -> bool {
-        if contact.node == self.own || ago > FORGET_AFTER || !self.is_discovering() {
+    /// Records a contact whose node was last heard `age` milliseconds before `now`. Returns
+    /// whether the node was unknown or its address changed.
+    pub fn record_contact(&mut self, contact: Contact, age: Millis, now: Millis) -> bool {
+        if contact.node == self.own || age > CONTACT_LIFETIME_MS || !self.is_discovering() {
             return false;
         }
-        let heard_at = now.saturating_sub(ago);
-        let former = self.known.get_mut(&contact.node);
-        if let Some(known) = former {
+        let heard_at = now.saturating_sub(age);
+        let existing = self.known.get_mut(&contact.node);
+        if let Some(known) = existing {
             known.heard_at = known.heard_at.max(heard_at);
             if known.contact.incarnation >= contact.incarnation {
                 return false;
@@ -197,49 +197,48 @@
             let moved = known.contact.peer_address != contact.peer_address;
             known.contact = contact;
             self.changes += 1;
-            known.changed_by = self.changes;
+            known.change_number = self.changes;
             return moved;
         }
-        self.note_change(contact.replicates, now);
+        self.record_membership_change(contact.replicates, now);
         self.changes += 1;
-        let known = Known {
+        let known = KnownContact {
             contact,
             heard_at,
-            changed_by: self.changes,
+            change_number: self.changes,
         };
         self.known.insert(known.contact.node.clone(), known);
         true
     }
 
-    /// A message of `node` arrived.
+    /// Records that a message of `node` arrived.
     pub fn record_message(&mut self, node: &NodeName, now: Millis) {
         if let Some(known) = self.known.get_mut(node) {
             known.heard_at = known.heard_at.max(now);
         }
     }
 
-    fn note_change(&mut self, replicates: bool, now: Millis) {
-        if let Source::Discovery {
-            replicating_since, ..
+    fn record_membership_change(&mut self, replicates: bool, now: Millis) {
+        if let ContactSource::Discovery {
+            replicating_unchanged_since, ..
         } = &mut self.source
         {
             if replicates {
-                *replicating_since = now;
+                *replicating_unchanged_since = now;
             }
         }
     }
 
-    /// Contacts that nobody heard of for long.
+    /// Nodes that were not heard of within the contact lifetime.
     pub fn stale_contacts(&self, now: Millis) -> Vec<NodeName> {
-        let is_silent = |known: &&Known| now.saturating_sub(known.heard_at) > FORGET_AFTER;
-        let silent = self.known.values().filter(is_silent);
-        silent.map(|known| known.contact.node.clone()).collect()
+        let is_stale = |known: &&KnownContact| now.saturating_sub(known.heard_at) > CONTACT_LIFETIME_MS;
+        let stale = self.known.values().filter(is_stale);
+        stale.map(|known| known.contact.node.clone()).collect()
     }
 
-    /// Takes in that silent contacts are live by what the leader hears. Where there are hundreds,
-    /// answers tell too few ages to keep all of them, and what is forgotten is asked for again,
-    /// with all else. Of nodes that replicate only what was heard here counts: it tells whether
-    /// their connections work.
+    /// Refreshes stale contacts that are live according to the leader's view. With hundreds of
+    /// nodes, replies carry too few ages to refresh all contacts. Replicating nodes are
+    /// excluded: their age must tell whether the connection to them works.
     pub fn refresh_contacts(&mut self, live: &[NodeName], now: Millis) {
         for node in live {
             let known = self.known.get_mut(node);
@@ -249,15 +248,15 @@
         }
     }
 
-    /// Forgets contacts.
+    /// Removes contacts.
     pub fn forget(&mut self, nodes: &[NodeName]) {
         for node in nodes {
             self.known.remove(node);
-            self.held.remove(node);
+            self.contacts_versions.remove(node);
         }
     }
 
-    /// How long nothing was heard of each other node, in milliseconds.
+    /// Time since each other node was last heard of, in milliseconds.
     pub fn last_heard_ages(&self, now: Millis) -> Vec<(NodeName, Millis)> {
         let others = self.known.iter().filter(|(node, _)| **node != self.own);
         others
@@ -265,15 +264,15 @@
             .collect()
     }
 
-    /// How long nothing was heard of `node`; none where it is not known.
+    /// Time since `node` was last heard of, in milliseconds; none if it is unknown.
     pub fn last_heard_age(&self, node: &str, now: Millis) -> Option<Millis> {
         let known = self.known.get(&NodeName::from(node))?;
         Some(now.saturating_sub(known.heard_at))
     }
 
-    /// What a process is told that asks for the others with their ages and `has` some of
-    /// them: the replicating nodes, as everything waits for those, and of the rest the
-    /// first [`MOST_TOLD`] that it lacks. With it comes what it has then.
+    /// The contacts to send to a process whose version of this node's contacts is `has`: all
+    /// replicating nodes, and of the others the first [`MAX_CONTACTS_PER_REPLY`] that it
+    /// lacks. Also returns the version that the process has afterwards.
     pub fn contacts_for(
         &self,
         has: Option<ContactsVersion>,
@@ -282,62 +281,63 @@
         let incarnation = self.own().incarnation;
         let has = has.filter(|has| has.incarnation == incarnation);
         let changes = has.map_or(0, |has| has.changes);
-        let is_other = |known: &&Known| known.contact.node != self.own;
+        let is_other = |known: &&KnownContact| known.contact.node != self.own;
         let others = self.known.values().filter(is_other);
-        let mut lacking: Vec<&Known> = others.filter(|known| known.changed_by > changes).collect();
-        lacking.sort_unstable_by_key(|known| known.changed_by);
-        let is_whole = lacking.len() <= MOST_TOLD;
-        lacking.truncate(MOST_TOLD);
-        let told_up_to = lacking.last().map_or(changes, |known| known.changed_by);
+        let mut lacking: Vec<&KnownContact> = others.filter(|known| known.change_number > changes).collect();
+        lacking.sort_unstable_by_key(|known| known.change_number);
+        let is_complete = lacking.len() <= MAX_CONTACTS_PER_REPLY;
+        lacking.truncate(MAX_CONTACTS_PER_REPLY);
+        let sent_up_to = lacking.last().map_or(changes, |known| known.change_number);
         let is_lacking =
-            |known: &&Known| known.changed_by > changes && known.changed_by <= told_up_to;
+            |known: &&KnownContact| known.change_number > changes && known.change_number <= sent_up_to;
         let replicating = self.known.values().filter(is_other);
         let replicating = replicating.filter(|known| known.contact.replicates);
         let repeated = replicating.filter(|known| !is_lacking(known));
-        let told = lacking.iter().copied().chain(repeated);
-        let told = told.map(|known| ContactWithAge {
+        let sent = lacking.iter().copied().chain(repeated);
+        let sent = sent.map(|known| ContactWithAge {
             contact: known.contact.clone(),
             last_heard_age_ms: now.saturating_sub(known.heard_at),
         });
         let has = ContactsVersion {
             incarnation,
-            changes: if is_whole { self.changes } else { told_up_to },
+            changes: if is_complete { self.changes } else { sent_up_to },
         };
-        (told.collect(), has)
+        (sent.collect(), has)
     }
 
-    /// What is known of the contacts of `node`, to be told in a question to it.
+    /// Version up to which the contacts of `node` were received, to be sent in a hello to it.
     pub fn contacts_version_of(&self, node: &NodeName) -> Option<ContactsVersion> {
-        self.held.get(node).copied()
+        self.contacts_versions.get(node).copied()
     }
 
-    /// What is known of the contacts of the node at a peer address.
+    /// Version up to which the contacts of the node at a peer address were received.
     pub fn contacts_version_at(&self, peer_address: &str) -> Option<ContactsVersion> {
         let mut known = self.known.values();
         let at_address = known.find(|known| known.contact.peer_address == peer_address)?;
         self.contacts_version_of(&at_address.contact.node)
     }
 
-    /// The contacts of `node` are known so far now.
+    /// Records the version up to which the contacts of `node` were received.
     pub fn set_contacts_version(&mut self, node: NodeName, has: ContactsVersion) {
-        let former = self.held.insert(node, has);
-        self.has_all_contacts |= former == Some(has);
+        let existing = self.contacts_versions.insert(node, has);
+        self.has_all_contacts |= existing == Some(has);
     }
 
-    /// Whether some process has told all that it knew.
+    /// Whether all contacts of at least one other node were received.
     pub fn has_all_contacts(&self) -> bool {
         self.has_all_contacts
     }
 
-    /// How long ago some of the others were heard, from the `first` on.
+    /// Time since other nodes were last heard of, for up to a reply's maximum of nodes in
+    /// circular order from position `first`, in milliseconds.
     pub fn contact_ages(&self, first: usize, now: Millis) -> Vec<(NodeName, Millis)> {
         let others = self.known.values();
         let others = others.filter(|known| known.contact.node != self.own);
-        let others: Vec<&Known> = others.collect();
+        let others: Vec<&KnownContact> = others.collect();
         let first = first.checked_rem(others.len()).unwrap_or_default();
-        let around = others[first..].iter().chain(&others[..first]);
-        around
-            .take(MOST_AGES)
+        let circular = others[first..].iter().chain(&others[..first]);
+        circular
+            .take(MAX_AGES_PER_REPLY)
             .map(|known| {
                 (
                     known.contact.node.clone(),
@@ -347,47 +347,46 @@
             .collect()
     }
 
-    /// Takes in how long ago `teller` heard of others. Where one of them is not known here,
-    /// the teller is asked for all its contacts next.
+    /// Records how long ago `sender` heard of other nodes. If one of them is unknown here,
+    /// the next hello asks the sender for all its contacts.
     pub fn record_contact_ages(
         &mut self,
-        teller: &NodeName,
+        sender: &NodeName,
         ages: &[(NodeName, Millis)],
         now: Millis,
     ) {
-        for (node, age) in ages.iter().filter(|(_, age)| *age <= FORGET_AFTER) {
+        for (node, age) in ages.iter().filter(|(_, age)| *age <= CONTACT_LIFETIME_MS) {
             match self.known.get_mut(node) {
                 Some(known) => known.heard_at = known.heard_at.max(now.saturating_sub(*age)),
                 None => {
-                    self.held.remove(teller);
+                    self.contacts_versions.remove(sender);
                 }
             }
         }
     }
 
-    /// Whether this node may take part in forming a group that does not exist:
-    /// always where the settings name the voters; else on the cluster's first
-    /// start only, once a majority of the contact addresses has answered and
-    /// the replicating nodes have been the same for a while. Two nodes that
-    /// both heard a majority share an address that knows them both.
+    /// Whether this node may form a group that does not exist yet: always if the settings
+    /// name the voters; otherwise only on the cluster's first start, once a majority of the
+    /// contact addresses has replied and the replicating nodes have been unchanged for a
+    /// while. Any two nodes that both reached a majority share an address that knows both.
     pub fn may_form_group(&self, now: Millis) -> bool {
         match &self.source {
-            Source::Settings => true,
-            Source::Discovery {
+            ContactSource::Settings => true,
+            ContactSource::Discovery {
                 contact_addresses,
                 first_start,
                 started_at,
-                answered,
-                replicating_since,
+                answered_addresses,
+                replicating_unchanged_since,
             } => {
-                let heard = contact_addresses
+                let answered_count = contact_addresses
                     .iter()
-                    .filter(|address| answered.contains(*address))
+                    .filter(|address| answered_addresses.contains(*address))
                     .count();
                 *first_start
-                    && 2 * heard > contact_addresses.len()
-                    && now.saturating_sub(*started_at) >= FORM_NOT_BEFORE
-                    && now.saturating_sub(*replicating_since) >= FORM_SETTLED_FOR
+                    && 2 * answered_count > contact_addresses.len()
+                    && now.saturating_sub(*started_at) >= MIN_FORMATION_DELAY_MS
+                    && now.saturating_sub(*replicating_unchanged_since) >= FORMATION_STABLE_MS
             }
         }
     }
--- a/crates/daemon/src/directory/proximity.rs
+++ b/crates/daemon/src/directory/proximity.rs
@@ -1,4 +1,4 @@
-//! Which of the known nodes are near.
+//! Distances between nodes: the order of relays, and nodes of the own region.
 
 use super::Directory;
 use silversail_model::topology::Distance;
@@ -6,23 +6,23 @@
 use silversail_peer::Contact;
 use std::collections::BTreeMap;
 
-/// A node that may be a relay.
+/// A candidate for this node's relay, through which it reaches the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Relay {
-    /// The node.
+    /// Name of the relay's node.
     pub node: NodeName,
-    /// How far it is.
+    /// Distance from this node.
     pub distance: Distance,
 }
 
 impl Directory {
-    /// The nodes that may be this node's relay, with their distances, in the order in which
-    /// they are tried: a replicating node is its own first relay; others begin in their
-    /// zone, then in their region. Among those that are equally far the nodes begin with
-    /// different ones, so that they are spread.
+    /// Candidates for this node's relay in the order in which they are tried: a replicating node
+    /// is its own first choice; otherwise nodes of the same zone come first, then those of the
+    /// region. Nodes start at different positions among equally distant relays, which spreads
+    /// the load.
     pub fn relays(&self) -> Vec<Relay> {
-        let rank = self.known.keys().position(|node| *node == self.own);
-        let rank = rank.unwrap_or_default();
+        let position = self.known.keys().position(|node| *node == self.own);
+        let position = position.unwrap_or_default();
         let own_zone = &self.own().zone;
         let contacts = self.known.values().map(|known| &known.contact);
         let replicating = contacts.filter(|contact| contact.replicates);
@@ -37,29 +37,29 @@
         }
         for relays in by_distance.values_mut() {
             let own = relays.iter().position(|relay| relay.node == self.own);
-            let first = own.unwrap_or(rank % relays.len());
-            relays.rotate_left(first);
+            let first_position = own.unwrap_or(position % relays.len());
+            relays.rotate_left(first_position);
         }
         by_distance.into_values().flatten().collect()
     }
 
-    /// How far a node is from this one; none where it is not known.
+    /// Distance of a node from this one; none if it is unknown.
     pub fn distance_to(&self, node: &NodeName) -> Option<Distance> {
         let known = self.known.get(node)?;
         let own_zone = &self.own().zone;
         Some(self.topology.distance(own_zone, &known.contact.zone))
     }
 
-    /// The other nodes of this node's region; all others where there are none. Contact
-    /// addresses lie in any region, so that what is known spreads between regions.
+    /// The other nodes of this node's region, or all others if there are none. Contacts spread
+    /// between regions through the contact addresses.
     pub fn nearby_nodes(&self) -> Vec<NodeName> {
         let others = self.known.values().map(|known| &known.contact);
-        let others: Vec<&Contact> = others.filter(|one| one.node != self.own).collect();
+        let others: Vec<&Contact> = others.filter(|contact| contact.node != self.own).collect();
         let own_zone = &self.own().zone;
-        let is_far = |contact: &Contact| {
+        let is_other_region = |contact: &Contact| {
             self.topology.distance(own_zone, &contact.zone) == Distance::OtherRegion
         };
-        let near = others.iter().filter(|contact| !is_far(contact));
+        let near = others.iter().filter(|contact| !is_other_region(contact));
         let near: Vec<&Contact> = near.copied().collect();
         let chosen = if near.is_empty() { others } else { near };
         chosen
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The actor that finds the other nodes, keeps their contacts, and renews
-//! connections to those that have gone silent.
+//! The actor that finds the other nodes, maintains their contacts, and reconnects
+//! to replicating nodes that have stopped responding.
 
 use crate::clock::Clock;
 use crate::directory::SharedDirectory;
@@ -15,44 +15,44 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Interval of the actor.
-const TICK: Duration = Duration::from_millis(250);
-/// While this young, a process asks contact addresses at each tick: all of them if it
-/// replicates the state, as a first group forms only once most have answered, else one
-/// after the other until one has told all. If hundreds of processes ask all addresses at each
-/// tick after a restart, leaders there are lost.
-const EAGER_TICKS: u64 = 20;
-/// Interval of the actor while this young.
-const EAGER_TICK: Duration = Duration::from_millis(100);
-/// Later it asks one contact address, and one known node of its region, each so many ticks.
+/// Interval of the actor after the start phase.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// Number of ticks of the start phase, in which a process sends a hello at each tick: to all
+/// contact addresses if it replicates the state, as the first formation needs replies of a
+/// majority; otherwise to one address after the other until it has all contacts, so that
+/// hundreds of starting processes don't overload the nodes at the contact addresses.
+const START_PHASE_TICKS: u64 = 20;
+/// Interval of the actor in the start phase.
+const START_PHASE_TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Ticks between hellos to one contact address and one node of the region after the start phase.
 const TICKS_PER_HELLO: u64 = 8;
-/// Silence after which a replicating node is asked for a sign, in milliseconds. A node hears
-/// of its relay only.
-const ASK_AFTER: Millis = 1_000;
-/// Silence after which its connection is given up for a new one.
-const RECONNECT_AFTER: Millis = 1_800;
-/// Age of the last confirmation by a quorum up to which the view is relied on, in milliseconds.
-const VIEW_RELIED_ON: Millis = 5_000;
-/// Least time between two new connections to one node, in milliseconds.
-const RECONNECT_INTERVAL: Millis = 1_000;
+/// Time without a message after which a replicating node is probed, in milliseconds. Without
+/// probes a node gets messages only from its relay.
+const PROBE_AFTER_MS: Millis = 1_000;
+/// Time without a message after which the connection to it is replaced, in milliseconds.
+const RECONNECT_AFTER_MS: Millis = 1_800;
+/// Maximum age of the last quorum confirmation at which the view is trusted, in milliseconds.
+const MAX_VIEW_AGE_MS: Millis = 5_000;
+/// Minimum time between two reconnections to one node, in milliseconds.
+const MIN_RECONNECT_INTERVAL_MS: Millis = 1_000;
 
-/// Finds the other nodes.
+/// Exchanges contacts with other nodes and monitors the connections to replicating nodes.
 pub struct DiscoveryActor {
     directory: SharedDirectory,
-    /// For the view, which names the nodes that the leader hears.
+    /// Holds the cluster view, which lists the nodes that the leader considers live.
     state: SharedNodeState,
     outbox: SharedOutbox,
     clock: Clock,
     ticks: u64,
-    /// Which contact address is asked first, by lot.
-    first_address: usize,
-    /// Lots; seeded, so that simulations repeat.
-    random: ChaCha8Rng,
-    reconnected_at: BTreeMap<NodeName, Millis>,
+    /// Randomly chosen position of the first contact address to send a hello to.
+    first_address_position: usize,
+    /// Seeded so that simulations are reproducible.
+    random_generator: ChaCha8Rng,
+    last_reconnect_at: BTreeMap<NodeName, Millis>,
 }
 
 impl DiscoveryActor {
-    /// Starts asking. Lots are drawn by `seed`, which differs between nodes and starts.
+    /// Starts discovery. `seed` has to differ between nodes and between starts.
     pub fn init(
         cx: CX![],
         directory: SharedDirectory,
@@ -62,16 +62,16 @@
         seed: u64,
     ) -> Option<Self> {
         after!(Duration::ZERO, [cx], tick());
-        let mut random = ChaCha8Rng::seed_from_u64(seed);
+        let mut random_generator = ChaCha8Rng::seed_from_u64(seed);
         Some(Self {
             directory,
             state,
             outbox,
             clock,
             ticks: 0,
-            first_address: usize::from(random.gen::<u16>()),
-            random,
-            reconnected_at: BTreeMap::new(),
+            first_address_position: usize::from(random_generator.gen::<u16>()),
+            random_generator,
+            last_reconnect_at: BTreeMap::new(),
         })
     }
 
@@ -79,70 +79,70 @@
         if !self.directory.borrow().is_discovering() {
             return;
         }
-        let is_young = self.ticks < EAGER_TICKS;
-        after!(if is_young { EAGER_TICK } else { TICK }, [cx], tick());
+        let is_starting = self.ticks < START_PHASE_TICKS;
+        after!(if is_starting { START_PHASE_TICK_INTERVAL } else { TICK_INTERVAL }, [cx], tick());
         let now = self.clock.millis(cx.now());
-        if is_young {
-            self.ask_eagerly();
+        if is_starting {
+            self.send_start_phase_hellos();
         } else if self.ticks.is_multiple_of(TICKS_PER_HELLO) {
-            self.ask_some();
+            self.send_periodic_hellos();
         }
         self.ticks += 1;
-        self.forget_silent(now);
-        self.renew_connections(now);
+        self.remove_stale_contacts(now);
+        self.reconnect_unresponsive(now);
     }
 
-    /// Forgets contacts of which there was no sign for long, here or at the leader.
-    fn forget_silent(&mut self, now: Millis) {
-        let silent = self.directory.borrow().stale_contacts(now);
-        if silent.is_empty() {
+    /// Removes contacts that were not heard of recently, neither here nor at the leader.
+    fn remove_stale_contacts(&mut self, now: Millis) {
+        let stale = self.directory.borrow().stale_contacts(now);
+        if stale.is_empty() {
             return;
         }
-        let (live, gone): (Vec<NodeName>, Vec<NodeName>) = {
+        let (live, removed): (Vec<NodeName>, Vec<NodeName>) = {
             let state = self.state.borrow();
-            let live = state.live_nodes(VIEW_RELIED_ON, now);
-            silent.into_iter().partition(|node| live.contains(node))
+            let live = state.live_nodes(MAX_VIEW_AGE_MS, now);
+            stale.into_iter().partition(|node| live.contains(node))
         };
         let mut directory = self.directory.borrow_mut();
         directory.refresh_contacts(&live, now);
-        directory.forget(&gone);
-        for node in &gone {
-            log::info!(event = "node_forgotten", node = node.as_str(); "no sign of the node for long");
+        directory.forget(&removed);
+        for node in &removed {
+            log::info!(event = "node_forgotten", node = node.as_str(); "removed a node that was not heard of within the contact lifetime");
         }
     }
 
-    fn ask_eagerly(&mut self) {
-        let (addresses, asks_all, knows_all) = {
+    fn send_start_phase_hellos(&mut self) {
+        let (addresses, sends_to_all, has_all) = {
             let directory = self.directory.borrow();
             let addresses = directory.contact_addresses().to_vec();
-            let asks_all = directory.own().replicates;
-            (addresses, asks_all, directory.has_all_contacts())
+            let sends_to_all = directory.own().replicates;
+            (addresses, sends_to_all, directory.has_all_contacts())
         };
-        if asks_all {
+        if sends_to_all {
             for address in addresses {
-                self.ask_address(address);
+                self.send_hello_to_address(address);
             }
             return;
         }
-        let turn = (self.first_address + self.ticks as usize).checked_rem(addresses.len());
-        if let Some(turn) = turn.filter(|_| !knows_all) {
-            self.ask_address(addresses[turn].clone());
+        let turn = (self.first_address_position + self.ticks as usize).checked_rem(addresses.len());
+        if let Some(turn) = turn.filter(|_| !has_all) {
+            self.send_hello_to_address(addresses[turn].clone());
         }
     }
 
-    fn ask_some(&mut self) {
+    fn send_periodic_hellos(&mut self) {
         let (address, node) = {
             let directory = self.directory.borrow();
             let addresses = directory.contact_addresses();
-            let address = addresses.choose(&mut self.random).cloned();
-            let node = directory.nearby_nodes().choose(&mut self.random).cloned();
+            let address = addresses.choose(&mut self.random_generator).cloned();
+            let node = directory.nearby_nodes().choose(&mut self.random_generator).cloned();
             (address, node)
         };
         if let Some(address) = address {
-            self.ask_address(address);
+            self.send_hello_to_address(address);
         }
         if let Some(node) = node {
-            self.ask_node(&node);
+            self.send_hello_to_node(&node);
         }
     }
 
@@ -155,7 +155,7 @@
         })
     }
 
-    fn ask_address(&mut self, address: String) {
+    fn send_hello_to_address(&mut self, address: String) {
         if address == self.directory.borrow().own().peer_address {
             self.directory.borrow_mut().address_answered(address);
             return;
@@ -170,38 +170,38 @@
         outbox.send(to, PeerMessage::Discovery(message));
     }
 
-    fn ask_node(&mut self, node: &NodeName) {
+    fn send_hello_to_node(&mut self, node: &NodeName) {
         let has = self.directory.borrow().contacts_version_of(node);
         let hello = self.hello(String::new(), has);
         self.outbox.borrow_mut().send(node, hello);
     }
 
-    /// A connection to a machine that was cut off or lost power may hang; the
-    /// replicating nodes, which everything waits for, are dialled anew.
-    fn renew_connections(&mut self, now: Millis) {
+    /// Probes replicating nodes without recent messages, and replaces connections that may
+    /// hang because the machine was partitioned or lost power.
+    fn reconnect_unresponsive(&mut self, now: Millis) {
         let replicating = self.directory.borrow().replicating_nodes();
-        let silences = self.directory.borrow().last_heard_ages(now);
-        for (node, silence) in silences {
-            if !replicating.contains(&node) || silence < ASK_AFTER {
+        let last_heard_ages = self.directory.borrow().last_heard_ages(now);
+        for (node, age) in last_heard_ages {
+            if !replicating.contains(&node) || age < PROBE_AFTER_MS {
                 continue;
             }
-            let last = self.reconnected_at.get(&node).copied().unwrap_or_default();
-            if silence >= RECONNECT_AFTER && now.saturating_sub(last) >= RECONNECT_INTERVAL {
-                self.reconnected_at.insert(node.clone(), now);
+            let last = self.last_reconnect_at.get(&node).copied().unwrap_or_default();
+            if age >= RECONNECT_AFTER_MS && now.saturating_sub(last) >= MIN_RECONNECT_INTERVAL_MS {
+                self.last_reconnect_at.insert(node.clone(), now);
                 self.outbox.borrow_mut().reconnect(&node);
-                log::info!(event = "peer_silent", node = node.as_str(), silence_ms = silence; "connection renewed");
+                log::info!(event = "peer_silent", node = node.as_str(), silence_ms = age; "reconnecting to a node that does not respond");
             }
-            if silence >= RECONNECT_AFTER {
-                // It may not know this node's contact any more.
-                self.ask_node(&node);
+            if age >= RECONNECT_AFTER_MS {
+                // The node may have removed this node's contact.
+                self.send_hello_to_node(&node);
             } else {
                 self.send(&node, DiscoveryMessage::Probe);
             }
         }
     }
 
-    /// A message of another node.
-    pub fn message(&mut self, cx: CX![], from: NodeName, message: DiscoveryMessage) {
+    /// Handles a discovery message of another node.
+    pub fn handle_message(&mut self, cx: CX![], from: NodeName, message: DiscoveryMessage) {
         let now = self.clock.millis(cx.now());
         match message {
             DiscoveryMessage::Hello {
@@ -219,10 +219,10 @@
                 let directory = self.directory.borrow();
                 let (others, next) = directory.contacts_for(has, now);
                 let ages = match has == Some(next) {
-                    true => directory.contact_ages(self.random.gen(), now),
+                    true => directory.contact_ages(self.random_generator.gen(), now),
                     false => Vec::new(),
                 };
-                let known = DiscoveryMessage::HelloReply {
+                let reply = DiscoveryMessage::HelloReply {
                     contact: directory.own().clone(),
                     sent_to,
                     others,
@@ -231,7 +231,7 @@
                 };
                 self.outbox
                     .borrow_mut()
-                    .send(&from, PeerMessage::Discovery(known));
+                    .send(&from, PeerMessage::Discovery(reply));
             }
             DiscoveryMessage::HelloReply {
                 contact,
@@ -259,24 +259,24 @@
                     .record_contact_ages(&from, &ages, now);
             }
             DiscoveryMessage::Probe => self.send(&from, DiscoveryMessage::ProbeReply),
-            // Any message is a sign of life, and noted as such.
+            // Every message counts as heard from its sender, on arrival.
             DiscoveryMessage::ProbeReply => {}
         }
     }
 
-    fn record_contact(&mut self, heard: ContactWithAge, now: Millis) {
+    fn record_contact(&mut self, contact_with_age: ContactWithAge, now: Millis) {
         let ContactWithAge {
             contact,
             last_heard_age_ms,
-        } = heard;
-        let told = contact.clone();
+        } = contact_with_age;
+        let added = contact.clone();
         if self
             .directory
             .borrow_mut()
             .record_contact(contact, last_heard_age_ms, now)
         {
-            log::debug!(event = "node_found", node = told.node.as_str(), address = told.peer_address.as_str(); "a node was found");
-            self.outbox.borrow_mut().set_contact(&told);
+            log::debug!(event = "node_found", node = added.node.as_str(), address = added.peer_address.as_str(); "found a node or its new address");
+            self.outbox.borrow_mut().set_contact(&added);
         }
     }
 }
--- a/crates/daemon/src/evacuation.rs
+++ b/crates/daemon/src/evacuation.rs
@@ -1,5 +1,5 @@
-//! Operators' orders to begin or end the evacuation of a zone: checked, proposed to the
-//! control group, and answered once committed.
+//! Handles operators' requests to begin or end the evacuation of a zone: validates them, proposes
+//! them to the control group, and answers once they are committed.
 
 use crate::replica::{ProposalOutcome, ProposerActor};
 use crate::session::SharedNodeState;
@@ -11,84 +11,85 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Longest wait for an order to be committed: as for a traffic configuration.
+/// Longest wait for a request to be committed.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(3_500);
-/// How long after its arrival an order that turned out to be based on an old revision is
-/// proposed again. Operators give up on a node after a second and send the order to another;
-/// what they order next must not be undone by the earlier copy here.
-const PROPOSED_AGAIN_WITHIN: Duration = Duration::from_millis(1_000);
+/// Time after its arrival up to which a request that was based on an old revision is proposed
+/// again. Operators resend to another node after a second; a late copy here must not undo
+/// their later requests.
+const MAX_RETRY_AGE: Duration = Duration::from_millis(1_000);
 
-/// An operator's order.
+/// An operator's request to begin or end the evacuation of a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EvacuationRequest {
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Whether it is evacuated from now on.
+    /// True to begin the evacuation, false to end it.
     pub evacuated: bool,
 }
 
-/// Whoever waits for the answer to an order.
+/// The client that waits for the answer to a request.
 pub trait EvacuationCaller {
-    /// Whether an answer still reaches somebody.
+    /// Whether the client still waits for an answer.
     fn is_waiting(&self) -> bool;
 
-    /// Gives the answer: the revision that says what was ordered, or why there is none.
+    /// Answers with the revision that contains the requested state, or with the reason of the
+    /// rejection.
     fn answer(self: Box<Self>, result: Result<EvacuationRevision, ResultCode>);
 }
 
-/// What the actor is made of.
+/// Dependencies of an [`EvacuationActor`].
 pub struct EvacuationSetup {
-    /// The zones that may be evacuated; any where none is named.
+    /// Zones that may be evacuated; any zone if the topology names none.
     pub topology: Arc<Topology>,
-    /// What the node has in force.
+    /// Holds the evacuations that the node applies.
     pub state: SharedNodeState,
-    /// Proposes to the control group.
+    /// Proposes commands to the control group.
     pub proposer: Actor<ProposerActor>,
-    /// Decisions.
+    /// Records each request with its outcome.
     pub log: DecisionLog,
 }
 
-/// An order that is proposed.
-pub(crate) struct Pending {
-    order: EvacuationRequest,
+/// A request that has been proposed.
+pub(crate) struct PendingRequest {
+    request: EvacuationRequest,
     caller: Box<dyn EvacuationCaller>,
     arrived_at: Instant,
 }
 
-/// Takes operators' orders.
+/// Handles operators' evacuation requests on one node.
 pub struct EvacuationActor {
     setup: EvacuationSetup,
 }
 
 impl EvacuationActor {
-    /// Starts without orders.
+    /// Starts without pending requests.
     pub fn init(_: CX![], setup: EvacuationSetup) -> Option<Self> {
         Some(Self { setup })
     }
 
-    /// Takes an order and answers it once it is committed.
-    pub fn order(
+    /// Proposes a request and answers it once it is committed.
+    pub fn submit(
         &mut self,
         cx: CX![],
-        order: EvacuationRequest,
+        request: EvacuationRequest,
         caller: Box<dyn EvacuationCaller>,
     ) {
-        if let Err(code) = self.check(&order.zone) {
-            self.record(&order, code.reason());
+        if let Err(code) = self.validate_zone(&request.zone) {
+            self.record_outcome(&request, code.reason());
             caller.answer(Err(code));
             return;
         }
         let arrived_at = cx.now();
-        let seen = self.setup.state.borrow().evacuations_revision();
-        let pending = Pending {
-            order,
+        let known_revision = self.setup.state.borrow().evacuations_revision();
+        let pending = PendingRequest {
+            request,
             caller,
             arrived_at,
         };
-        self.propose(cx, pending, seen.unwrap_or_default());
+        self.propose(cx, pending, known_revision.unwrap_or_default());
     }
 
-    fn check(&self, zone: &str) -> Result<(), ResultCode> {
+    fn validate_zone(&self, zone: &str) -> Result<(), ResultCode> {
         if !is_valid_name(zone) {
             return Err(ResultCode::InvalidName);
         }
@@ -99,18 +100,18 @@
         }
     }
 
-    fn propose(&mut self, cx: CX![], pending: Pending, seen: EvacuationRevision) {
+    fn propose(&mut self, cx: CX![], pending: PendingRequest, known_revision: EvacuationRevision) {
         let order = EvacuationOrder {
-            zone: pending.order.zone.clone(),
-            evacuated: pending.order.evacuated,
-            known_revision: seen,
+            zone: pending.request.zone.clone(),
+            evacuated: pending.request.evacuated,
+            known_revision,
         };
         let command = ControlCommand::Evacuate(order).encode();
-        let ret = ret_some_to!([cx], proposed(pending) as (ProposalOutcome));
+        let ret = ret_some_to!([cx], handle_proposal_outcome(pending) as (ProposalOutcome));
         call!([self.setup.proposer], propose(command, COMMIT_TIMEOUT, ret));
     }
 
-    fn proposed(&mut self, cx: CX![], pending: Pending, outcome: ProposalOutcome) {
+    fn handle_proposal_outcome(&mut self, cx: CX![], pending: PendingRequest, outcome: ProposalOutcome) {
         let reply = match outcome {
             ProposalOutcome::Applied(bytes) => postcard::from_bytes(&bytes).ok(),
             ProposalOutcome::Unavailable => None,
@@ -118,7 +119,7 @@
         let result = match reply {
             Some(EvacuationReply::InForce { revision }) => Ok(revision),
             Some(EvacuationReply::Outdated { revision })
-                if self.may_propose_again(cx, &pending) =>
+                if self.may_retry(cx, &pending) =>
             {
                 self.propose(cx, pending, revision);
                 return;
@@ -129,21 +130,21 @@
             Ok(_) => "committed",
             Err(code) => code.reason(),
         };
-        self.record(&pending.order, outcome);
+        self.record_outcome(&pending.request, outcome);
         pending.caller.answer(result);
     }
 
-    fn may_propose_again(&self, cx: CX![], pending: &Pending) -> bool {
-        let waited = cx.now().saturating_duration_since(pending.arrived_at);
-        waited < PROPOSED_AGAIN_WITHIN && pending.caller.is_waiting()
+    fn may_retry(&self, cx: CX![], pending: &PendingRequest) -> bool {
+        let age = cx.now().saturating_duration_since(pending.arrived_at);
+        age < MAX_RETRY_AGE && pending.caller.is_waiting()
     }
 
-    fn record(&self, order: &EvacuationRequest, outcome: &str) {
-        let held = self.setup.state.borrow().evacuations_revision();
+    fn record_outcome(&self, request: &EvacuationRequest, outcome: &str) {
+        let revision = self.setup.state.borrow().evacuations_revision();
         self.setup.log.record(LogEvent::EvacuationOrdered {
-            zone: order.zone.clone(),
-            evacuated: order.evacuated,
-            revision: held.unwrap_or_default(),
+            zone: request.zone.clone(),
+            evacuated: request.evacuated,
+            revision: revision.unwrap_or_default(),
             outcome: outcome.to_owned(),
         });
     }
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -1,4 +1,4 @@
-//! What reaches the main thread of a process from its other threads.
+//! Events that other threads send to the main thread of a process.
 
 use crate::gateway::GatewayEvent;
 use crate::requests::active::{CallerRequest, RequestNumber};
@@ -16,87 +16,87 @@
 /// Sends events to the main thread.
 pub type EventSender = Sender<Event>;
 
-/// An event.
+/// An event for the main thread.
 pub enum Event {
-    /// A message of a peer, or of this node to itself.
+    /// A message from a peer, or from this node to itself.
     Peer(Envelope),
-    /// So many writes of a group's replica are synced.
+    /// Writes of a group's replica were synced.
     Synced {
         /// The group.
         group: GroupId,
-        /// How many of the oldest ones.
+        /// Number of oldest writes that were synced.
         count: usize,
     },
-    /// A write failed; the process must stop.
+    /// A write to the storage failed; the process has to stop.
     StorageFailed {
         /// The group.
         group: GroupId,
-        /// What happened.
+        /// Cause of the failure.
         error: StorageError,
     },
-    /// A caller's request.
+    /// A caller's pipeline request.
     Caller(CallerRequest),
-    /// The caller of a request went away.
+    /// The caller of a request disconnected.
     CallerDisconnected(RequestNumber),
-    /// A caller asks which addresses to use.
+    /// A caller's request for entry points.
     EntryPoints {
-        /// Zone to prefer.
+        /// Preferred zone.
         zone: Option<String>,
-        /// Where the answer goes.
+        /// Sends the response.
         responder: Responder,
     },
-    /// A call ended.
+    /// A stage call ended.
     CallEnded {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u64,
-        /// How long it took.
+        /// Duration of the call.
         service: Duration,
-        /// What came of it.
+        /// Output of the stage, or the failure.
         result: Result<StageOutput, CallFailure>,
     },
-    /// A pipeline's back end at which calls broke off was tried anew.
+    /// A pipeline's back end that lost connections was probed.
     BackendProbed {
-        /// The back end.
+        /// Name of the back end.
         backend: String,
-        /// What came of it.
+        /// Result of the probe.
         answer: ProbeResult,
     },
-    /// A token of a stream.
+    /// A token of a streamed generation.
     Token {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u64,
         /// Position in the stream.
         sequence: u64,
-        /// Text.
+        /// Text of the token.
         text: String,
     },
     /// An engine's load report.
     EngineLoad {
-        /// The engine.
+        /// Name of the engine.
         backend: BackendName,
-        /// Its load.
+        /// The reported load.
         load: EngineLoad,
     },
-    /// An engine answered an order, or did not.
+    /// An order was answered by its engine, or failed.
     OrderSent {
-        /// The order.
+        /// Identifier of the order.
         id: OrderId,
-        /// What the engine said.
+        /// Success, or the failure of the call.
         result: Result<(), CallFailure>,
     },
-    /// The platform's list.
+    /// The platform's list of machines.
     MachineList(MachineList),
     /// An operator's request.
     Operator {
-        /// What is asked.
+        /// The request.
         request: OperatorRequest,
-        /// Where the answer goes.
+        /// Receives the reply.
         reply: SyncSender<OperatorReply>,
     },
-    /// Something of the gateway.
+    /// An event for the gateway.
     Gateway(GatewayEvent),
-    /// The settings may have changed.
+    /// The settings file may have changed and has to be read again.
     Reload,
-    /// The process shall stop as planned.
+    /// The process has to shut down gracefully.
     Terminate,
 }
--- a/crates/daemon/src/gateway/answers.rs
+++ b/crates/daemon/src/gateway/answers.rs
@@ -66,7 +66,7 @@
             }
             SurfaceRequest::Evacuate(order) => {
                 let caller = Box::new(SurfaceCaller(reply));
-                call!([self.setup.evacuation], order(order, caller));
+                call!([self.setup.evacuation], submit(order, caller));
                 return;
             }
             SurfaceRequest::BeginRollout(order) => {
--- a/crates/daemon/src/node/errors.rs
+++ b/crates/daemon/src/node/errors.rs
@@ -1,20 +1,20 @@
-//! Why a process could not start, or stopped unplanned.
+//! Errors that prevent a process from starting or stop it.
 
 use silversail_model::ResultCode;
 use silversail_storage::StorageError;
 
-/// Why a process could not start, or stopped unplanned.
+/// An error that prevents a process from starting or stops it.
 #[derive(Debug, thiserror::Error)]
 #[error("{} {message}", .code.number())]
 pub struct NodeError {
-    /// Numbered code.
+    /// Numbered result code.
     pub code: ResultCode,
-    /// What happened.
+    /// Cause of the error.
     pub message: String,
 }
 
 impl NodeError {
-    /// An error with its code.
+    /// An error with a numbered code and the text of its cause.
     pub fn new(code: ResultCode, message: impl std::fmt::Display) -> Self {
         Self {
             code,
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! One process: its main loop and what it does with each event.
+//! A process of the cluster: its main loop and the handling of events.
 
 mod errors;
 mod operators;
@@ -13,7 +13,7 @@
 use crate::event::Event;
 use crate::gateway::runtime::GatewayRuntime;
 use crate::metrics::Metrics;
-use crate::pollers::{EngineTargets, FEW_ENGINES};
+use crate::pollers::{EngineTargets, MAX_ENGINES_POLLED_BY_ALL};
 use crate::session::SharedNodeState;
 use crate::settings::Settings;
 use crate::stop::{StopActor, StopSetup};
@@ -34,20 +34,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait of the main loop without an event.
+/// Longest wait of the main loop for an event.
 const MAX_WAIT: Duration = Duration::from_secs(1);
-/// Most events taken in one go, so that timers are not kept waiting.
-const EVENTS_PER_TURN: usize = 256;
+/// Maximum number of events handled before timers run again.
+const MAX_EVENTS_PER_ITERATION: usize = 256;
 
-/// What a process is started with.
+/// Configuration and dependencies of a [`Node`].
 pub struct NodeParts {
-    /// Its settings.
+    /// Validated settings.
     pub settings: Settings,
-    /// Where they were read, to be read again.
+    /// Path of the settings file, for reloads.
     pub settings_path: PathBuf,
-    /// The outside protocols of the gateway.
+    /// Codecs of the gateway's external protocols.
     pub protocols: Protocols,
-    /// Where decisions are told.
+    /// Decision log of the process.
     pub log: DecisionLog,
 }
 
@@ -64,34 +64,40 @@
     stop: Option<ActorOwn<StopActor>>,
     server: Rc<HttpServer>,
     engine_targets: EngineTargets,
-    /// Configuration revision and view that the load pollers follow.
-    polled_state: Option<(Option<u64>, u64)>,
+    /// Configuration revision and view number from which the load pollers' targets were computed.
+    poll_targets_source: Option<(Option<u64>, u64)>,
     failure: Option<NodeError>,
     directory: SharedDirectory,
     settings_path: PathBuf,
     gateway: Option<Rc<GatewayRuntime>>,
     suspension_monitor: SuspensionMonitor,
     log: DecisionLog,
-    /// What back ends said of themselves: those of the gateway, and those of pipelines.
+    /// Notices of the gateway's back ends, and of pipelines' back ends.
     notices: [BackendNotices; 2],
     _lock: Option<FolderLock>,
 }
 
 impl Node {
     /// Opens the data folder, binds all addresses and starts.
+    ///
+    /// # Errors
+    /// If the data folder can't be used, an address can't be bound, or a thread can't be started.
     pub fn start(parts: NodeParts) -> Result<Self, NodeError> {
         start::start(parts)
     }
 
-    /// Runs until a planned stop has ended, or a write failed.
+    /// Runs until a graceful shutdown has ended.
+    ///
+    /// # Errors
+    /// If a write to the storage failed.
     pub fn run(mut self) -> Result<(), NodeError> {
         loop {
-            self.note_suspension();
+            self.detect_suspension();
             let idle = self.stakker.run(clock::now(), false);
             if !self.stakker.not_shutdown() {
                 return self.failure.map_or(Ok(()), Err);
             }
-            self.follow_configuration();
+            self.update_poll_targets();
             let wait = self.stakker.next_wait_max(clock::now(), MAX_WAIT, idle);
             match self.events.recv_timeout(wait) {
                 Ok(event) => self.handle_events(event),
@@ -102,13 +108,12 @@
     }
 
     fn handle_events(&mut self, first: Event) {
-        // Actors must see the time at which an event is handled, also after
-        // the process was frozen or its machine suspended: so time moves on before the events do.
-        // With it come the timers that were due meanwhile, which check leases and deadlines.
-        self.note_suspension();
+        // Advance the actors' time and run expired timers before the events, so that leases and
+        // deadlines are checked first after the process was frozen or the machine suspended.
+        self.detect_suspension();
         self.stakker.run(clock::now(), false);
         self.handle(first);
-        for _ in 1..EVENTS_PER_TURN {
+        for _ in 1..MAX_EVENTS_PER_ITERATION {
             match self.events.try_recv() {
                 Ok(event) => self.handle(event),
                 Err(_) => return,
@@ -116,11 +121,11 @@
         }
     }
 
-    fn note_suspension(&mut self) {
+    fn detect_suspension(&mut self) {
         if let Some(suspended) = self.suspension_monitor.poll() {
             self.metrics.suspensions.inc();
             let gap_ms = suspended.as_millis() as u64;
-            log::warn!(event = "machine_suspended", gap_ms = gap_ms; "the machine was suspended");
+            log::warn!(event = "machine_suspended", gap_ms = gap_ms; "the machine was suspended; leases and deadlines are checked again");
         }
     }
 
@@ -175,7 +180,7 @@
             Event::EngineLoad { backend, load } => self.engine_load(backend, load),
             Event::OrderSent { id, result } => {
                 if let Some(orders) = &self.actors.orders {
-                    call!([orders], sent(id, result));
+                    call!([orders], handle_answer(id, result));
                 }
             }
             Event::MachineList(list) => {
@@ -193,7 +198,7 @@
         }
     }
 
-    /// What is on the disk is not known after a failed write: the process stops.
+    /// Stops the process, as the state of the storage is unknown after a failed write.
     fn storage_failed(&mut self, group: GroupId, error: StorageError) {
         log::error!(event = "storage_failed", group = group.to_string().as_str(), code = ResultCode::StorageWrite.number(); "{error}");
         self.failure = Some(NodeError::new(ResultCode::StorageWrite, error));
@@ -202,22 +207,22 @@
 
     fn engine_load(&self, backend: BackendName, load: EngineLoad) {
         if let Some(orders) = &self.actors.orders {
-            call!([orders], engine_load(backend.clone(), load.clone()));
+            call!([orders], record_engine_load(backend.clone(), load.clone()));
         }
         if let Some(requests) = &self.actors.requests {
             call!([requests], engine_load(backend, load));
         }
     }
 
-    /// Tells the load pollers which engines to ask: all where they are few,
-    /// else those of which this node has home slots.
-    fn follow_configuration(&mut self) {
+    /// Updates the load pollers' targets after a change of configuration or view: all engines if
+    /// they are few, otherwise those of which this node has home slots.
+    fn update_poll_targets(&mut self) {
         let state = self.state.borrow();
-        let seen = (state.configuration.revision(), state.view_changes);
-        if self.polled_state == Some(seen) {
+        let source = (state.configuration.revision(), state.view_changes);
+        if self.poll_targets_source == Some(source) {
             return;
         }
-        self.polled_state = Some(seen);
+        self.poll_targets_source = Some(source);
         let backends = &state.configuration.configuration().backends;
         let engines: Vec<&Backend> = backends
             .values()
@@ -225,14 +230,14 @@
             .collect();
         let table = SlotTable::new(engines.iter().map(|engine| (&engine.name, engine.slots)));
         let (nodes, rank) = state.share(&self.settings.node);
-        let is_asked = |engine: &&Backend| {
-            engines.len() <= FEW_ENGINES
+        let is_polled = |engine: &&Backend| {
+            engines.len() <= MAX_ENGINES_POLLED_BY_ALL
                 || table.home_slots(&engine.name, engine.slots, nodes, rank) > 0
         };
         let targets = engines
             .iter()
             .copied()
-            .filter(is_asked)
+            .filter(is_polled)
             .map(|engine| (engine.name.clone(), engine.address.clone()))
             .collect();
         if let Ok(mut current) = self.engine_targets.lock() {
@@ -240,10 +245,10 @@
         }
     }
 
-    /// Takes what may change while the process runs: contact addresses.
+    /// Applies the settings that may change while the process runs: the contact addresses.
     fn reload(&mut self) {
         let Ok(settings) = Settings::load(&self.settings_path) else {
-            log::warn!(event = "reload_failed"; "the settings can't be read; the former ones stay");
+            log::warn!(event = "reload_failed"; "the settings file can't be read or is invalid; the previous settings remain in use");
             return;
         };
         let Some(discovery) = settings.discovery else {
@@ -260,7 +265,7 @@
         if self.stop.is_some() {
             return;
         }
-        log::info!(event = "stopping"; "planned stop");
+        log::info!(event = "stopping"; "graceful shutdown started");
         if let Some(gateway) = &self.gateway {
             gateway.begin_stop();
         }
@@ -276,7 +281,7 @@
                 .settings
                 .gateway
                 .as_ref()
-                .map(|one| Duration::from_millis(one.stop_grace_ms)),
+                .map(|gateway| Duration::from_millis(gateway.stop_grace_ms)),
             log: self.log.clone(),
             leadership_transfers: self.actors.leadership_transfers(),
         };
--- a/crates/daemon/src/node/operators.rs
+++ b/crates/daemon/src/node/operators.rs
@@ -1,4 +1,4 @@
-//! Answers to operators.
+//! Handling of operators' requests.
 
 use super::Node;
 use crate::clock;
@@ -17,11 +17,11 @@
 use std::sync::mpsc::SyncSender;
 use std::time::Duration;
 
-/// Longest wait for a change to be committed.
+/// Longest wait for a configuration change to be committed.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// An operator at the product's own surface. Whether it still waits is not known there:
-/// the surface's thread waits for it.
+/// A client of the operators' API. Its disconnection is not detected, so it counts as waiting
+/// until it is answered.
 struct OperatorCaller(SyncSender<OperatorReply>);
 
 impl EvacuationCaller for OperatorCaller {
@@ -32,9 +32,9 @@
     fn answer(self: Box<Self>, result: Result<EvacuationRevision, ResultCode>) {
         let reply = match result {
             Ok(revision) => OperatorReply::ok(&json!({ "revision": revision })),
-            Err(code) => OperatorReply::refuse(code, zone_problem(code), json!({})),
+            Err(code) => OperatorReply::refuse(code, zone_error_message(code), json!({})),
         };
-        // The operator's thread may have stopped waiting.
+        // The operator's thread may have timed out.
         let _ = self.0.try_send(reply);
     }
 }
@@ -47,22 +47,22 @@
     fn answer(self: Box<Self>, outcome: RolloutOutcome) {
         let reply = match outcome {
             Ok(number) => OperatorReply::ok(&json!({ "rollout": number })),
-            Err(refused) => OperatorReply::refuse(refused.code, &refused.problem, json!({})),
+            Err(rejection) => OperatorReply::refuse(rejection.code, &rejection.problem, json!({})),
         };
-        // The operator's thread may have stopped waiting.
+        // The operator's thread may have timed out.
         let _ = self.0.try_send(reply);
     }
 }
 
-/// Why a node without a gateway takes no order of a rollout.
-fn no_gateway() -> RolloutRejection {
+/// Rejection of rollout orders on a node without a gateway.
+fn no_gateway_rejection() -> RolloutRejection {
     RolloutRejection {
         code: ResultCode::UnknownService,
         problem: "this node serves no services with versions".to_owned(),
     }
 }
 
-fn zone_problem(code: ResultCode) -> &'static str {
+fn zone_error_message(code: ResultCode) -> &'static str {
     match code {
         ResultCode::InvalidName => "a zone's name takes 1 to 128 letters, digits, '-', '_' and '.'",
         ResultCode::UnknownZone => "this node's settings name no such zone",
@@ -85,7 +85,7 @@
                 let caller = Box::new(OperatorCaller(reply));
                 match &self.actors.rollout {
                     Some(rollout) => call!([rollout], begin(order, caller)),
-                    None => RolloutCaller::answer(caller, Err(no_gateway())),
+                    None => RolloutCaller::answer(caller, Err(no_gateway_rejection())),
                 }
                 return;
             }
@@ -93,7 +93,7 @@
                 let caller = Box::new(OperatorCaller(reply));
                 match &self.actors.rollout {
                     Some(rollout) => call!([rollout], abort(service, caller)),
-                    None => RolloutCaller::answer(caller, Err(no_gateway())),
+                    None => RolloutCaller::answer(caller, Err(no_gateway_rejection())),
                 }
                 return;
             }
@@ -102,12 +102,12 @@
                 self.lift_quarantine(fingerprint, reply);
                 return;
             }
-            OperatorRequest::Evacuate(order) => {
-                self.evacuate(order, reply);
+            OperatorRequest::Evacuate(evacuation) => {
+                self.evacuate(evacuation, reply);
                 return;
             }
         };
-        // The operator's thread may have stopped waiting.
+        // The operator's thread may have timed out.
         let _ = reply.try_send(answer);
     }
 
@@ -127,7 +127,7 @@
         }))
     }
 
-    /// The latest rollouts, of all services or one, where a quorum confirmed them lately.
+    /// The latest rollouts of all services or one, if a quorum confirmed them recently.
     fn rollouts(&self, service: Option<&str>) -> OperatorReply {
         let now = self.clock.millis(clock::now());
         let state = self.state.borrow();
@@ -137,8 +137,8 @@
             return OperatorReply::refuse(ResultCode::NotCurrent, message, details);
         }
         let all = state.rollouts.iter().flat_map(|rollouts| rollouts.all());
-        let wanted = all.filter(|one| service.is_none_or(|name| one.order.service == name));
-        let rollouts: Vec<_> = wanted.collect();
+        let matching = all.filter(|rollout| service.is_none_or(|name| rollout.order.service == name));
+        let rollouts: Vec<_> = matching.collect();
         if let (Some(service), true) = (service, rollouts.is_empty()) {
             let message = format!("service '{service}' never had a rollout");
             return OperatorReply::refuse(ResultCode::NoRollout, &message, json!({}));
@@ -146,7 +146,7 @@
         OperatorReply::ok(&json!({ "rollouts": rollouts }))
     }
 
-    /// The latest changes; voters alone keep them.
+    /// The latest configuration changes, which only voters keep.
     fn history(&self) -> OperatorReply {
         match self.actors.history() {
             Some(history) => OperatorReply::ok(&json!({ "changes": history })),
@@ -169,10 +169,10 @@
         );
     }
 
-    fn evacuate(&self, order: EvacuationRequest, reply: SyncSender<OperatorReply>) {
+    fn evacuate(&self, request: EvacuationRequest, reply: SyncSender<OperatorReply>) {
         let caller = Box::new(OperatorCaller(reply));
         match &self.actors.evacuation {
-            Some(evacuation) => call!([evacuation], order(order, caller)),
+            Some(evacuation) => call!([evacuation], submit(request, caller)),
             None => EvacuationCaller::answer(caller, Err(ResultCode::UnknownZone)),
         }
     }
@@ -199,18 +199,18 @@
             usable_nodes: state
                 .view
                 .usable_nodes()
-                .map(|one| one.node.0.clone())
+                .map(|usable_node| usable_node.node.0.clone())
                 .collect(),
             evacuated_zones: state
                 .evacuations
                 .iter()
-                .flat_map(|held| held.zones().iter().cloned())
+                .flat_map(|evacuations| evacuations.zones().iter().cloned())
                 .collect(),
             evacuations_revision: state.evacuations_revision(),
             rollouts: state
                 .rollouts
                 .iter()
-                .flat_map(|held| held.all().cloned())
+                .flat_map(|rollouts| rollouts.all().cloned())
                 .collect(),
             rollouts_revision: state.rollouts_revision(),
             rollout_permit: state.has_rollout_permit(now),
@@ -241,7 +241,7 @@
     }
 
     fn resting_backends(&self, now: Millis) -> Vec<RestingBackend> {
-        let resting = self.notices.iter().flat_map(|one| one.resting(now));
+        let resting = self.notices.iter().flat_map(|notices| notices.resting(now));
         resting
             .map(|(backend, for_ms)| RestingBackend { backend, for_ms })
             .collect()
--- a/crates/daemon/src/node/quarantine.rs
+++ b/crates/daemon/src/node/quarantine.rs
@@ -1,4 +1,4 @@
-//! Answers to operators about requests that crash back ends.
+//! Operators' requests about the quarantine of requests that crash back ends.
 
 use super::Node;
 use crate::replica::ProposalOutcome;
@@ -11,21 +11,21 @@
 use std::sync::mpsc::SyncSender;
 use std::time::Duration;
 
-/// Longest wait for a verdict to be lifted.
-const LIFT_TIMEOUT: Duration = Duration::from_secs(6);
+/// Longest wait for the release of a request to be committed.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(6);
 
 impl Node {
-    /// What this node refuses, with the evidence where it votes.
+    /// Lists the requests that this node refuses, with the evidence if it is a voter.
     pub(super) fn quarantine(&self) -> OperatorReply {
         let state = self.state.borrow();
         let Some(list) = &state.quarantine else {
-            let message = "this node knows no list of refused requests yet";
+            let message = "this node has not received the list of refused requests yet";
             return OperatorReply::refuse(ResultCode::NotCurrent, message, json!({}));
         };
         let control = self.actors.control_state().map(|state| state.borrow());
         let evidence = |fingerprint: &RequestFingerprint| {
             let control = control.as_ref()?;
-            Some(evidence_of(control.quarantine.refused().get(fingerprint)?))
+            Some(evidence_json(control.quarantine.refused().get(fingerprint)?))
         };
         let refused = list.refused.iter().map(|fingerprint| {
             let mut entry = evidence(fingerprint).unwrap_or_else(|| json!({}));
@@ -40,7 +40,7 @@
         }))
     }
 
-    /// Has a request sent again.
+    /// Releases a request from the quarantine and answers once this is committed.
     pub(super) fn lift_quarantine(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -49,19 +49,19 @@
         let command = QuarantineCommand::Lift { fingerprint };
         let command = ControlCommand::Quarantine(command).encode();
         let ret = ret_some_do!(move |outcome: ProposalOutcome| {
-            // The operator's thread may have stopped waiting.
+            // The operator's thread may have timed out.
             let _ = reply.try_send(lift_reply(&fingerprint, outcome));
         });
         call!(
             [self.actors.control_proposer],
-            propose(command, LIFT_TIMEOUT, ret)
+            propose(command, RELEASE_TIMEOUT, ret)
         );
     }
 }
 
-fn evidence_of(refused: &RefusedRequest) -> Value {
+fn evidence_json(refused: &RefusedRequest) -> Value {
     let crashes = refused.crashes.iter();
-    let crashes = crashes.map(|one| json!({ "backend": one.backend, "at_ms": one.at_ms }));
+    let crashes = crashes.map(|crash| json!({ "backend": crash.backend, "at_ms": crash.at_ms }));
     json!({
         "crashes": crashes.collect::<Vec<Value>>(),
         "since_ms": refused.since_ms,
--- a/crates/daemon/src/node/start.rs
+++ b/crates/daemon/src/node/start.rs
@@ -1,4 +1,4 @@
-//! How a process starts: data folder, sockets, actors, surfaces, pollers.
+//! Start of a process: data folder, sockets, actors, APIs and pollers.
 
 use super::{Node, NodeError, NodeParts};
 use crate::actors::{ActorBuilder, ActorContext, GatewayPorts, OpenedReplica, Platform};
@@ -34,10 +34,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Interval at which the settings file is looked at.
-const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval at which the settings file is checked for changes.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Starts a process.
+/// Starts all components of a process.
 pub(super) fn start(parts: NodeParts) -> Result<Node, NodeError> {
     let settings = Arc::new(parts.settings);
     let suspension_monitor = SuspensionMonitor::start();
@@ -100,9 +100,9 @@
     let server = serve_callers(&settings, &events, &metrics)?;
     serve_operators(&settings, &events, &metrics)?;
     let engine_targets = start_pollers(&settings, &events, agents, &stage_listener);
-    listen_to_signals(events.clone())?;
+    start_signal_handler(events.clone())?;
     if settings.discovery.is_some() {
-        watch_settings(parts.settings_path.clone(), events)?;
+        start_settings_watcher(parts.settings_path.clone(), events)?;
     }
     log.record(LogEvent::Started {
         version: env!("CARGO_PKG_VERSION").to_owned(),
@@ -120,7 +120,7 @@
         stop: None,
         server: Rc::new(server),
         engine_targets,
-        polled_state: None,
+        poll_targets_source: None,
         failure: None,
         directory,
         settings_path: parts.settings_path,
@@ -132,7 +132,7 @@
     })
 }
 
-/// Disks and threads of a real process.
+/// The [`Platform`] of a real process: its disk and threads.
 struct ProcessPlatform {
     data_folder: PathBuf,
     events: EventSender,
@@ -147,7 +147,7 @@
         let folder = self.data_folder.join(group.to_string());
         let opened = ReplicaStore::open(&folder, || ReplicaId(rand::random()))?;
         if opened.torn_bytes > 0 {
-            log::warn!(event = "torn_tail", group = group.to_string().as_str(), bytes = opened.torn_bytes; "an unfinished write was cut off the log");
+            log::warn!(event = "torn_tail", group = group.to_string().as_str(), bytes = opened.torn_bytes; "removed an incomplete write from the end of the log");
         }
         let events = self.events.clone();
         let notify = move |notice| {
@@ -155,7 +155,7 @@
                 WriteNotice::Synced(count) => Event::Synced { group, count },
                 WriteNotice::Failed(error) => Event::StorageFailed { group, error },
             };
-            // The main thread is gone only when the process ends.
+            // Sending fails only while the process exits.
             let _ = events.send(event);
         };
         let queue = WriteQueue::start(opened.store, notify)
@@ -293,7 +293,7 @@
 ) -> EngineTargets {
     let targets = EngineTargets::default();
     if settings.gateway.is_some() {
-        // The gateway's engines tell their loads with their answers.
+        // The gateway's back ends report their loads with their answers.
         return targets;
     }
     let timing = &settings.timing;
@@ -316,7 +316,7 @@
     targets
 }
 
-fn listen_to_signals(events: EventSender) -> Result<(), NodeError> {
+fn start_signal_handler(events: EventSender) -> Result<(), NodeError> {
     use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
     let failed = |error: std::io::Error| NodeError::new(ResultCode::InvalidSettings, error);
     let mut signals =
@@ -338,20 +338,20 @@
         .map_err(failed)
 }
 
-/// Tells when the settings file changed: that may come without a signal.
-fn watch_settings(path: PathBuf, events: EventSender) -> Result<(), NodeError> {
+/// Watches the settings file, as it may change without a signal to the process.
+fn start_settings_watcher(path: PathBuf, events: EventSender) -> Result<(), NodeError> {
     let mut known = std::fs::read(&path).unwrap_or_default();
     std::thread::Builder::new()
         .name("settings-watch".into())
         .spawn(move || loop {
-            std::thread::sleep(SETTINGS_INTERVAL);
-            let Ok(now) = std::fs::read(&path) else {
+            std::thread::sleep(SETTINGS_CHECK_INTERVAL);
+            let Ok(current) = std::fs::read(&path) else {
                 continue;
             };
-            if now != known && events.send(Event::Reload).is_err() {
+            if current != known && events.send(Event::Reload).is_err() {
                 return;
             }
-            known = now;
+            known = current;
         })
         .map(drop)
         .map_err(|error| NodeError::new(ResultCode::InvalidSettings, error))
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -1,11 +1,10 @@
-//! The actor that turns declared intent into orders to engines. It acts on the
-//! leader of the control group only.
+//! The actor that issues orders to engines so that they load the models that the configuration
+//! declares. It is active on the leader of the control group only.
 //!
-//! Safe at engines that don't check the fence: an order is committed before it
-//! is sent, one is outstanding at an engine at a time, and a new leader waits
-//! until its predecessor's lease and last order have ended. Not repeated after a
-//! change of leader: the new leader finds the outstanding order and looks at
-//! what the engine holds before it gives the order up.
+//! To be safe for engines that don't check the fencing token, an order is committed before it is
+//! sent, an engine has at most one outstanding order, and a new leader waits until its
+//! predecessor's lease and last order have expired. Orders are not repeated after a change of
+//! leader: the new leader checks the engine's loaded models before it ends an outstanding order.
 
 use crate::calls::OrderSender;
 use crate::clock::Clock;
@@ -25,64 +24,66 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const TICK: Duration = Duration::from_millis(200);
-/// A report of what an engine holds is used for so long, in milliseconds.
-const REPORT_VALID_FOR: Millis = 5_000;
-/// An order that shows no effect is given up after this time beyond what its
-/// weights need, in milliseconds.
-const ORDER_PATIENCE: Millis = 10_000;
+/// Interval at which orders are issued and ended.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
+/// Time for which an engine's report of its loaded models is used, in milliseconds.
+const REPORT_LIFETIME_MS: Millis = 5_000;
+/// Time beyond the transfer of the weights after which an order without effect is ended, in
+/// milliseconds.
+const ORDER_EFFECT_TIMEOUT_MS: Millis = 10_000;
+/// Longest wait for an order to be committed.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What the actor is made of.
+/// Dependencies and configuration of an [`OrderActor`].
 pub struct OrderSetup {
-    /// The replicated configuration and orders.
-    pub machine: Rc<RefCell<ControlState>>,
-    /// Status of the own replica of the control group.
+    /// Replicated state with the configuration and the orders.
+    pub control_state: Rc<RefCell<ControlState>>,
+    /// Status of this node's replica of the control group.
     pub status: SharedGroupStatus,
-    /// For what is leaving.
+    /// Tells which back ends' machines are leaving.
     pub state: SharedNodeState,
-    /// Commits orders.
+    /// Proposes orders to the control group.
     pub proposer: Actor<ProposerActor>,
-    /// Sends them.
+    /// Sends orders to engines.
     pub sender: Box<dyn OrderSender>,
-    /// Longest time for which a leader that is cut off acts as one.
+    /// Longest time for which a partitioned leader continues to act as leader, in milliseconds.
     pub leader_lease: Millis,
-    /// Rate of the weight store, in megabytes a second.
+    /// Throughput of the weight store, in megabytes per second.
     pub weight_store_mb_per_s: f64,
-    /// Time.
+    /// Clock of the process.
     pub clock: Clock,
 }
 
-/// What this process does in a term in which it leads.
+/// State of a term in which this process is the leader.
 struct Leadership {
     term: u64,
-    /// Orders may be issued from then on.
+    /// Time from which orders may be issued.
     orders_from: Millis,
     next_sequence: u64,
-    /// When the weight store is free for the next load.
+    /// Time from which the weight store is free for the next load.
     store_free_at: Millis,
-    /// When each outstanding order was first seen.
-    seen_at: BTreeMap<OrderId, Millis>,
-    /// An order that is being committed.
-    committing: bool,
+    /// Time at which each outstanding order was first seen.
+    first_seen_at: BTreeMap<OrderId, Millis>,
+    /// Whether an order is being committed.
+    is_committing: bool,
 }
 
-struct Report {
+struct EngineReport {
     models: Vec<String>,
-    at: Millis,
+    reported_at: Millis,
 }
 
-/// Issues orders.
+/// Issues orders to engines on the leader of the control group.
 pub struct OrderActor {
     setup: OrderSetup,
-    reports: BTreeMap<BackendName, Report>,
+    reports: BTreeMap<BackendName, EngineReport>,
     leadership: Option<Leadership>,
 }
 
 impl OrderActor {
-    /// Starts without knowing what engines hold.
+    /// Starts without reports of engines' loaded models.
     pub fn init(cx: CX![], setup: OrderSetup) -> Option<Self> {
-        after!(TICK, [cx], tick());
+        after!(TICK_INTERVAL, [cx], tick());
         Some(Self {
             setup,
             reports: BTreeMap::new(),
@@ -90,21 +91,21 @@
         })
     }
 
-    /// An engine's report.
-    pub fn engine_load(&mut self, cx: CX![], backend: BackendName, load: EngineLoad) {
-        let at = self.setup.clock.millis(cx.now());
+    /// Records the loaded models that an engine reported.
+    pub fn record_engine_load(&mut self, cx: CX![], backend: BackendName, load: EngineLoad) {
+        let reported_at = self.setup.clock.millis(cx.now());
         let models = load.models;
-        self.reports.insert(backend, Report { models, at });
+        self.reports.insert(backend, EngineReport { models, reported_at });
     }
 
     fn tick(&mut self, cx: CX![]) {
-        after!(TICK, [cx], tick());
+        after!(TICK_INTERVAL, [cx], tick());
         let now = self.setup.clock.millis(cx.now());
         self.follow_leadership(now);
         let may_act = self
             .leadership
             .as_ref()
-            .is_some_and(|one| now >= one.orders_from && !one.committing);
+            .is_some_and(|leadership| now >= leadership.orders_from && !leadership.is_committing);
         if may_act && self.is_confirmed_leader(now) {
             self.end_orders(now);
             self.issue_next(cx, now);
@@ -120,30 +121,30 @@
             self.leadership = None;
             return;
         }
-        if self.leadership.as_ref().map(|one| one.term) != Some(term) {
+        if self.leadership.as_ref().map(|leadership| leadership.term) != Some(term) {
             let last_order = ORDER_TIMEOUT.as_millis() as Millis;
             self.leadership = Some(Leadership {
                 term,
                 orders_from: now + self.setup.leader_lease + last_order,
                 next_sequence: 0,
                 store_free_at: now,
-                seen_at: BTreeMap::new(),
-                committing: false,
+                first_seen_at: BTreeMap::new(),
+                is_committing: false,
             });
         }
     }
 
-    /// Whether a quorum confirmed the leadership within the lease.
+    /// Whether a quorum confirmed this node's leadership within the lease.
     fn is_confirmed_leader(&self, now: Millis) -> bool {
         let status = self.setup.status.borrow();
         let age = status.freshness.age(now);
         status.is_leader && age.is_some_and(|age| age < self.setup.leader_lease)
     }
 
-    fn holdings(&self, now: Millis) -> LoadedModels {
+    fn loaded_models(&self, now: Millis) -> LoadedModels {
         self.reports
             .iter()
-            .filter(|(_, report)| now.saturating_sub(report.at) < REPORT_VALID_FOR)
+            .filter(|(_, report)| now.saturating_sub(report.reported_at) < REPORT_LIFETIME_MS)
             .map(|(backend, report)| {
                 let models = report.models.iter().cloned().collect();
                 (backend.clone(), models)
@@ -151,24 +152,24 @@
             .collect()
     }
 
-    /// Ends the orders whose effect shows, and those that show none in time.
+    /// Ends the orders that have taken effect, and those that timed out.
     fn end_orders(&mut self, now: Millis) {
-        let holdings = self.holdings(now);
+        let loaded_models = self.loaded_models(now);
         let outstanding: Vec<Order> = {
-            let machine = self.setup.machine.borrow();
-            machine.orders.outstanding().cloned().collect()
+            let control_state = self.setup.control_state.borrow();
+            control_state.orders.outstanding().cloned().collect()
         };
         for order in outstanding {
-            let patience = ORDER_PATIENCE + self.transfer_ms(&order.model);
+            let effect_timeout = ORDER_EFFECT_TIMEOUT_MS + self.transfer_ms(&order.model);
             let Some(leadership) = &mut self.leadership else {
                 return;
             };
-            let seen_at = *leadership.seen_at.entry(order.id).or_insert(now);
-            let shows_effect = holdings.get(&order.backend).is_some_and(|held| {
+            let first_seen_at = *leadership.first_seen_at.entry(order.id).or_insert(now);
+            let has_taken_effect = loaded_models.get(&order.backend).is_some_and(|held| {
                 held.contains(&order.model) == (order.action == OrderAction::Load)
             });
-            if shows_effect || now.saturating_sub(seen_at) > patience {
-                log::info!(event = "order_ended", backend = order.backend.as_str(), model = order.model.as_str(), done = shows_effect; "order ended");
+            if has_taken_effect || now.saturating_sub(first_seen_at) > effect_timeout {
+                log::info!(event = "order_ended", backend = order.backend.as_str(), model = order.model.as_str(), done = has_taken_effect; "order ended");
                 self.propose_end(order.id);
             }
         }
@@ -180,56 +181,56 @@
         call!([proposer], propose(command, PROPOSAL_TIMEOUT, ret_nop!()));
     }
 
-    /// Time that a model's weights take from the store.
+    /// Time to transfer a model's weights from the weight store, in milliseconds.
     fn transfer_ms(&self, model: &str) -> Millis {
-        let machine = self.setup.machine.borrow();
-        let models = &machine.configuration.configuration().models;
+        let control_state = self.setup.control_state.borrow();
+        let models = &control_state.configuration.configuration().models;
         let size = models.get(model).map_or(0, |model| model.size_mb);
         (f64::from(size) / self.setup.weight_store_mb_per_s * 1_000.0) as Millis
     }
 
     fn issue_next(&mut self, cx: CX![], now: Millis) {
-        let holdings = self.holdings(now);
-        let planned = {
-            let machine = self.setup.machine.borrow();
+        let loaded_models = self.loaded_models(now);
+        let planned_orders = {
+            let control_state = self.setup.control_state.borrow();
             let state = self.setup.state.borrow();
-            let configuration = machine.configuration.configuration();
-            plan_orders(configuration, &holdings, &machine.orders, |backend| {
+            let configuration = control_state.configuration.configuration();
+            plan_orders(configuration, &loaded_models, &control_state.orders, |backend| {
                 state.is_leaving(&backend.address)
             })
         };
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        // Loads wait for the weight store; dropping a model needs none of it.
+        // Loads wait for the weight store; unloading a model does not use it.
         let store_is_free = now >= leadership.store_free_at;
-        let next = planned
+        let next_order = planned_orders
             .into_iter()
             .find(|order| order.action == OrderAction::Unload || store_is_free);
-        if let Some(next) = next {
-            self.commit(cx, next, now);
+        if let Some(next_order) = next_order {
+            self.commit(cx, next_order, now);
         }
     }
 
-    fn commit(&mut self, cx: CX![], planned: PlannedOrder, now: Millis) {
-        let transfer = match planned.action {
-            OrderAction::Load => self.transfer_ms(&planned.model),
+    fn commit(&mut self, cx: CX![], planned_order: PlannedOrder, now: Millis) {
+        let transfer = match planned_order.action {
+            OrderAction::Load => self.transfer_ms(&planned_order.model),
             OrderAction::Unload => 0,
         };
         let Some(leadership) = &mut self.leadership else {
             return;
         };
         leadership.next_sequence += 1;
-        leadership.committing = true;
+        leadership.is_committing = true;
         leadership.store_free_at = leadership.store_free_at.max(now) + transfer;
         let order = Order {
             id: OrderId {
                 term: leadership.term,
                 sequence: leadership.next_sequence,
             },
-            backend: planned.backend,
-            action: planned.action,
-            model: planned.model,
+            backend: planned_order.backend,
+            action: planned_order.action,
+            model: planned_order.model,
         };
         let command = ControlCommand::Order(OrderCommand::Issue(order.clone())).encode();
         let ret = ret_some_to!([cx], committed(order) as (ProposalOutcome));
@@ -241,7 +242,7 @@
         let now = self.setup.clock.millis(cx.now());
         let is_same_term = match &mut self.leadership {
             Some(leadership) => {
-                leadership.committing = false;
+                leadership.is_committing = false;
                 leadership.term == order.id.term
             }
             None => false,
@@ -250,14 +251,14 @@
             ProposalOutcome::Applied(bytes) => postcard::from_bytes(&bytes).ok(),
             ProposalOutcome::Unavailable => None,
         };
-        // The lease may have ended while the order was committed: then a new
-        // leader may be acting, and it knows of this order as outstanding.
+        // If the lease expired during the commit, a new leader may be active; it has this
+        // order as an outstanding one.
         if reply != Some(OrderReply::Issued) || !is_same_term || !self.is_confirmed_leader(now) {
             return;
         }
         let address = {
-            let machine = self.setup.machine.borrow();
-            let backends = &machine.configuration.configuration().backends;
+            let control_state = self.setup.control_state.borrow();
+            let backends = &control_state.configuration.configuration().backends;
             backends
                 .get(&order.backend)
                 .map(|backend| backend.address.clone())
@@ -285,9 +286,9 @@
         }
     }
 
-    /// An engine answered, or did not. Without an answer the order stays
-    /// outstanding until its effect shows or patience ends.
-    pub fn sent(&mut self, _: CX![], id: OrderId, result: Result<(), CallFailure>) {
+    /// Handles an engine's answer to an order. Without an answer the order stays outstanding
+    /// until it takes effect or times out.
+    pub fn handle_answer(&mut self, _: CX![], id: OrderId, result: Result<(), CallFailure>) {
         if let Err(failure) = result {
             log::warn!(event = "order_failed", term = id.term, sequence = id.sequence; "{failure}");
             if matches!(failure, CallFailure::NotRun(_) | CallFailure::Failed(_)) {
--- a/crates/daemon/src/outbox.rs
+++ b/crates/daemon/src/outbox.rs
@@ -1,4 +1,4 @@
-//! The sending side of a process.
+//! Sends messages to peers.
 
 use crate::metrics::Metrics;
 use silversail_model::topology::Distance;
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Puts messages into envelopes and hands them to the transport. Messages to
-/// the own node are looped back.
+/// Wraps messages in envelopes and passes them to the transport. Messages to the own node
+/// are delivered locally.
 pub struct Outbox {
     cluster: String,
     node: NodeName,
@@ -20,7 +20,7 @@
     loopback: Box<dyn Fn(Envelope)>,
     metrics: Arc<Metrics>,
     topology: Arc<Topology>,
-    /// How far the known nodes are.
+    /// Distances of the known nodes, for the byte counters.
     distances: BTreeMap<NodeName, Distance>,
 }
 
@@ -28,7 +28,7 @@
 pub type SharedOutbox = Rc<RefCell<Outbox>>;
 
 impl Outbox {
-    /// An outbox for the process `incarnation` of `node`.
+    /// An outbox of the process with `incarnation` on `node`.
     pub fn new(
         cluster: String,
         node: NodeName,
@@ -49,65 +49,65 @@
         }
     }
 
-    /// Bytes are counted by the distances of this topology.
+    /// Sets the topology by which the byte counters distinguish distances.
     pub fn with_topology(mut self, topology: Arc<Topology>) -> Self {
         self.topology = topology;
         self
     }
 
-    /// This node.
+    /// Name of the own node.
     pub fn node(&self) -> &NodeName {
         &self.node
     }
 
-    /// This process.
+    /// Incarnation of the own process, which increases with each start.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Sends a message; it may be lost.
+    /// Sends a message without a delivery guarantee.
     pub fn send(&mut self, to: &NodeName, message: PeerMessage) {
-        let envelope = self.envelope(message);
+        let envelope = self.wrap(message);
         if *to == self.node {
             (self.loopback)(envelope);
             return;
         }
         let result = self.transport.send(to, &envelope);
         let distance = self.distances.get(to).copied();
-        self.count(result, envelope.message.kind(), distance);
+        self.count_sent(result, envelope.message.kind(), distance);
     }
 
-    /// Sends a message to an address of which no node is known; it may be lost.
+    /// Sends a message to an address whose node is unknown, without a delivery guarantee.
     pub fn send_to_address(&mut self, address: &str, message: PeerMessage) {
-        let envelope = self.envelope(message);
+        let envelope = self.wrap(message);
         let result = self.transport.send_to_address(address, &envelope);
-        self.count(result, envelope.message.kind(), None);
+        self.count_sent(result, envelope.message.kind(), None);
     }
 
-    /// Learns where a node is reached.
+    /// Sets the address and the zone of a node.
     pub fn set_contact(&mut self, contact: &Contact) {
         self.set_zone(&contact.node, &contact.zone);
         self.transport
             .set_address(&contact.node, &contact.peer_address);
     }
 
-    /// Learns the zone of a node.
+    /// Sets the zone of a node.
     pub fn set_zone(&mut self, node: &NodeName, zone: &str) {
         let distance = self.topology.distance_to(zone);
         self.distances.insert(node.clone(), distance);
     }
 
-    /// Gives up the connection to a silent node for a new one.
+    /// Replaces the connection to a node that does not respond.
     pub fn reconnect(&mut self, node: &NodeName) {
         self.transport.reconnect(node);
     }
 
-    /// A message of a node's process came.
+    /// Records that a message of a node's process arrived.
     pub fn record_message(&mut self, from: &NodeName, incarnation: u64) {
         self.transport.record_message(from, incarnation);
     }
 
-    fn envelope(&self, message: PeerMessage) -> Envelope {
+    fn wrap(&self, message: PeerMessage) -> Envelope {
         Envelope {
             version: PROTOCOL_VERSION,
             cluster: self.cluster.clone(),
@@ -117,7 +117,7 @@
         }
     }
 
-    fn count(&self, result: SendResult, kind: &str, distance: Option<Distance>) {
+    fn count_sent(&self, result: SendResult, kind: &str, distance: Option<Distance>) {
         if let SendResult::Queued { bytes } = result {
             let distance = distance.map_or("unknown", distance_label);
             let counter = &self.metrics.peer_sent_bytes;
--- a/crates/daemon/src/pollers.rs
+++ b/crates/daemon/src/pollers.rs
@@ -1,4 +1,4 @@
-//! Threads that read engines' loads and the platform's list at intervals.
+//! Threads that poll engines' loads and the platform's machine list.
 
 use crate::call_guard::AddressGuard;
 use crate::event::{Event, EventSender};
@@ -10,20 +10,20 @@
 use std::thread;
 use std::time::Duration;
 
-/// Engines to ask, renewed when the configuration changes.
+/// Names and addresses of the engines to poll, updated when the configuration changes.
 pub type EngineTargets = Arc<Mutex<Vec<(BackendName, String)>>>;
 
-/// Threads that share the engines.
-const LOAD_THREADS: usize = 4;
-/// Up to so many engines a process asks all of them for their loads.
-pub const FEW_ENGINES: usize = 32;
-/// Most loads that a process asks for in a second where engines are few.
-const POLLS_PER_SECOND_OF_FEW: u32 = 80;
-/// Most loads that a process asks for in a second else: more engines are asked
-/// less often each, so that the cost to a node does not grow with the cluster.
+/// Number of threads among which the engines are divided.
+const LOAD_POLLER_THREADS: usize = 4;
+/// Maximum number of engines up to which every process polls all of them.
+pub const MAX_ENGINES_POLLED_BY_ALL: usize = 32;
+/// Maximum load polls per second of one process if it polls all engines.
+const POLLS_PER_SECOND_OF_ALL_ENGINES: u32 = 80;
+/// Maximum load polls per second of one process if it polls only a part of the engines. With more
+/// engines each is polled less often, so that a node's cost does not grow with the cluster.
 const POLLS_PER_SECOND: u32 = 20;
 
-/// Starts asking engines for their loads.
+/// Starts the threads that poll engines for their loads.
 pub fn start_load_pollers(
     agents: Agents,
     targets: EngineTargets,
@@ -31,20 +31,20 @@
     listener: &NoticeListener,
     events: EventSender,
 ) {
-    for part in 0..LOAD_THREADS {
+    for thread_index in 0..LOAD_POLLER_THREADS {
         let (agents, targets, events) = (agents.clone(), targets.clone(), events.clone());
         let listener = listener.clone();
         spawn("load-poller", move || loop {
-            let mine: Vec<(BackendName, String)> = match targets.lock() {
+            let assigned: Vec<(BackendName, String)> = match targets.lock() {
                 Ok(targets) => targets
                     .iter()
-                    .skip(part)
-                    .step_by(LOAD_THREADS)
+                    .skip(thread_index)
+                    .step_by(LOAD_POLLER_THREADS)
                     .cloned()
                     .collect(),
                 Err(_) => return,
             };
-            for (backend, address) in mine {
+            for (backend, address) in assigned {
                 let guard = AddressGuard {
                     listener: &listener,
                     address: &address,
@@ -56,22 +56,22 @@
                     }
                 }
             }
-            thread::sleep(interval.max(round_time(&targets)));
+            thread::sleep(interval.max(min_round_duration(&targets)));
         });
     }
 }
 
-/// Shortest time of a round over all targets.
-fn round_time(targets: &EngineTargets) -> Duration {
+/// Minimum time of a round over all targets.
+fn min_round_duration(targets: &EngineTargets) -> Duration {
     let count = targets.lock().map_or(0, |targets| targets.len());
-    let polls_per_second = match count <= FEW_ENGINES {
-        true => POLLS_PER_SECOND_OF_FEW,
+    let polls_per_second = match count <= MAX_ENGINES_POLLED_BY_ALL {
+        true => POLLS_PER_SECOND_OF_ALL_ENGINES,
         false => POLLS_PER_SECOND,
     };
     Duration::from_secs(count as u64) / polls_per_second
 }
 
-/// Starts reading the platform's list.
+/// Starts the thread that polls the platform's machine list.
 pub fn start_platform_poller(
     agents: Agents,
     address: String,
@@ -96,5 +96,5 @@
     thread::Builder::new()
         .name(name.into())
         .spawn(run)
-        .expect("a thread can be started at process start");
+        .expect("threads can be started at process start");
 }
--- a/crates/daemon/src/quarantine/leader.rs
+++ b/crates/daemon/src/quarantine/leader.rs
@@ -1,5 +1,5 @@
-//! The actor that commits crashes. It acts while its replica leads the control group; every voter
-//! has one.
+//! The actor that commits crash reports. It runs on every voter and is active while its replica
+//! leads the control group.
 
 use crate::clock::Clock;
 use crate::metrics::Metrics;
@@ -18,86 +18,86 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Interval of commits: a twentieth of the time within which a verdict must be in force.
-const TICK: Duration = Duration::from_millis(100);
-/// Longest wait for a commit; then what is told is committed anew.
+/// Interval of commits.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest wait for a commit; after that the reports are committed again.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Between looks for verdicts that end, in milliseconds: they last an hour.
-const EXPIRE_EVERY: Millis = 10_000;
+/// Interval of the checks for expired verdicts, in milliseconds.
+const EXPIRY_CHECK_INTERVAL_MS: Millis = 10_000;
 
-/// What the actor is made of.
+/// Dependencies and configuration of a [`QuarantineLeaderActor`].
 pub struct QuarantineLeaderSetup {
-    /// The replicated judgement.
-    pub machine: Rc<RefCell<ControlState>>,
-    /// Status of the own replica of the control group.
+    /// Replicated state with the quarantine.
+    pub control_state: Rc<RefCell<ControlState>>,
+    /// Status of this node's replica of the control group.
     pub status: SharedGroupStatus,
-    /// What nodes told.
+    /// Crashes and completed requests that nodes reported.
     pub sightings: SharedSightings,
-    /// Commits.
+    /// Proposes commands to the control group.
     pub proposer: Actor<ProposerActor>,
-    /// What holds.
+    /// Limits of the quarantine.
     pub limits: QuarantineLimits,
-    /// Decisions.
+    /// Records committed crashes, and the begin and end of refusals.
     pub log: DecisionLog,
-    /// Counters.
+    /// Counts verdicts and suspects.
     pub metrics: Arc<Metrics>,
-    /// Time.
+    /// Clock of the process.
     pub clock: Clock,
 }
 
-/// What is being committed.
-pub(crate) struct Commit {
+/// Crash reports that are being committed.
+pub(crate) struct PendingCommit {
     crashes: Vec<ReportedCrash>,
 }
 
-/// Commits crashes and whole answers.
+/// Commits crash reports and completed requests on the leader of the control group.
 pub struct QuarantineLeaderActor {
     setup: QuarantineLeaderSetup,
     is_committing: bool,
-    expired_at: Millis,
+    last_expiry_check_at: Millis,
 }
 
 impl QuarantineLeaderActor {
-    /// Starts as no leader.
+    /// Starts as a follower.
     pub fn init(cx: CX![], setup: QuarantineLeaderSetup) -> Option<Self> {
-        after!(TICK, [cx], tick());
+        after!(TICK_INTERVAL, [cx], tick());
         Some(Self {
             setup,
             is_committing: false,
-            expired_at: 0,
+            last_expiry_check_at: 0,
         })
     }
 
     fn tick(&mut self, cx: CX![]) {
-        after!(TICK, [cx], tick());
-        self.count();
+        after!(TICK_INTERVAL, [cx], tick());
+        self.update_suspect_gauge();
         if self.is_committing || !self.setup.status.borrow().is_leader {
             return;
         }
         let now = self.setup.clock.millis(cx.now());
-        let ended_well = self.setup.sightings.borrow_mut().take_completed_requests();
-        if !ended_well.is_empty() {
+        let completed_requests = self.setup.sightings.borrow_mut().take_completed_requests();
+        if !completed_requests.is_empty() {
             let command = QuarantineCommand::RecordSuccesses {
-                fingerprints: ended_well.into_iter().collect(),
+                fingerprints: completed_requests.into_iter().collect(),
                 limits: self.setup.limits,
             };
             self.commit(cx, command, Vec::new());
             return;
         }
-        let due = self.setup.sightings.borrow_mut().uncommitted(now);
-        if !due.is_empty() {
-            let crashes = due.iter().map(|crash| self.record_of(crash)).collect();
+        let uncommitted_crashes = self.setup.sightings.borrow_mut().uncommitted(now);
+        if !uncommitted_crashes.is_empty() {
+            let crashes = uncommitted_crashes.iter().map(|crash| self.to_crash_record(crash)).collect();
             let command = QuarantineCommand::RecordCrashes {
                 crashes,
                 limits: self.setup.limits,
             };
-            self.commit(cx, command, due);
+            self.commit(cx, command, uncommitted_crashes);
             return;
         }
         self.expire_if_due(cx, now);
     }
 
-    fn record_of(&self, crash: &ReportedCrash) -> CrashRecord {
+    fn to_crash_record(&self, crash: &ReportedCrash) -> CrashRecord {
         CrashRecord {
             backend: crash.backend.clone(),
             at_ms: self.setup.clock.unix_millis(crash.at),
@@ -106,16 +106,16 @@
     }
 
     fn expire_if_due(&mut self, cx: CX![], now: Millis) {
-        if now.saturating_sub(self.expired_at) < EXPIRE_EVERY {
+        if now.saturating_sub(self.last_expiry_check_at) < EXPIRY_CHECK_INTERVAL_MS {
             return;
         }
-        self.expired_at = now;
+        self.last_expiry_check_at = now;
         let now_ms = self.setup.clock.unix_millis(now);
         let limits = self.setup.limits;
-        let machine = self.setup.machine.borrow();
-        let has_ended = machine.quarantine.needs_expiry(now_ms, &limits);
-        drop(machine);
-        if has_ended {
+        let control_state = self.setup.control_state.borrow();
+        let needs_expiry = control_state.quarantine.needs_expiry(now_ms, &limits);
+        drop(control_state);
+        if needs_expiry {
             self.commit(cx, QuarantineCommand::Expire { now_ms, limits }, Vec::new());
         }
     }
@@ -123,14 +123,15 @@
     fn commit(&mut self, cx: CX![], command: QuarantineCommand, crashes: Vec<ReportedCrash>) {
         self.is_committing = true;
         let command = ControlCommand::Quarantine(command).encode();
-        let commit = Commit { crashes };
-        let ret = ret_some_to!([cx], committed(commit) as (ProposalOutcome));
+        let commit = PendingCommit { crashes };
+        let ret = ret_some_to!([cx], handle_commit_outcome(commit) as (ProposalOutcome));
         let proposer = &self.setup.proposer;
         call!([proposer], propose_locally(command, COMMIT_TIMEOUT, ret));
     }
 
-    /// What was to be committed is, or not: then it is due still.
-    fn committed(&mut self, _: CX![], commit: Commit, outcome: ProposalOutcome) {
+    /// Handles the outcome of a commit; reports that were not committed remain uncommitted and are
+    /// proposed again.
+    fn handle_commit_outcome(&mut self, _: CX![], commit: PendingCommit, outcome: ProposalOutcome) {
         self.is_committing = false;
         let reply = match outcome {
             ProposalOutcome::Applied(bytes) => postcard::from_bytes(&bytes).ok(),
@@ -167,17 +168,17 @@
 
     fn record_verdict(&self, fingerprint: &RequestFingerprint, crashes: &[CrashEvidence]) {
         self.setup.metrics.quarantine_verdicts.inc();
-        let told = |crash: &CrashEvidence| format!("{}@{}", crash.backend, crash.at_ms);
+        let describe = |crash: &CrashEvidence| format!("{}@{}", crash.backend, crash.at_ms);
         self.setup.log.record(LogEvent::QuarantineBegun {
             fingerprint: fingerprint.to_string(),
-            crashes: crashes.iter().map(told).collect(),
+            crashes: crashes.iter().map(describe).collect(),
         });
     }
 
-    fn count(&self) {
-        let machine = self.setup.machine.borrow();
+    fn update_suspect_gauge(&self) {
+        let control_state = self.setup.control_state.borrow();
         let gauge = &self.setup.metrics.quarantine;
-        let suspects = machine.quarantine.suspect_count();
+        let suspects = control_state.quarantine.suspect_count();
         gauge.with_label_values(&["suspect"]).set(suspects as i64);
     }
 }
--- a/crates/daemon/src/quarantine/mod.rs
+++ b/crates/daemon/src/quarantine/mod.rs
@@ -1,5 +1,5 @@
-//! Requests that crash back ends: the leader of the control group commits what nodes told of
-//! crashes, and so which requests no node sends any more.
+//! Quarantine of requests that crash back ends: the leader of the control group commits the
+//! reported crashes, which determine the requests that all nodes refuse.
 
 mod leader;
 
--- a/crates/daemon/src/replica/actor.rs
+++ b/crates/daemon/src/replica/actor.rs
@@ -1,5 +1,5 @@
-//! The actor that drives one replica: it feeds messages and time into the
-//! consensus state machine and carries out what comes out.
+//! The actor that drives one replica: it passes messages and clock ticks to the
+//! consensus algorithm and executes its output.
 
 use crate::clock::Clock;
 use crate::directory::SharedDirectory;
@@ -19,49 +19,50 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Interval of the state machine's clock.
-const TICK: Duration = Duration::from_millis(30);
-/// Ticks between probes and join requests.
+/// Interval of the clock ticks passed to the consensus algorithm.
+const TICK_INTERVAL: Duration = Duration::from_millis(30);
+/// Ticks between rounds of formation probes, join requests and membership changes.
 const TICKS_PER_PROBE: u64 = 8;
-/// Least applied entries after which a snapshot replaces the log.
-const COMPACT_AFTER_ENTRIES: usize = 2_000;
-/// A snapshot of so many bytes is worth one more entry of the log, so that a
-/// large state is not written again and again.
+/// Minimum number of applied entries before a snapshot replaces the log.
+const MIN_ENTRIES_BEFORE_COMPACTION: usize = 2_000;
+/// Snapshot bytes that raise the compaction threshold by one entry, so that a
+/// large state is not rewritten too often.
 const SNAPSHOT_BYTES_PER_ENTRY: usize = 512;
-/// Entries kept behind a snapshot for followers that are a little late.
-const KEEP_ENTRIES: usize = 500;
+/// Log entries retained behind a snapshot for followers that lag slightly.
+const RETAINED_ENTRIES: usize = 500;
 
-/// What a replica actor is made of.
+/// Dependencies and configuration of a [`ReplicaActor`].
 pub struct ReplicaSetup<M> {
-    /// Its group.
+    /// Replication group of the replica.
     pub group: GroupId,
-    /// Its node.
+    /// Node that runs the replica.
     pub node: NodeName,
-    /// Identity of its stored state.
+    /// Identity that is stored with the replica's state.
     pub replica: ReplicaId,
-    /// Knows the nodes that form the group.
+    /// Lists the nodes that form the group.
     pub directory: SharedDirectory,
-    /// What was stored; none when the folder was empty.
+    /// State read from the disk; none if the folder was empty.
     pub stored: Option<StoredState>,
-    /// Timing.
+    /// Timeouts and intervals of the consensus algorithm.
     pub config: ConsensusConfig,
-    /// Seed of election timeouts, and of the identity of a group that this replica forms.
+    /// Seed of the election timeouts and of the cluster identifier of a group that this
+    /// replica forms.
     pub seed: u64,
-    /// The replicated state.
-    pub machine: Rc<RefCell<M>>,
-    /// Status for other actors.
+    /// State machine to which committed commands are applied.
+    pub state_machine: Rc<RefCell<M>>,
+    /// Status published to other actors.
     pub status: SharedGroupStatus,
-    /// Sending.
+    /// Sends messages to peers.
     pub outbox: SharedOutbox,
-    /// Writing.
+    /// Persists the log and snapshots.
     pub writer: Box<dyn LogWriter>,
-    /// Told after commands were applied.
+    /// Called after commands were applied or a snapshot was restored.
     pub on_applied: Fwd<()>,
-    /// Time.
+    /// Clock of the process.
     pub clock: Clock,
 }
 
-pub(super) enum State {
+pub(super) enum ReplicaState {
     Forming(Formation),
     Member(Box<Replica>),
 }
@@ -72,105 +73,105 @@
     pub(super) proposal: u64,
 }
 
-/// Messages that wait for a write, and whether the write is the replica's.
+/// Messages to send once a write is synced, and whether the replica requested the write.
 pub(super) struct PendingSync {
     pub(super) messages: Vec<Message>,
-    pub(super) of_replica: bool,
+    pub(super) is_replica_write: bool,
 }
 
-/// A join request and when it was last heard; a replica repeats it until it
-/// votes.
-pub(super) struct HeardJoin {
+/// A join request and when it was last received; a replica repeats it until it
+/// is a voter.
+pub(super) struct ReceivedJoinRequest {
     pub(super) request: JoinRequest,
-    pub(super) heard_at: Millis,
+    pub(super) received_at: Millis,
 }
 
-/// Drives one replica.
+/// Runs the consensus algorithm of one replica.
 pub struct ReplicaActor<M> {
     pub(super) setup: ReplicaSetup<M>,
-    pub(super) state: State,
+    pub(super) state: ReplicaState,
     pub(super) pending_sync: VecDeque<PendingSync>,
     pub(super) proposals: BTreeMap<Index, PendingProposal>,
-    pub(super) joins: BTreeMap<String, HeardJoin>,
-    /// Rounds of membership changes since this replica began to lead.
+    pub(super) join_requests: BTreeMap<String, ReceivedJoinRequest>,
+    /// Membership rounds since this replica became the leader.
     pub(super) rounds_as_leader: u64,
     pub(super) ticks: u64,
     pub(super) applied_since_compaction: usize,
-    pub(super) compact_after: usize,
-    /// Node of each replica, as seen on messages and in memberships.
-    pub(super) nodes: BTreeMap<ReplicaId, NodeName>,
+    pub(super) compaction_threshold: usize,
+    /// Node of each replica, learned from messages.
+    pub(super) node_by_replica: BTreeMap<ReplicaId, NodeName>,
 }
 
 impl<M: StateMachine + 'static> ReplicaActor<M> {
-    /// Starts from what was stored.
+    /// Starts from the stored state, or begins to form or join a group if there is none.
     pub fn init(cx: CX![], setup: ReplicaSetup<M>) -> Option<Self> {
         let now = setup.clock.millis(cx.now());
         let state = match &setup.stored {
             Some(stored) => {
-                setup.machine.borrow_mut().restore(&stored.snapshot.data);
-                State::Member(Box::new(new_replica(&setup, stored.clone(), now)))
+                setup.state_machine.borrow_mut().restore(&stored.snapshot.data);
+                ReplicaState::Member(Box::new(create_replica(&setup, stored.clone(), now)))
             }
-            None => State::Forming(Formation::new(
+            None => ReplicaState::Forming(Formation::new(
                 setup.node.clone(),
                 setup.replica,
                 setup.directory.borrow().replicating_nodes(),
             )),
         };
-        after!(TICK, [cx], tick());
+        after!(TICK_INTERVAL, [cx], tick());
         let mut actor = Self {
             setup,
             state,
             pending_sync: VecDeque::new(),
             proposals: BTreeMap::new(),
-            joins: BTreeMap::new(),
+            join_requests: BTreeMap::new(),
             rounds_as_leader: 0,
             ticks: 0,
             applied_since_compaction: 0,
-            compact_after: COMPACT_AFTER_ENTRIES,
-            nodes: BTreeMap::new(),
+            compaction_threshold: MIN_ENTRIES_BEFORE_COMPACTION,
+            node_by_replica: BTreeMap::new(),
         };
-        actor.carry_out();
+        actor.process_output();
         Some(actor)
     }
 
     pub(super) fn tick(&mut self, cx: CX![]) {
-        after!(TICK, [cx], tick());
+        after!(TICK_INTERVAL, [cx], tick());
         let now = self.now(cx);
         self.ticks += 1;
-        if let State::Member(replica) = &mut self.state {
+        if let ReplicaState::Member(replica) = &mut self.state {
             replica.tick(now);
         }
-        self.tell_emptied();
+        self.announce_empty_storage();
         if self.ticks.is_multiple_of(TICKS_PER_PROBE) {
-            self.probe_or_join(now);
-            self.change_membership(now);
+            self.send_probes_or_join_requests(now);
+            self.advance_membership_change(now);
         }
-        self.carry_out();
+        self.process_output();
     }
 
     pub(super) fn now(&self, cx: CX![]) -> Millis {
         self.setup.clock.millis(cx.now())
     }
 
-    /// Handles a message of a peer.
-    pub fn message(&mut self, cx: CX![], from: NodeName, message: GroupMessage) {
+    /// Handles a group message from a peer.
+    pub fn handle_message(&mut self, cx: CX![], from: NodeName, message: GroupMessage) {
         let now = self.now(cx);
         match message {
             GroupMessage::Consensus {
                 cluster_id,
                 message,
-            } => self.consensus_message(from, cluster_id, message, now),
-            GroupMessage::Formation(message) => self.formation_message(from, message, now),
+            } => self.handle_consensus_message(from, cluster_id, message, now),
+            GroupMessage::Formation(message) => self.handle_formation_message(from, message, now),
             GroupMessage::Propose { proposal, command } => {
                 self.propose(from, proposal, command, now)
             }
-            // Answers go to the proposer.
+            // Replies are handled by the proposer.
             GroupMessage::ProposeReply { .. } => {}
         }
-        self.carry_out();
+        self.process_output();
     }
 
-    /// Tells that so many of the oldest writes are synced.
+    /// Records that the `count` oldest writes are synced, and sends the messages that waited.
     pub fn synced(&mut self, cx: CX![], count: usize) {
         let now = self.now(cx);
         for _ in 0..count {
@@ -178,46 +179,46 @@
                 break;
             };
             self.send_consensus(pending.messages);
-            if let (State::Member(replica), true) = (&mut self.state, pending.of_replica) {
+            if let (ReplicaState::Member(replica), true) = (&mut self.state, pending.is_replica_write) {
                 replica.on_synced(now);
             }
         }
-        self.carry_out();
+        self.process_output();
     }
 
-    /// Hands leadership over before a planned stop.
+    /// Transfers leadership to another replica before a graceful shutdown.
     pub fn transfer_leadership(&mut self, cx: CX![]) {
         let now = self.now(cx);
-        if let State::Member(replica) = &mut self.state {
+        if let ReplicaState::Member(replica) = &mut self.state {
             replica.tick(now);
             replica.transfer_leadership();
         }
-        self.carry_out();
+        self.process_output();
     }
 
-    pub(super) fn consensus_message(
+    pub(super) fn handle_consensus_message(
         &mut self,
         from: NodeName,
         cluster_id: u64,
         message: Message,
         now: Millis,
     ) {
-        let State::Member(replica) = &mut self.state else {
+        let ReplicaState::Member(replica) = &mut self.state else {
             return;
         };
         if replica.cluster_id() != cluster_id {
-            log::warn!(event = "other_cluster", group = self.setup.group.to_string().as_str(), from = from.as_str(); "message of another cluster dropped");
+            log::warn!(event = "other_cluster", group = self.setup.group.to_string().as_str(), from = from.as_str(); "dropped a message from another cluster");
             return;
         }
-        self.nodes.insert(message.from, from);
+        self.node_by_replica.insert(message.from, from);
         replica.step(message, now);
     }
 
-    /// Stores the state to start from; every message of the replica leaves
-    /// after it is synced, as writes are synced in order.
-    pub(super) fn become_member(&mut self, snapshot: Snapshot, now: Millis) {
+    /// Stores the initial state. Writes are synced in order, so every message of the replica
+    /// is sent after this state is synced.
+    pub(super) fn start_as_member(&mut self, snapshot: Snapshot, now: Millis) {
         let group = self.setup.group.to_string();
-        log::info!(event = "member", group = group.as_str(), index = snapshot.meta.index; "replica starts");
+        log::info!(event = "member", group = group.as_str(), index = snapshot.meta.index; "replica started from an initial state");
         let hard_state = HardState {
             term: snapshot.meta.term,
             voted_for: None,
@@ -234,13 +235,13 @@
         });
         self.pending_sync.push_back(PendingSync {
             messages: Vec::new(),
-            of_replica: false,
+            is_replica_write: false,
         });
         self.setup
-            .machine
+            .state_machine
             .borrow_mut()
             .restore(&stored.snapshot.data);
-        self.state = State::Member(Box::new(new_replica(&self.setup, stored, now)));
+        self.state = ReplicaState::Member(Box::new(create_replica(&self.setup, stored, now)));
     }
 
     pub(super) fn replicating_nodes(&self) -> Vec<NodeName> {
@@ -248,15 +249,15 @@
     }
 
     pub(super) fn node_of(&self, replica: ReplicaId) -> Option<NodeName> {
-        if let State::Member(own) = &self.state {
+        if let ReplicaState::Member(own) = &self.state {
             if let Some(node) = own.membership().node_of(replica) {
                 return Some(NodeName::from(node));
             }
         }
-        self.nodes.get(&replica).cloned()
+        self.node_by_replica.get(&replica).cloned()
     }
 
-    pub(super) fn reply(&mut self, to: &NodeName, proposal: u64, result: ProposalResult) {
+    pub(super) fn send_proposal_reply(&mut self, to: &NodeName, proposal: u64, result: ProposalResult) {
         self.send_group(to, GroupMessage::ProposeReply { proposal, result });
     }
 
@@ -267,7 +268,7 @@
     }
 
     pub(super) fn send_consensus(&mut self, messages: Vec<Message>) {
-        let State::Member(replica) = &self.state else {
+        let ReplicaState::Member(replica) = &self.state else {
             return;
         };
         let cluster_id = replica.cluster_id();
@@ -282,9 +283,9 @@
         }
     }
 
-    /// Carries out the replica's output until there is none left.
-    pub(super) fn carry_out(&mut self) {
-        while let State::Member(replica) = &mut self.state {
+    /// Executes the replica's output until there is none left.
+    pub(super) fn process_output(&mut self) {
+        while let ReplicaState::Member(replica) = &mut self.state {
             if !replica.has_output() {
                 break;
             }
@@ -294,24 +295,24 @@
                 self.setup.writer.write(output.writes);
                 self.pending_sync.push_back(PendingSync {
                     messages: output.messages_after_sync,
-                    of_replica: true,
+                    is_replica_write: true,
                 });
             }
             if let Some(snapshot) = output.restore {
-                self.setup.machine.borrow_mut().restore(&snapshot.data);
+                self.setup.state_machine.borrow_mut().restore(&snapshot.data);
                 self.proposals = self.proposals.split_off(&(snapshot.meta.index + 1));
                 fwd!([self.setup.on_applied], ());
             }
             self.apply(output.committed);
         }
-        if let State::Member(replica) = &self.state {
+        if let ReplicaState::Member(replica) = &self.state {
             let mut status = self.setup.status.borrow_mut();
-            let before = (status.leader.clone(), status.term);
+            let previous = (status.leader.clone(), status.term);
             status.refresh(replica);
             let leader = status.leader.as_deref().unwrap_or_default();
-            if before.0 != status.leader {
+            if previous.0 != status.leader {
                 let group = self.setup.group.to_string();
-                log::info!(event = "leader", group = group.as_str(), leader = leader, term = status.term, term_before = before.1; "the leader changed, as this replica knows it");
+                log::info!(event = "leader", group = group.as_str(), leader = leader, term = status.term, term_before = previous.1; "leader changed");
             }
         }
     }
@@ -324,7 +325,7 @@
             self.applied_since_compaction += 1;
             let reply = match &entry.payload {
                 Payload::Command(command) => {
-                    self.setup.machine.borrow_mut().apply(entry.index, command)
+                    self.setup.state_machine.borrow_mut().apply(entry.index, command)
                 }
                 Payload::Noop | Payload::Membership(_) => Vec::new(),
             };
@@ -334,34 +335,33 @@
                 } else {
                     ProposalResult::Superseded
                 };
-                self.reply(&pending.from, pending.proposal, result);
+                self.send_proposal_reply(&pending.from, pending.proposal, result);
             }
         }
         fwd!([self.setup.on_applied], ());
-        if self.applied_since_compaction >= self.compact_after {
+        if self.applied_since_compaction >= self.compaction_threshold {
             self.compact();
         }
     }
 
     pub(super) fn compact(&mut self) {
         self.applied_since_compaction = 0;
-        let data = self.setup.machine.borrow().snapshot();
-        self.compact_after = COMPACT_AFTER_ENTRIES.max(data.len() / SNAPSHOT_BYTES_PER_ENTRY);
-        let State::Member(replica) = &mut self.state else {
+        let data = self.setup.state_machine.borrow().snapshot();
+        self.compaction_threshold = MIN_ENTRIES_BEFORE_COMPACTION.max(data.len() / SNAPSHOT_BYTES_PER_ENTRY);
+        let ReplicaState::Member(replica) = &mut self.state else {
             return;
         };
-        let snapshot = replica.compact(data, KEEP_ENTRIES);
+        let snapshot = replica.compact(data, RETAINED_ENTRIES);
         let entries = replica.entries_after_snapshot();
-        // Entries that the replica has not handed out for writing yet must not
-        // be stored before them in the order of writes; they come with the
-        // next batch, which replaces the same indices by the same entries.
+        // The entries may include some that are not in a write batch yet. The next
+        // batch writes these again at the same indices with the same content.
         self.setup
             .writer
             .compact(snapshot, replica.hard_state(), entries);
     }
 }
 
-pub(super) fn new_replica<M>(setup: &ReplicaSetup<M>, stored: StoredState, now: Millis) -> Replica {
+pub(super) fn create_replica<M>(setup: &ReplicaSetup<M>, stored: StoredState, now: Millis) -> Replica {
     let incarnation = setup.outbox.borrow().incarnation();
     let config = setup.config.clone();
     Replica::new(setup.replica, config, stored, setup.seed, incarnation, now)
--- a/crates/daemon/src/replica/formation.rs
+++ b/crates/daemon/src/replica/formation.rs
@@ -1,90 +1,91 @@
-//! How a group forms, and how a replica that holds nothing finds its group.
+//! Decides when a group is formed, and how a replica with empty storage joins its group.
 //!
-//! A group forms only when every voter of the settings, or every replicating node
-//! that discovery found, answers and holds nothing. Each replica accepts one first state only, so two attempts can't
-//! both reach a majority. A replica that holds nothing while its group has
-//! formed joins it as a learner: see [`silversail_consensus::next_membership`].
+//! A group is formed only when every voter of the settings, or every replicating node found by
+//! discovery, replies that its storage is empty. Each replica adopts only one first state, so
+//! two attempts can't both reach a majority. A replica with empty storage joins a group that
+//! exists as a learner: see [`silversail_consensus::next_membership`].
 
 use rand::Rng;
 use silversail_consensus::{Membership, ReplicaId, Snapshot, SnapshotMeta};
 use silversail_model::NodeName;
 use std::collections::BTreeMap;
 
-/// Index and term of a group's first state.
+/// Log index of a group's first state.
 const FIRST_INDEX: u64 = 1;
+/// Term of a group's first state.
 const FIRST_TERM: u64 = 1;
 
-/// What to do after an answer to a probe.
+/// What to do after a reply to a probe.
 #[derive(Debug, PartialEq)]
 pub enum FormationStep {
-    /// Ask again later.
+    /// Probe again in the next round.
     Wait,
-    /// All hold nothing and this node is the one to form the group.
+    /// All storages are empty and this node has the lowest name: form the group from this state.
     Form(Snapshot),
-    /// The group has formed with this replica as a voter: take its first state.
+    /// The group was formed with this replica as a voter: adopt its first state.
     Adopt(Snapshot),
-    /// The group has formed without this replica: join the cluster of this id.
+    /// The group was formed without this replica: join the cluster with this identifier.
     Join(u64),
 }
 
-/// What a replica without state knows of the others.
+/// What a replica without state knows about the other replicas in this round of probes.
 pub struct Formation {
     node: NodeName,
     replica: ReplicaId,
     voters: Vec<NodeName>,
-    empty: BTreeMap<NodeName, ReplicaId>,
+    empty_replicas: BTreeMap<NodeName, ReplicaId>,
 }
 
 impl Formation {
-    /// The formation state of `node`.
+    /// Starts with only `node` known to have empty storage.
     pub fn new(node: NodeName, replica: ReplicaId, voters: Vec<NodeName>) -> Self {
-        let empty = [(node.clone(), replica)].into();
+        let empty_replicas = [(node.clone(), replica)].into();
         Self {
             node,
             replica,
             voters,
-            empty,
+            empty_replicas,
         }
     }
 
-    /// Nodes to probe.
+    /// Voters to probe: all but the own node.
     pub fn others(&self) -> impl Iterator<Item = &NodeName> {
         self.voters.iter().filter(|voter| **voter != self.node)
     }
 
-    /// Forgets what was answered, before a new round of probes: only answers
-    /// of one round may form a group. `voters` are the nodes that form it now.
+    /// Discards earlier replies before a new round of probes: only replies of one round
+    /// may form a group. `voters` are the nodes that are to form it.
     pub fn start_round(&mut self, voters: Vec<NodeName>) {
         self.voters = voters;
-        self.empty = [(self.node.clone(), self.replica)].into();
+        self.empty_replicas = [(self.node.clone(), self.replica)].into();
     }
 
-    /// Takes an answer. `first_data` encodes the state machine's first state.
+    /// Handles a reply to a probe. `initial_data` encodes the state machine's initial state.
     pub fn on_reply(
         &mut self,
         from: NodeName,
         replica: ReplicaId,
         formed: Option<Snapshot>,
-        first_data: impl FnOnce() -> Vec<u8>,
-        random: &mut impl Rng,
+        initial_data: impl FnOnce() -> Vec<u8>,
+        random_generator: &mut impl Rng,
     ) -> FormationStep {
         if let Some(snapshot) = formed {
-            return self.step_towards(snapshot);
+            return self.step_for_existing_group(snapshot);
         }
-        self.empty.insert(from, replica);
-        let is_first = self.voters.iter().min() == Some(&self.node);
+        self.empty_replicas.insert(from, replica);
+        let has_lowest_name = self.voters.iter().min() == Some(&self.node);
         let all_empty = self
             .voters
             .iter()
-            .all(|voter| self.empty.contains_key(voter));
-        if !is_first || !all_empty {
+            .all(|voter| self.empty_replicas.contains_key(voter));
+        if !has_lowest_name || !all_empty {
             return FormationStep::Wait;
         }
-        FormationStep::Form(self.first_snapshot(first_data(), random.gen()))
+        FormationStep::Form(self.first_snapshot(initial_data(), random_generator.gen()))
     }
 
-    /// What to do about a group that exists.
-    pub fn step_towards(&self, snapshot: Snapshot) -> FormationStep {
+    /// Decides whether to adopt the first state of an existing group or to join the group.
+    pub fn step_for_existing_group(&self, snapshot: Snapshot) -> FormationStep {
         let meta = &snapshot.meta;
         if meta.index == FIRST_INDEX && meta.membership.is_voter(self.replica) {
             FormationStep::Adopt(snapshot)
@@ -95,7 +96,7 @@
 
     fn first_snapshot(&self, data: Vec<u8>, cluster_id: u64) -> Snapshot {
         let voters = self
-            .empty
+            .empty_replicas
             .iter()
             .map(|(node, replica)| (*replica, node.0.clone()))
             .collect();
--- a/crates/daemon/src/replica/joining.rs
+++ b/crates/daemon/src/replica/joining.rs
@@ -1,7 +1,7 @@
-//! How a replica without a state forms or finds its group: the messages around
-//! [`crate::replica::formation`].
+//! Messages by which a replica without state forms or joins its group; the decisions are made
+//! in [`crate::replica::formation`].
 
-use crate::replica::actor::{HeardJoin, ReplicaActor, State};
+use crate::replica::actor::{ReceivedJoinRequest, ReplicaActor, ReplicaState};
 use crate::replica::formation::FormationStep;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -9,51 +9,51 @@
 use silversail_model::NodeName;
 use silversail_peer::{FormationMessage, GroupMessage};
 
-/// Ticks at which a replica without a state tells so: after a restart of all, the
-/// others' election waits to hear it. Nodes of other regions are known some round trips after a
-/// start.
-const TICKS_OF_EMPTIED: [u64; 8] = [1, 2, 4, 6, 8, 10, 13, 17];
+/// Ticks at which a replica without state announces this to the other replicas, whose elections
+/// wait for it after a restart of all nodes. It is repeated because nodes of other regions become
+/// known only some round trips after the start.
+const EMPTY_STORAGE_ANNOUNCEMENT_TICKS: [u64; 8] = [1, 2, 4, 6, 8, 10, 13, 17];
 
 impl<M: StateMachine + 'static> ReplicaActor<M> {
-    pub(super) fn formation_message(
+    pub(super) fn handle_formation_message(
         &mut self,
         from: NodeName,
         message: FormationMessage,
         now: Millis,
     ) {
         match message {
-            FormationMessage::Probe { replica } => self.answer_probe(from, replica),
+            FormationMessage::Probe { replica } => self.reply_to_probe(from, replica),
             FormationMessage::StorageEmpty { replica } => {
-                if let State::Member(own) = &mut self.state {
+                if let ReplicaState::Member(own) = &mut self.state {
                     own.record_empty_storage(from.as_str(), replica);
                 }
             }
             FormationMessage::ProbeReply { replica, formed } => {
-                self.probe_answered(from, replica, formed, now)
+                self.handle_probe_reply(from, replica, formed, now)
             }
             FormationMessage::Form(snapshot) => {
-                let State::Forming(formation) = &self.state else {
+                let ReplicaState::Forming(formation) = &self.state else {
                     return;
                 };
-                let step = formation.step_towards(snapshot);
-                self.formation_step(step, now);
+                let step = formation.step_for_existing_group(snapshot);
+                self.apply_formation_step(step, now);
             }
             FormationMessage::Join(join) => {
-                let heard = HeardJoin {
+                let received = ReceivedJoinRequest {
                     request: join,
-                    heard_at: now,
+                    received_at: now,
                 };
-                self.joins.insert(heard.request.node.clone(), heard);
+                self.join_requests.insert(received.request.node.clone(), received);
             }
         }
     }
 
-    pub(super) fn answer_probe(&mut self, from: NodeName, prober: ReplicaId) {
+    pub(super) fn reply_to_probe(&mut self, from: NodeName, prober: ReplicaId) {
         let formed = match &self.state {
-            State::Forming(_) => None,
-            State::Member(replica) => {
+            ReplicaState::Forming(_) => None,
+            ReplicaState::Member(replica) => {
                 let stored = replica.snapshot();
-                // The first state is given out whole to its own voters only.
+                // Only a voter may adopt the first state, so others get no data.
                 let is_voter = stored.meta.membership.is_voter(prober);
                 Some(Snapshot {
                     meta: stored.meta.clone(),
@@ -70,29 +70,29 @@
         self.send_group(&from, GroupMessage::Formation(reply));
     }
 
-    pub(super) fn probe_answered(
+    pub(super) fn handle_probe_reply(
         &mut self,
         from: NodeName,
         replica: ReplicaId,
         formed: Option<Snapshot>,
         now: Millis,
     ) {
-        let State::Forming(formation) = &mut self.state else {
+        let ReplicaState::Forming(formation) = &mut self.state else {
             return;
         };
-        let machine = self.setup.machine.clone();
-        let first_data = || machine.borrow().snapshot();
-        let mut random = ChaCha8Rng::seed_from_u64(self.setup.seed);
-        let step = formation.on_reply(from, replica, formed, first_data, &mut random);
-        self.formation_step(step, now);
+        let machine = self.setup.state_machine.clone();
+        let initial_data = || machine.borrow().snapshot();
+        let mut random_generator = ChaCha8Rng::seed_from_u64(self.setup.seed);
+        let step = formation.on_reply(from, replica, formed, initial_data, &mut random_generator);
+        self.apply_formation_step(step, now);
     }
 
-    pub(super) fn formation_step(&mut self, step: FormationStep, now: Millis) {
+    pub(super) fn apply_formation_step(&mut self, step: FormationStep, now: Millis) {
         match step {
             FormationStep::Wait => {}
             FormationStep::Form(_) if !self.setup.directory.borrow().may_form_group(now) => {}
             FormationStep::Form(snapshot) => {
-                self.become_member(snapshot.clone(), now);
+                self.start_as_member(snapshot.clone(), now);
                 let form = GroupMessage::Formation(FormationMessage::Form(snapshot));
                 for voter in self.replicating_nodes() {
                     if voter != self.setup.node {
@@ -100,24 +100,24 @@
                     }
                 }
             }
-            FormationStep::Adopt(snapshot) => self.become_member(snapshot, now),
+            FormationStep::Adopt(snapshot) => self.start_as_member(snapshot, now),
             FormationStep::Join(cluster_id) => {
                 let snapshot = Snapshot {
                     meta: SnapshotMeta {
                         cluster_id,
                         ..SnapshotMeta::default()
                     },
-                    data: self.setup.machine.borrow().snapshot(),
+                    data: self.setup.state_machine.borrow().snapshot(),
                 };
-                self.become_member(snapshot, now);
+                self.start_as_member(snapshot, now);
             }
         }
     }
 
-    pub(super) fn probe_or_join(&mut self, now: Millis) {
+    pub(super) fn send_probes_or_join_requests(&mut self, now: Millis) {
         let replicating = self.replicating_nodes();
         match &mut self.state {
-            State::Forming(formation) => {
+            ReplicaState::Forming(formation) => {
                 formation.start_round(replicating);
                 let targets: Vec<NodeName> = formation.others().cloned().collect();
                 let probe = FormationMessage::Probe {
@@ -126,12 +126,13 @@
                 for target in targets {
                     self.send_group(&target, GroupMessage::Formation(probe.clone()));
                 }
-                self.form_alone(now);
+                self.form_single_node_group(now);
             }
-            State::Member(replica) => {
-                // One that was voted out while it was cut off does not know it.
-                let is_followed = replica.leader().is_some();
-                if replica.membership().is_voter(replica.id()) && is_followed {
+            ReplicaState::Member(replica) => {
+                // A replica that was removed while partitioned does not know of its removal
+                // and has no leader, so it asks to join again.
+                let has_leader = replica.leader().is_some();
+                if replica.membership().is_voter(replica.id()) && has_leader {
                     return;
                 }
                 let join = FormationMessage::Join(JoinRequest {
@@ -147,34 +148,35 @@
         }
     }
 
-    /// Tells the other nodes when this disk holds nothing, a few times after the start.
-    pub(super) fn tell_emptied(&mut self) {
-        if !TICKS_OF_EMPTIED.contains(&self.ticks) {
+    /// Announces to the other nodes that this replica's storage is empty, a few times after
+    /// the start.
+    pub(super) fn announce_empty_storage(&mut self) {
+        if !EMPTY_STORAGE_ANNOUNCEMENT_TICKS.contains(&self.ticks) {
             return;
         }
-        let holds_nothing = match &self.state {
-            State::Forming(_) => true,
-            // One that found its group and has not got anything of it yet.
-            State::Member(replica) => replica.commit_index() == 0,
+        let has_empty_storage = match &self.state {
+            ReplicaState::Forming(_) => true,
+            // The replica joined its group but has not received any entries yet.
+            ReplicaState::Member(replica) => replica.commit_index() == 0,
         };
-        if !holds_nothing {
+        if !has_empty_storage {
             return;
         }
-        let emptied = FormationMessage::StorageEmpty {
+        let announcement = FormationMessage::StorageEmpty {
             replica: self.setup.replica,
         };
         for target in self.replicating_nodes() {
             if target != self.setup.node {
-                self.send_group(&target, GroupMessage::Formation(emptied.clone()));
+                self.send_group(&target, GroupMessage::Formation(announcement.clone()));
             }
         }
     }
 
-    /// A group of one has nobody to ask.
-    pub(super) fn form_alone(&mut self, now: Millis) {
+    /// Forms the group at once if this node is its only member.
+    pub(super) fn form_single_node_group(&mut self, now: Millis) {
         if self.replicating_nodes() == [self.setup.node.clone()] {
-            let own = (self.setup.node.clone(), self.setup.replica);
-            self.probe_answered(own.0, own.1, None, now);
+            let own_identity = (self.setup.node.clone(), self.setup.replica);
+            self.handle_probe_reply(own_identity.0, own_identity.1, None, now);
         }
     }
 }
--- a/crates/daemon/src/replica/log_writer.rs
+++ b/crates/daemon/src/replica/log_writer.rs
@@ -1,18 +1,18 @@
-//! Where a replica's writes go.
+//! Persistence of a replica's log and snapshots.
 
 use silversail_consensus::{Entry, HardState, Snapshot, WriteBatch};
 use silversail_storage::WriteQueue;
 
-/// Takes writes in order and reports each as synced, in order.
+/// Accepts writes in order and reports each as synced, in the same order.
 pub trait LogWriter {
-    /// Queues a batch. Every call is reported once, an empty batch too.
+    /// Queues a batch. Every call is reported as synced once, also for an empty batch.
     fn write(&mut self, batch: WriteBatch);
 
-    /// Queues a snapshot with the log that remains after it; not reported.
+    /// Queues a snapshot and the log entries after it; this call is not reported.
     fn compact(&mut self, snapshot: Snapshot, hard_state: HardState, entries: Vec<Entry>);
 }
 
-/// Writes to the data folder.
+/// Writes to the data folder through its write queue.
 pub struct StorageWriter(pub WriteQueue);
 
 impl LogWriter for StorageWriter {
--- a/crates/daemon/src/replica/mod.rs
+++ b/crates/daemon/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! The replicas that a process holds, and the way to propose to a group.
+//! Replicas of the replication groups, and the proposer that sends commands to a group.
 
 pub mod actor;
 pub mod formation;
--- a/crates/daemon/src/replica/proposals.rs
+++ b/crates/daemon/src/replica/proposals.rs
@@ -1,22 +1,21 @@
-//! Proposals that other processes bring to a replica.
+//! Proposals that other processes send to a replica.
 
-use crate::replica::actor::{PendingProposal, ReplicaActor, State};
+use crate::replica::actor::{PendingProposal, ReplicaActor, ReplicaState};
 use silversail_consensus::{Millis, ProposeError, StateMachine};
 use silversail_model::NodeName;
 use silversail_peer::ProposalResult;
 
-/// A leader of which nothing was heard for so many of its heartbeats is not named to those who
-/// propose: a proposal to one that was killed waits 600 ms, and a new leader is there after
-/// 900 to 1,800 ms.
-const SILENT_HEARTBEATS: Millis = 4;
+/// Heartbeat intervals without a message after which proposers are not referred to a leader, so
+/// that they don't wait for a leader that has failed.
+const MAX_MISSED_LEADER_HEARTBEATS: Millis = 4;
 
 impl<M: StateMachine + 'static> ReplicaActor<M> {
     pub(super) fn propose(&mut self, from: NodeName, proposal: u64, command: Vec<u8>, now: Millis) {
         let proposed = match &mut self.state {
-            State::Forming(_) => Err(None),
-            State::Member(replica) => match replica.propose(command, now) {
-                Ok(position) => Ok(position),
-                // Its successor is not known yet: whoever proposes asks again soon.
+            ReplicaState::Forming(_) => Err(None),
+            ReplicaState::Member(replica) => match replica.propose(command, now) {
+                Ok(index_and_term) => Ok(index_and_term),
+                // The next leader is not known yet; the proposer retries.
                 Err(ProposeError::LeadershipTransferInProgress) => Err(None),
                 Err(_) => Err(replica.leader()),
             },
@@ -32,22 +31,22 @@
             }
             Err(leader) => {
                 let leader = leader.and_then(|leader| self.node_of(leader));
-                let leader = leader.filter(|leader| !self.is_silent(leader, now));
-                self.reply(&from, proposal, ProposalResult::NotLeader(leader));
+                let leader = leader.filter(|leader| !self.is_unreachable(leader, now));
+                self.send_proposal_reply(&from, proposal, ProposalResult::NotLeader(leader));
             }
         }
     }
 
-    /// Whether a leader may be gone: whoever is sent to it waits for an answer in vain, and
-    /// asks here again soon where it is told of none.
-    fn is_silent(&self, leader: &NodeName, now: Millis) -> bool {
-        let silence = self
+    /// Whether a leader may have failed. A proposer referred to it would wait for the reply
+    /// timeout; one that gets no leader's name retries sooner.
+    fn is_unreachable(&self, leader: &NodeName, now: Millis) -> bool {
+        let last_heard_age = self
             .setup
             .directory
             .borrow()
             .last_heard_age(leader.as_str(), now);
-        silence.is_none_or(|silence| {
-            silence >= SILENT_HEARTBEATS * self.setup.config.heartbeat_interval
+        last_heard_age.is_none_or(|age| {
+            age >= MAX_MISSED_LEADER_HEARTBEATS * self.setup.config.heartbeat_interval
         })
     }
 }
