--- a/crates/daemon/src/replica/proposer.rs
+++ b/crates/daemon/src/replica/proposer.rs
@@ -1,4 +1,4 @@
-//! Brings commands to a group's leader and their replies back.
+//! Sends commands to a group's leader and returns their outcomes.
 
 use crate::clock::Clock;
 use crate::directory::SharedDirectory;
@@ -11,64 +11,63 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Interval at which unanswered proposals are looked at.
-const TICK: Duration = Duration::from_millis(50);
-/// Silence after which a proposal goes to another voter.
-const RESEND_AFTER: Duration = Duration::from_millis(600);
-/// A voter that gave no sign for so long gets no proposal while another one does, in
-/// milliseconds: each node asks for a sign after a second, and the answer takes a round trip.
-/// A proposal to a voter that was killed waits 600 ms for nothing.
-const SILENT_VOTER: Millis = 1_500;
-/// The same while no leader is known and voters are asked in turn, one of which is as a rule
-/// the one that was killed: a few round trips of 40 ms.
-const RESEND_WHILE_SEEKING: Duration = Duration::from_millis(200);
-/// Wait after a voter said that it knows no leader.
-const NO_LEADER_WAIT: Duration = Duration::from_millis(80);
-
-/// What became of a command.
+/// Interval of the checks for proposals that expired or have to be resent.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time without a reply after which a proposal is sent to another voter.
+const RESEND_TIMEOUT: Duration = Duration::from_millis(600);
+/// Time without a message after which a voter gets no proposals while another voter is
+/// reachable, in milliseconds. Above the discovery probe interval plus a round trip.
+const VOTER_TIMEOUT_MS: Millis = 1_500;
+/// Resend timeout while no leader is known and the voters are tried in turn. Shorter, as one of
+/// them is usually the leader that failed.
+const RESEND_TIMEOUT_WITHOUT_LEADER: Duration = Duration::from_millis(200);
+/// Delay before a retry after a voter replied that it knows no leader.
+const NO_LEADER_RETRY_DELAY: Duration = Duration::from_millis(80);
+
+/// Outcome of a proposed command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProposalOutcome {
     /// Applied, with the state machine's reply.
     Applied(Vec<u8>),
-    /// No answer in time: it may or may not be applied, now or later.
+    /// No reply before the timeout; the command may still be applied, now or later.
     Unavailable,
 }
 
-struct Outstanding {
+struct OutstandingProposal {
     command: Vec<u8>,
     deadline: Instant,
     resend_at: Instant,
-    /// Whether the last voter that answered knew no leader.
-    seeks_leader: bool,
+    /// Whether the last voter that replied knew no leader.
+    has_unknown_leader: bool,
     ret: Ret<ProposalOutcome>,
 }
 
-impl Outstanding {
-    /// How long the voter that it went to last has to answer.
-    fn patience(&self) -> Duration {
-        match self.seeks_leader {
-            true => RESEND_WHILE_SEEKING,
-            false => RESEND_AFTER,
+impl OutstandingProposal {
+    /// Time that the current target has to reply before the proposal is resent.
+    fn resend_timeout(&self) -> Duration {
+        match self.has_unknown_leader {
+            true => RESEND_TIMEOUT_WITHOUT_LEADER,
+            false => RESEND_TIMEOUT,
         }
     }
 }
 
-/// Proposes to one group. A command may be committed more than once, so
+/// Proposes commands to one group. A command may be committed more than once, so
 /// commands must be idempotent.
 pub struct ProposerActor {
     group: GroupId,
     directory: SharedDirectory,
-    target: usize,
+    target_index: usize,
     outbox: SharedOutbox,
     metrics: Arc<Metrics>,
     clock: Clock,
     next_proposal: u64,
-    outstanding: BTreeMap<u64, Outstanding>,
-    ticking: bool,
+    outstanding: BTreeMap<u64, OutstandingProposal>,
+    is_ticking: bool,
 }
 
 impl ProposerActor {
-    /// A proposer to `group`.
+    /// Starts a proposer to `group` without outstanding proposals.
     pub fn init(
         _: CX![],
         group: GroupId,
@@ -77,19 +76,19 @@
         metrics: Arc<Metrics>,
         clock: Clock,
     ) -> Option<Self> {
-        // A number of the process in the high bits, so that answers to a former
-        // process of this node are not taken for this one's.
+        // The incarnation is in the high bits so that replies to an earlier process of
+        // this node are not matched to proposals of this process.
         let next_proposal = outbox.borrow().incarnation() << 20;
         Some(Self {
             group,
             directory,
-            target: 0,
+            target_index: 0,
             outbox,
             metrics,
             clock,
             next_proposal,
             outstanding: BTreeMap::new(),
-            ticking: false,
+            is_ticking: false,
         })
     }
 
@@ -103,21 +102,21 @@
     ) {
         self.next_proposal += 1;
         let proposal = self.next_proposal;
-        let outstanding = Outstanding {
+        let outstanding = OutstandingProposal {
             command,
             deadline: cx.now() + timeout,
-            resend_at: cx.now() + RESEND_AFTER,
-            seeks_leader: false,
+            resend_at: cx.now() + RESEND_TIMEOUT,
+            has_unknown_leader: false,
             ret,
         };
         self.outstanding.insert(proposal, outstanding);
-        self.pass_over_silent(cx.now());
+        self.skip_unreachable_voters(cx.now());
         self.send(proposal);
         self.start_ticking(cx);
     }
 
-    /// Proposes `command` at this node first, for those that know that it leads: the voter that
-    /// answered last may be the former leader, which is dead.
+    /// Proposes `command` to this node's own replica first, for callers that know that it is
+    /// the leader: the last target may be a former leader that has failed.
     pub fn propose_locally(
         &mut self,
         cx: CX![],
@@ -128,31 +127,31 @@
         let voters = self.directory.borrow().replicating_nodes();
         let own = self.outbox.borrow().node().clone();
         if let Some(position) = voters.iter().position(|voter| *voter == own) {
-            self.target = position;
+            self.target_index = position;
         }
         self.propose(cx, command, timeout, ret);
     }
 
     fn start_ticking(&mut self, cx: CX![]) {
-        if !self.ticking {
-            self.ticking = true;
-            after!(TICK, [cx], tick());
+        if !self.is_ticking {
+            self.is_ticking = true;
+            after!(TICK_INTERVAL, [cx], tick());
         }
     }
 
-    /// Goes on to a voter that gave a sign lately, if there is one.
-    fn pass_over_silent(&mut self, now: Instant) {
+    /// Advances the target to the next voter that was heard from recently, if there is one.
+    fn skip_unreachable_voters(&mut self, now: Instant) {
         let now = self.clock.millis(now);
         let directory = self.directory.borrow();
         let voters = directory.replicating_nodes();
-        let is_heard = |target: &usize| {
-            let voter = &voters[target % voters.len()];
-            let silence = directory.last_heard_age(voter.as_str(), now);
-            silence.is_some_and(|silence| silence < SILENT_VOTER)
+        let is_reachable = |index: &usize| {
+            let voter = &voters[index % voters.len()];
+            let last_heard_age = directory.last_heard_age(voter.as_str(), now);
+            last_heard_age.is_some_and(|age| age < VOTER_TIMEOUT_MS)
         };
-        let mut targets = self.target..self.target + voters.len();
-        if let Some(target) = targets.find(is_heard) {
-            self.target = target;
+        let mut indexes = self.target_index..self.target_index + voters.len();
+        if let Some(index) = indexes.find(is_reachable) {
+            self.target_index = index;
         }
     }
 
@@ -171,25 +170,25 @@
         if voters.is_empty() {
             return;
         }
-        let target = &voters[self.target % voters.len()];
+        let target = &voters[self.target_index % voters.len()];
         self.outbox.borrow_mut().send(target, message);
     }
 
     fn tick(&mut self, cx: CX![]) {
-        self.ticking = false;
+        self.is_ticking = false;
         let now = cx.now();
-        let ended: Vec<u64> = self.due(|one| one.deadline <= now);
-        for proposal in ended {
+        let expired: Vec<u64> = self.proposals_where(|outstanding| outstanding.deadline <= now);
+        for proposal in expired {
             self.finish(proposal, ProposalOutcome::Unavailable, "unavailable");
         }
-        let silent: Vec<u64> = self.due(|one| one.resend_at <= now);
-        if !silent.is_empty() {
-            self.target += 1;
-            self.pass_over_silent(now);
+        let unanswered: Vec<u64> = self.proposals_where(|outstanding| outstanding.resend_at <= now);
+        if !unanswered.is_empty() {
+            self.target_index += 1;
+            self.skip_unreachable_voters(now);
         }
-        for proposal in silent {
+        for proposal in unanswered {
             if let Some(outstanding) = self.outstanding.get_mut(&proposal) {
-                outstanding.resend_at = now + outstanding.patience();
+                outstanding.resend_at = now + outstanding.resend_timeout();
             }
             self.send(proposal);
         }
@@ -198,16 +197,16 @@
         }
     }
 
-    fn due(&self, is_due: impl Fn(&Outstanding) -> bool) -> Vec<u64> {
+    fn proposals_where(&self, predicate: impl Fn(&OutstandingProposal) -> bool) -> Vec<u64> {
         self.outstanding
             .iter()
-            .filter(|(_, one)| is_due(one))
+            .filter(|(_, outstanding)| predicate(outstanding))
             .map(|(proposal, _)| *proposal)
             .collect()
     }
 
-    /// Handles a voter's answer.
-    pub fn reply(&mut self, cx: CX![], proposal: u64, result: ProposalResult) {
+    /// Handles a voter's reply to a proposal.
+    pub fn handle_reply(&mut self, cx: CX![], proposal: u64, result: ProposalResult) {
         let Some(outstanding) = self.outstanding.get_mut(&proposal) else {
             return;
         };
@@ -219,17 +218,17 @@
                 outstanding.resend_at = cx.now();
             }
             ProposalResult::NotLeader(Some(leader)) => {
-                outstanding.seeks_leader = false;
-                outstanding.resend_at = cx.now() + RESEND_AFTER;
+                outstanding.has_unknown_leader = false;
+                outstanding.resend_at = cx.now() + RESEND_TIMEOUT;
                 let voters = self.directory.borrow().replicating_nodes();
                 if let Some(position) = voters.iter().position(|voter| *voter == leader) {
-                    self.target = position;
+                    self.target_index = position;
                 }
                 self.send(proposal);
             }
             ProposalResult::NotLeader(None) => {
-                outstanding.seeks_leader = true;
-                outstanding.resend_at = cx.now() + NO_LEADER_WAIT;
+                outstanding.has_unknown_leader = true;
+                outstanding.resend_at = cx.now() + NO_LEADER_RETRY_DELAY;
             }
         }
     }
--- a/crates/daemon/src/replica/status.rs
+++ b/crates/daemon/src/replica/status.rs
@@ -1,52 +1,52 @@
-//! What a replica lets the other actors of its process know.
+//! Replica status that is shared with the other actors of the process.
 
 use serde::Serialize;
 use silversail_consensus::{Freshness, Replica, Role};
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// State of one replica, renewed after each input.
+/// State of one replica, updated after each input.
 #[derive(Clone, Debug, Default)]
 pub struct GroupStatus {
     /// Whether the replica is part of a formed group.
     pub formed: bool,
-    /// Whether it leads.
+    /// Whether the replica is the leader of its group.
     pub is_leader: bool,
-    /// Its term.
+    /// Current consensus term.
     pub term: u64,
-    /// Node of the leader, where known.
+    /// Node of the leader, if known.
     pub leader: Option<String>,
     /// Index of the last committed entry.
     pub commit_index: u64,
-    /// How current its applied state is.
+    /// When a quorum last confirmed that the applied state is current.
     pub freshness: Freshness,
-    /// Details for operators.
+    /// Details for operators; none before the group is formed.
     pub report: Option<ReplicaReport>,
 }
 
 /// Details of a replica for operators.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ReplicaReport {
-    /// Identity, as hexadecimal digits.
+    /// Identity as 16 hexadecimal digits.
     pub replica: String,
-    /// Role.
+    /// Consensus role in lower case.
     pub role: String,
-    /// Whether this replica itself votes; a former one of its node may stand
+    /// Whether this replica itself is a voter; a former replica of its node may remain
     /// among the voters until it is replaced.
     pub votes: bool,
-    /// Nodes that vote.
+    /// Nodes of the voters.
     pub voters: Vec<String>,
-    /// Nodes that learn.
+    /// Nodes of the learners, which do not vote.
     pub learners: Vec<String>,
-    /// Entries held in memory.
+    /// Number of log entries in memory.
     pub log_length: usize,
 }
 
-/// Status shared inside a process.
+/// Status shared by the actors of a process.
 pub type SharedGroupStatus = Rc<RefCell<GroupStatus>>;
 
 impl GroupStatus {
-    /// Renews the status from a replica.
+    /// Updates the status from the replica's current state.
     pub fn refresh(&mut self, replica: &Replica) {
         let membership = replica.membership();
         self.formed = true;
--- a/crates/daemon/src/rollout/clocks.rs
+++ b/crates/daemon/src/rollout/clocks.rs
@@ -1,4 +1,4 @@
-//! How long ago rollouts were ordered, by this process's steady clock.
+//! Elapsed time of rollouts, measured with this process's monotonic clock.
 
 use silversail_consensus::Millis;
 use silversail_control::rollouts::needs_elapsed_time;
@@ -6,43 +6,43 @@
 use silversail_rollout::RolloutNumber;
 use std::collections::BTreeMap;
 
-/// A time since the order, and when it was that.
+/// An elapsed time and the process time at which it was taken.
 #[derive(Clone, Copy, Debug)]
-struct Reading {
+struct Measurement {
     elapsed_ms: u64,
-    at: Millis,
+    measured_at: Millis,
 }
 
-/// The time since the order of each rollout. Every voter counts, whether it leads or not, so that
-/// the time of an election is not lost: a new leader goes on from its own count. Only where no
-/// voter ran is the time lost that was not committed.
+/// Time since the order of each rollout. Every voter measures it, so that a new leader continues
+/// from its own measurement and the duration of an election is included. Uncommitted time is lost
+/// only while no voter runs.
 #[derive(Debug, Default)]
 pub struct ElapsedClocks {
-    readings: BTreeMap<RolloutNumber, Reading>,
+    measurements: BTreeMap<RolloutNumber, Measurement>,
 }
 
 impl ElapsedClocks {
-    /// Takes in what is committed; a count that is behind it goes on from there.
-    pub fn follow(&mut self, rollouts: &Rollouts, now: Millis) {
-        self.readings.retain(|number, _| {
+    /// Follows the committed rollouts; a measurement behind the committed time is advanced to it.
+    pub fn update(&mut self, rollouts: &Rollouts, now: Millis) {
+        self.measurements.retain(|number, _| {
             let rollout = rollouts.by_number(*number);
             rollout.is_some_and(needs_elapsed_time)
         });
         for rollout in rollouts.all().filter(|rollout| needs_elapsed_time(rollout)) {
             let committed = rollout.elapsed_ms;
             if self.elapsed(rollout.number, now) < Some(committed) {
-                let reading = Reading {
+                let measurement = Measurement {
                     elapsed_ms: committed,
-                    at: now,
+                    measured_at: now,
                 };
-                self.readings.insert(rollout.number, reading);
+                self.measurements.insert(rollout.number, measurement);
             }
         }
     }
 
-    /// Milliseconds since the order; none where they are not counted.
+    /// Milliseconds since the rollout was ordered; none if they are not measured.
     pub fn elapsed(&self, number: RolloutNumber, now: Millis) -> Option<u64> {
-        let reading = self.readings.get(&number)?;
-        Some(reading.elapsed_ms + now.saturating_sub(reading.at))
+        let measurement = self.measurements.get(&number)?;
+        Some(measurement.elapsed_ms + now.saturating_sub(measurement.measured_at))
     }
 }
--- a/crates/daemon/src/rollout/leader.rs
+++ b/crates/daemon/src/rollout/leader.rs
@@ -1,9 +1,10 @@
-//! The actor that drives rollouts in progress. It acts while its replica leads the control group;
-//! every voter has one and counts time, so that a new leader goes on where the former was.
+//! The actor that controls the rollouts in progress. It runs on every voter and is active while its
+//! replica leads the control group. All voters measure the elapsed time, so that a new leader
+//! continues from where its predecessor was.
 
 use super::clocks::ElapsedClocks;
 use super::progress::{progress_of, verdict_without_baseline};
-use super::recording::{count_answers, Recorder};
+use super::recording::{set_response_gauges, RolloutRecorder};
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 use crate::replica::{ProposalOutcome, ProposerActor, SharedGroupStatus};
@@ -22,83 +23,83 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Interval of decisions: a fraction of a heartbeat, in which evidence comes.
-const TICK: Duration = Duration::from_millis(100);
-/// Between commits of the time since the order, in milliseconds: so much of it is lost at most
-/// where all processes die at once.
-const ELAPSED_EVERY: Millis = 1_000;
-/// Longest wait for the commit of a time; the next one replaces it.
+/// Interval of decisions; shorter than a heartbeat, with which evidence arrives.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which the elapsed time of rollouts is committed, in milliseconds. At most this
+/// much is lost if all processes fail at once.
+const ELAPSED_COMMIT_INTERVAL_MS: Millis = 1_000;
+/// Longest wait for the commit of an elapsed time; the next commit supersedes it.
 const ELAPSED_TIMEOUT: Duration = Duration::from_millis(900);
-/// Longest wait for the commit of a decision; then it is made anew.
+/// Longest wait for the commit of a decision; after that the decision is made again.
 const DECISION_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How long a new leader listens before it decides, in milliseconds: two heartbeats of the nodes
-/// and what relays take to pass them on, so that it knows the counts that its predecessor knew.
-const LISTENS_FOR: Millis = 1_000;
+/// Time for which a new leader collects evidence before its first decision, in milliseconds. Covers
+/// two heartbeats and their forwarding by relays, so that it has its predecessor's counts.
+const EVIDENCE_COLLECTION_MS: Millis = 1_000;
 
-/// What the actor is made of.
+/// Dependencies and configuration of a [`RolloutLeaderActor`].
 pub struct RolloutLeaderSetup {
-    /// The replicated rollouts.
-    pub machine: Rc<RefCell<ControlState>>,
-    /// Status of the own replica of the control group.
+    /// Replicated state with the rollouts.
+    pub control_state: Rc<RefCell<ControlState>>,
+    /// Status of this node's replica of the control group.
     pub status: SharedGroupStatus,
-    /// For the list of back ends.
+    /// Holds the backend list.
     pub state: SharedNodeState,
-    /// What nodes told of rollouts.
+    /// Evidence that nodes reported on rollouts.
     pub evidence: SharedEvidence,
-    /// Commits decisions.
+    /// Proposes decisions to the control group.
     pub proposer: Actor<ProposerActor>,
-    /// What a bad version may do at most.
+    /// Limits on the effect of a faulty version.
     pub limits: RolloutLimits,
-    /// Longest time for which a leader that is cut off acts as one, in milliseconds.
+    /// Longest time for which a partitioned leader continues to act as leader, in milliseconds.
     pub leader_lease: Millis,
-    /// Decisions.
+    /// Records directives and the end of rollouts.
     pub log: DecisionLog,
-    /// Counters.
+    /// Exposes the response counts of rollouts in progress.
     pub metrics: Arc<Metrics>,
-    /// Time.
+    /// Clock of the process.
     pub clock: Clock,
 }
 
-/// What this process does in a term in which it leads.
+/// State of a term in which this process is the leader.
 struct Leadership {
     term: u64,
-    decides_from: Millis,
-    /// One for each rollout in progress; none while a decision of it is being committed.
+    first_decision_at: Millis,
+    /// Controllers of the rollouts in progress.
     controllers: BTreeMap<RolloutNumber, RolloutController>,
-    /// Rollouts of which a decision is being committed.
-    committing: BTreeSet<RolloutNumber>,
-    /// None at first: a voter that starts again goes on from what is committed, and the time of
-    /// the election is not.
-    elapsed_told_at: Option<Millis>,
+    /// Rollouts with a decision that is being committed.
+    committing_numbers: BTreeSet<RolloutNumber>,
+    /// Time of the last commit of elapsed times; none at the start of a term, so that the time of
+    /// the election is committed at once.
+    elapsed_committed_at: Option<Millis>,
 }
 
-/// Drives rollouts.
+/// Decides on the rollouts in progress on the leader of the control group.
 pub struct RolloutLeaderActor {
     setup: RolloutLeaderSetup,
     clocks: ElapsedClocks,
-    recorder: Recorder,
+    recorder: RolloutRecorder,
     leadership: Option<Leadership>,
 }
 
 impl RolloutLeaderActor {
-    /// Starts as no leader.
+    /// Starts as a follower.
     pub fn init(cx: CX![], setup: RolloutLeaderSetup) -> Option<Self> {
-        after!(TICK, [cx], tick());
+        after!(TICK_INTERVAL, [cx], tick());
         Some(Self {
             setup,
             clocks: ElapsedClocks::default(),
-            recorder: Recorder::default(),
+            recorder: RolloutRecorder::default(),
             leadership: None,
         })
     }
 
     fn tick(&mut self, cx: CX![]) {
-        after!(TICK, [cx], tick());
+        after!(TICK_INTERVAL, [cx], tick());
         let now = self.setup.clock.millis(cx.now());
         self.follow_leadership(now);
-        self.follow_rollouts(now);
+        self.record_changes(now);
         if self.is_confirmed_leader(now) {
-            self.tell_elapsed(now);
+            self.commit_elapsed(now);
             self.decide_all(cx, now);
         }
     }
@@ -114,32 +115,32 @@
             }
             return;
         }
-        if self.leadership.as_ref().map(|one| one.term) != Some(term) {
+        if self.leadership.as_ref().map(|leadership| leadership.term) != Some(term) {
             self.leadership = Some(Leadership {
                 term,
-                decides_from: now + LISTENS_FOR,
+                first_decision_at: now + EVIDENCE_COLLECTION_MS,
                 controllers: BTreeMap::new(),
-                committing: BTreeSet::new(),
-                elapsed_told_at: None,
+                committing_numbers: BTreeSet::new(),
+                elapsed_committed_at: None,
             });
         }
     }
 
-    /// Whether a quorum confirmed the leadership within the lease.
+    /// Whether a quorum confirmed this node's leadership within the lease.
     fn is_confirmed_leader(&self, now: Millis) -> bool {
         let status = self.setup.status.borrow();
         let age = status.freshness.age(now);
         status.is_leader && age.is_some_and(|age| age < self.setup.leader_lease)
     }
 
-    fn follow_rollouts(&mut self, now: Millis) {
-        let machine = self.setup.machine.borrow();
-        let rollouts = &machine.rollouts;
-        self.clocks.follow(rollouts, now);
+    fn record_changes(&mut self, now: Millis) {
+        let control_state = self.setup.control_state.borrow();
+        let rollouts = &control_state.rollouts;
+        self.clocks.update(rollouts, now);
         let evidence = self.setup.evidence.borrow();
         let log = self.leadership.is_some().then_some(&self.setup.log);
         let clocks = &self.clocks;
-        self.recorder.follow(
+        self.recorder.record_changes(
             rollouts,
             log,
             |number| evidence.sum(number),
@@ -147,18 +148,18 @@
         );
     }
 
-    /// Commits how much time has passed since the orders.
-    fn tell_elapsed(&mut self, now: Millis) {
+    /// Commits the elapsed time of the rollouts.
+    fn commit_elapsed(&mut self, now: Millis) {
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let told_at = leadership.elapsed_told_at;
-        if told_at.is_some_and(|at| now.saturating_sub(at) < ELAPSED_EVERY) {
+        let committed_at = leadership.elapsed_committed_at;
+        if committed_at.is_some_and(|at| now.saturating_sub(at) < ELAPSED_COMMIT_INTERVAL_MS) {
             return;
         }
-        leadership.elapsed_told_at = Some(now);
-        let machine = self.setup.machine.borrow();
-        for rollout in machine.rollouts.all().filter(|one| needs_elapsed_time(one)) {
+        leadership.elapsed_committed_at = Some(now);
+        let control_state = self.setup.control_state.borrow();
+        for rollout in control_state.rollouts.all().filter(|rollout| needs_elapsed_time(rollout)) {
             let number = rollout.number;
             let elapsed_ms = self.clocks.elapsed(number, now).unwrap_or_default();
             let command = RolloutCommand::Elapsed { number, elapsed_ms };
@@ -175,20 +176,20 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        if now < leadership.decides_from {
+        if now < leadership.first_decision_at {
             return;
         }
         let in_progress: Vec<Rollout> = {
-            let machine = self.setup.machine.borrow();
-            let rollouts = machine.rollouts.all();
+            let control_state = self.setup.control_state.borrow();
+            let rollouts = control_state.rollouts.all();
             rollouts
-                .filter(|one| one.is_in_progress())
+                .filter(|rollout| rollout.is_in_progress())
                 .cloned()
                 .collect()
         };
         let is_current = |number: &RolloutNumber| {
             let mut numbers = in_progress.iter().map(|rollout| rollout.number);
-            numbers.any(|one| one == *number)
+            numbers.any(|in_progress_number| in_progress_number == *number)
         };
         leadership
             .controllers
@@ -203,16 +204,16 @@
         let RolloutState::InProgress(directive) = &rollout.state else {
             return;
         };
-        let (evidence, is_in_force) = {
+        let (evidence, is_applied_everywhere) = {
             let table = self.setup.evidence.borrow();
             (table.sum(number), table.is_in_force(number, directive.step))
         };
-        count_answers(&self.setup.metrics, &rollout.order.service, &evidence);
+        set_response_gauges(&self.setup.metrics, &rollout.order.service, &evidence);
         let elapsed_ms = self.clocks.elapsed(number, now).unwrap_or_default();
-        let (progress, only_version) = {
+        let (progress, immediate_verdict) = {
             let state = self.setup.state.borrow();
             let listing = state.listing.as_deref();
-            let progress = progress_of(&rollout.order, listing, is_in_force);
+            let progress = progress_of(&rollout.order, listing, is_applied_everywhere);
             let verdict = verdict_without_baseline(&state, directive, &progress, now, elapsed_ms);
             (progress, verdict)
         };
@@ -220,14 +221,14 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        if leadership.committing.contains(&number) {
+        if leadership.committing_numbers.contains(&number) {
             return;
         }
         let controller = leadership
             .controllers
             .entry(number)
             .or_insert_with(|| RolloutController::new(rollout, limits));
-        let decision = match only_version {
+        let decision = match immediate_verdict {
             Some(verdict) => Some(RolloutDecision::Complete {
                 former_versions: BTreeSet::new(),
                 verdict,
@@ -235,10 +236,10 @@
             None => controller.decide(&evidence, &progress, elapsed_ms),
         };
         if let Some(decision) = decision {
-            leadership.committing.insert(number);
+            leadership.committing_numbers.insert(number);
             let term = leadership.term;
             let command = ControlCommand::Rollout(command_of(number, decision, elapsed_ms));
-            let ret = ret_some_to!([cx], committed(term, number) as (ProposalOutcome));
+            let ret = ret_some_to!([cx], handle_commit_outcome(term, number) as (ProposalOutcome));
             let proposer = &self.setup.proposer;
             call!(
                 [proposer],
@@ -247,28 +248,29 @@
         }
     }
 
-    /// A decision is committed, or not: then the controller begins anew from what is.
-    fn committed(&mut self, _: CX![], term: u64, number: RolloutNumber, outcome: ProposalOutcome) {
+    /// Handles the outcome of a decision's commit. If it failed, the controller is recreated from
+    /// the committed state.
+    fn handle_commit_outcome(&mut self, _: CX![], term: u64, number: RolloutNumber, outcome: ProposalOutcome) {
         let Some(leadership) = &mut self.leadership else {
             return;
         };
         if leadership.term != term {
             return;
         }
-        leadership.committing.remove(&number);
+        leadership.committing_numbers.remove(&number);
         let reply = match outcome {
             ProposalOutcome::Applied(bytes) => postcard::from_bytes(&bytes).ok(),
             ProposalOutcome::Unavailable => None,
         };
         if reply != Some(RolloutReply::Changed) {
             leadership.controllers.remove(&number);
-            log::info!(event = "rollout_decision_lost", rollout = number; "a decision was not committed and is made anew");
+            log::info!(event = "rollout_decision_lost", rollout = number; "a rollout decision was not committed; it will be made again");
         }
     }
 }
 
 fn command_of(number: RolloutNumber, decision: RolloutDecision, elapsed_ms: u64) -> RolloutCommand {
-    let end = |state| RolloutCommand::End {
+    let end_command = |state| RolloutCommand::End {
         number,
         state,
         elapsed_ms,
@@ -282,10 +284,10 @@
         RolloutDecision::Complete {
             former_versions,
             verdict,
-        } => end(RolloutState::Completed {
+        } => end_command(RolloutState::Completed {
             former_versions,
             verdict,
         }),
-        RolloutDecision::RollBack(verdict) => end(RolloutState::RolledBack { verdict }),
+        RolloutDecision::RollBack(verdict) => end_command(RolloutState::RolledBack { verdict }),
     }
 }
--- a/crates/daemon/src/rollout/mod.rs
+++ b/crates/daemon/src/rollout/mod.rs
@@ -1,5 +1,5 @@
-//! Rollouts of versions: each node takes operators' orders; the leader of the control group
-//! drives what is in progress.
+//! Rollouts of service versions: each node handles operators' orders; the leader of the control
+//! group controls the rollouts in progress.
 
 mod clocks;
 mod leader;
--- a/crates/daemon/src/rollout/orders.rs
+++ b/crates/daemon/src/rollout/orders.rs
@@ -1,7 +1,7 @@
-//! Operators' orders to begin a rollout or to take one back: checked, proposed to the control
-//! group, and answered once committed.
+//! Handles operators' orders to begin or abort a rollout: validates them, proposes them to the
+//! control group, and answers once they are committed.
 
-use super::recording::{count_rollouts, state_name};
+use super::recording::{set_rollout_gauges, state_name};
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 use crate::replica::{ProposalOutcome, ProposerActor};
@@ -14,25 +14,25 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Longest wait for an order to be committed: as for a traffic configuration.
+/// Longest wait for an order to be committed.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(3_500);
-/// How long after its arrival an order that turned out to be based on an old number is proposed
-/// again: operators give up on a node after a second and send the order to another.
-const PROPOSED_AGAIN_WITHIN: Duration = Duration::from_millis(1_000);
-/// Longest name of a service or a version, in bytes.
-const LONGEST_NAME: usize = 128;
-/// Longest duration of a rollout, in milliseconds: a day.
-const LONGEST_DURATION_MS: u64 = 86_400_000;
-/// Reason of the verdict where an operator takes a rollout back.
-const ABORTED: &str = "aborted";
+/// Time after its arrival up to which an order that was based on an old rollout number is proposed
+/// again. Operators resend to another node after a second.
+const MAX_RETRY_AGE: Duration = Duration::from_millis(1_000);
+/// Maximum length of the name of a service or a version, in bytes.
+const MAX_NAME_BYTES: usize = 128;
+/// Maximum duration of a rollout, in milliseconds: one day.
+const MAX_DURATION_MS: u64 = 86_400_000;
+/// Reason of the verdict on a rollout that an operator aborted.
+const ABORTED_REASON: &str = "aborted";
 
-/// Why an order is refused.
+/// Why an order is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{} {}: {problem}", code.number(), code.reason())]
 pub struct RolloutRejection {
     /// Numbered code.
     pub code: ResultCode,
-    /// In words.
+    /// Explanation for the operator.
     pub problem: String,
 }
 
@@ -62,105 +62,105 @@
     }
 }
 
-/// What an order came to: the number of the rollout that is as ordered.
+/// Outcome of an order: the number of the rollout that matches it, or the rejection.
 pub type RolloutOutcome = Result<RolloutNumber, RolloutRejection>;
 
-/// Whoever waits for the answer to an order.
+/// The client that waits for the answer to an order.
 pub trait RolloutCaller {
-    /// Whether an answer still reaches somebody.
+    /// Whether the client still waits for an answer.
     fn is_waiting(&self) -> bool;
 
-    /// Gives the answer.
+    /// Answers the client with the outcome.
     fn answer(self: Box<Self>, outcome: RolloutOutcome);
 }
 
-/// What the actor is made of.
+/// Dependencies of a [`RolloutActor`].
 pub struct RolloutSetup {
-    /// What the node has in force.
+    /// Holds the rollouts and the traffic configuration that the node applies.
     pub state: SharedNodeState,
-    /// Proposes to the control group.
+    /// Proposes commands to the control group.
     pub proposer: Actor<ProposerActor>,
-    /// Decisions.
+    /// Records each order with its outcome, and the rollouts in force.
     pub log: DecisionLog,
-    /// Counters.
+    /// Exposes the state of each rollout.
     pub metrics: Arc<Metrics>,
-    /// Time.
+    /// Clock of the process.
     pub clock: Clock,
 }
 
-/// An order that is proposed.
-pub(crate) struct Pending {
+/// An order that has been proposed.
+pub(crate) struct PendingOrder {
     order: RolloutOrder,
-    seen: RolloutNumber,
+    known_number: RolloutNumber,
     caller: Box<dyn RolloutCaller>,
     arrived_at: Instant,
 }
 
-/// Takes operators' orders, and tells which rollouts are in force on this node.
+/// Handles operators' orders, and publishes which rollouts are in force on this node.
 pub struct RolloutActor {
     setup: RolloutSetup,
-    told_revision: Option<RolloutsRevision>,
+    published_revision: Option<RolloutsRevision>,
 }
 
 impl RolloutActor {
-    /// Starts without orders.
+    /// Starts without pending orders.
     pub fn init(_: CX![], setup: RolloutSetup) -> Option<Self> {
         Some(Self {
             setup,
-            told_revision: None,
+            published_revision: None,
         })
     }
 
-    /// Configuration, rollouts or the view changed.
+    /// Logs and counts the rollouts in force, if they changed.
     pub fn node_state_changed(&mut self, _: CX![]) {
         let state = self.setup.state.borrow();
         let Some(rollouts) = &state.rollouts else {
             return;
         };
-        if self.told_revision == Some(rollouts.revision()) {
+        if self.published_revision == Some(rollouts.revision()) {
             return;
         }
-        self.told_revision = Some(rollouts.revision());
-        count_rollouts(&self.setup.metrics, rollouts);
-        let told = rollouts.all().map(|rollout| {
+        self.published_revision = Some(rollouts.revision());
+        set_rollout_gauges(&self.setup.metrics, rollouts);
+        let descriptions = rollouts.all().map(|rollout| {
             let order = &rollout.order;
             let state = state_name(&rollout.state);
             format!("{}={state}:{}", order.service, order.target_version)
         });
         self.setup.log.record(LogEvent::RolloutsInForce {
             revision: rollouts.revision(),
-            rollouts: told.collect(),
+            rollouts: descriptions.collect(),
         });
     }
 
-    /// Takes an order and answers it once it is committed.
+    /// Proposes an order to begin a rollout, and answers it once it is committed.
     pub fn begin(&mut self, cx: CX![], order: RolloutOrder, caller: Box<dyn RolloutCaller>) {
-        let seen = self.seen(&order.service);
-        if let Err(refused) = self.check(cx.now(), &order) {
-            self.record(&order, seen, refused.code.reason());
-            caller.answer(Err(refused));
+        let known_number = self.known_number(&order.service);
+        if let Err(rejection) = self.validate_order(cx.now(), &order) {
+            self.record_outcome(&order, known_number, rejection.code.reason());
+            caller.answer(Err(rejection));
             return;
         }
         let arrived_at = cx.now();
-        let pending = Pending {
+        let pending = PendingOrder {
             order,
-            seen,
+            known_number,
             caller,
             arrived_at,
         };
         self.propose(cx, pending);
     }
 
-    /// Number of a service's latest rollout that this node knows; 0 for none.
-    fn seen(&self, service: &str) -> RolloutNumber {
+    /// Number of the service's latest rollout known to this node; 0 if there is none.
+    fn known_number(&self, service: &str) -> RolloutNumber {
         let state = self.setup.state.borrow();
         let rollouts = state.rollouts.as_ref();
         let latest = rollouts.and_then(|rollouts| rollouts.latest_of_service(service));
         latest.map_or(0, |rollout| rollout.number)
     }
 
-    fn check(&self, now: Instant, order: &RolloutOrder) -> Result<(), RolloutRejection> {
-        check_order(order)?;
+    fn validate_order(&self, now: Instant, order: &RolloutOrder) -> Result<(), RolloutRejection> {
+        validate_names_and_duration(order)?;
         let state = self.setup.state.borrow();
         let Some(traffic) = &state.traffic else {
             let problem = "this node holds no traffic configuration yet";
@@ -173,40 +173,40 @@
         if services.any(|service| service.name == order.service) {
             return Ok(());
         }
-        // The service may stand in a configuration that has not come here yet.
+        // The service may be part of a configuration that this node has not received yet.
         match state.is_current(self.setup.clock.millis(now), ROLLOUT_PERMIT) {
             true => Err(RolloutOrderError::UnknownService(order.service.clone()).into()),
-            false => Err(not_current()),
+            false => Err(not_current_rejection()),
         }
     }
 
-    fn propose(&mut self, cx: CX![], pending: Pending) {
+    fn propose(&mut self, cx: CX![], pending: PendingOrder) {
         let command = RolloutCommand::Begin {
             order: pending.order.clone(),
-            known_number: pending.seen,
+            known_number: pending.known_number,
         };
         let command = ControlCommand::Rollout(command).encode();
-        let ret = ret_some_to!([cx], proposed(pending) as (ProposalOutcome));
+        let ret = ret_some_to!([cx], handle_proposal_outcome(pending) as (ProposalOutcome));
         call!([self.setup.proposer], propose(command, COMMIT_TIMEOUT, ret));
     }
 
-    fn proposed(&mut self, cx: CX![], mut pending: Pending, outcome: ProposalOutcome) {
-        let outcome = match reply_of(outcome) {
+    fn handle_proposal_outcome(&mut self, cx: CX![], mut pending: PendingOrder, outcome: ProposalOutcome) {
+        let outcome = match decode_reply(outcome) {
             Some(RolloutReply::InForce { number }) => Ok(number),
             Some(RolloutReply::Refused(error)) => Err(error.into()),
-            Some(RolloutReply::Outdated { number }) if may_propose_again(cx.now(), &pending) => {
-                pending.seen = number;
+            Some(RolloutReply::Outdated { number }) if may_retry(cx.now(), &pending) => {
+                pending.known_number = number;
                 self.propose(cx, pending);
                 return;
             }
             _ => Err(RolloutRejection::no_leader()),
         };
-        self.record(&pending.order, pending.seen, outcome_name(&outcome));
+        self.record_outcome(&pending.order, pending.known_number, outcome_name(&outcome));
         pending.caller.answer(outcome);
     }
 
-    /// Takes the rollout of a service back, and answers once that is committed. One that was
-    /// rolled back already is acknowledged.
+    /// Rolls back the service's rollout and answers once this is committed. A rollout that is
+    /// already rolled back is acknowledged.
     pub fn abort(&mut self, cx: CX![], service: String, caller: Box<dyn RolloutCaller>) {
         let latest = {
             let state = self.setup.state.borrow();
@@ -220,7 +220,7 @@
         };
         let number = latest.number;
         let verdict = Verdict {
-            reason: ABORTED.to_owned(),
+            reason: ABORTED_REASON.to_owned(),
             route: String::new(),
             candidate: (0, 0),
             baseline: (0, 0),
@@ -232,11 +232,11 @@
             elapsed_ms: latest.elapsed_ms,
         };
         let command = ControlCommand::Rollout(command).encode();
-        let ret = ret_some_to!([cx], aborted(service, number, caller) as (ProposalOutcome));
+        let ret = ret_some_to!([cx], handle_abort_outcome(service, number, caller) as (ProposalOutcome));
         call!([self.setup.proposer], propose(command, COMMIT_TIMEOUT, ret));
     }
 
-    fn aborted(
+    fn handle_abort_outcome(
         &mut self,
         _: CX![],
         service: String,
@@ -244,7 +244,7 @@
         caller: Box<dyn RolloutCaller>,
         outcome: ProposalOutcome,
     ) {
-        let outcome = match reply_of(outcome) {
+        let outcome = match decode_reply(outcome) {
             Some(RolloutReply::Changed | RolloutReply::InForce { .. }) => Ok(number),
             Some(_) => Err(RolloutRejection::new(
                 ResultCode::RolloutEnded,
@@ -257,52 +257,52 @@
             target_version: String::new(),
             duration_ms: 0,
         };
-        self.record(&order, number, outcome_name(&outcome));
+        self.record_outcome(&order, number, outcome_name(&outcome));
         caller.answer(outcome);
     }
 
-    fn record(&self, order: &RolloutOrder, seen: RolloutNumber, outcome: &str) {
+    fn record_outcome(&self, order: &RolloutOrder, known_number: RolloutNumber, outcome: &str) {
         self.setup.log.record(LogEvent::RolloutOrdered {
             service: order.service.clone(),
             target_version: order.target_version.clone(),
             duration_ms: order.duration_ms,
-            seen,
+            seen: known_number,
             outcome: outcome.to_owned(),
         });
     }
 }
 
-fn check_order(order: &RolloutOrder) -> Result<(), RolloutOrderError> {
-    let is_name = |name: &str| (1..=LONGEST_NAME).contains(&name.len());
-    if !is_name(&order.service) || !is_name(&order.target_version) {
+fn validate_names_and_duration(order: &RolloutOrder) -> Result<(), RolloutOrderError> {
+    let is_valid_length = |name: &str| (1..=MAX_NAME_BYTES).contains(&name.len());
+    if !is_valid_length(&order.service) || !is_valid_length(&order.target_version) {
         return Err(RolloutOrderError::Name);
     }
-    if !(1..=LONGEST_DURATION_MS).contains(&order.duration_ms) {
+    if !(1..=MAX_DURATION_MS).contains(&order.duration_ms) {
         return Err(RolloutOrderError::Duration);
     }
     Ok(())
 }
 
-fn not_current() -> RolloutRejection {
+fn not_current_rejection() -> RolloutRejection {
     let problem = "this node can't confirm that what it holds is current";
     RolloutRejection::new(ResultCode::NotCurrent, problem)
 }
 
-fn reply_of(outcome: ProposalOutcome) -> Option<RolloutReply> {
+fn decode_reply(outcome: ProposalOutcome) -> Option<RolloutReply> {
     match outcome {
         ProposalOutcome::Applied(bytes) => postcard::from_bytes(&bytes).ok(),
         ProposalOutcome::Unavailable => None,
     }
 }
 
-fn may_propose_again(now: Instant, pending: &Pending) -> bool {
-    let waited = now.saturating_duration_since(pending.arrived_at);
-    waited < PROPOSED_AGAIN_WITHIN && pending.caller.is_waiting()
+fn may_retry(now: Instant, pending: &PendingOrder) -> bool {
+    let age = now.saturating_duration_since(pending.arrived_at);
+    age < MAX_RETRY_AGE && pending.caller.is_waiting()
 }
 
 fn outcome_name(outcome: &RolloutOutcome) -> &'static str {
     match outcome {
         Ok(_) => "committed",
-        Err(refused) => refused.code.reason(),
+        Err(rejection) => rejection.code.reason(),
     }
 }
--- a/crates/daemon/src/rollout/progress.rs
+++ b/crates/daemon/src/rollout/progress.rs
@@ -1,12 +1,12 @@
-//! What the list of back ends says of a rollout.
+//! Progress of a rollout according to the backend list.
 
 use crate::session::NodeState;
 use silversail_consensus::Millis;
 use silversail_peer::BackendList;
 use silversail_rollout::{Directive, RolloutOrder, RolloutProgress, Verdict};
 
-/// How far the back ends of both versions are. Cold ones of the candidate count: they take few
-/// requests, within a limit that all nodes keep.
+/// Counts the back ends of both versions. Cold back ends of the candidate count as ready, as they
+/// accept requests within a limit.
 pub(super) fn progress_of(
     order: &RolloutOrder,
     listing: Option<&BackendList>,
@@ -15,27 +15,27 @@
     let entries = listing
         .into_iter()
         .flat_map(|listing| listing.entries.iter());
-    let of_service = entries.filter(|one| one.service == order.service);
+    let service_backends = entries.filter(|backend| backend.service == order.service);
     let mut progress = RolloutProgress {
         is_applied_everywhere,
         ..RolloutProgress::default()
     };
-    for instance in of_service {
-        if instance.version != order.target_version {
-            progress.baseline_versions.insert(instance.version.clone());
-        } else if !instance.draining {
+    for backend in service_backends {
+        if backend.version != order.target_version {
+            progress.baseline_versions.insert(backend.version.clone());
+        } else if !backend.draining {
             progress.ready_candidate_backends += 1;
         }
     }
     progress
 }
 
-/// Reason of the verdict where a service has no other version.
+/// Reason of the verdict if all back ends of the service already run the target version.
 const NO_OTHER_VERSION: &str = "no_other_version";
 
-/// The verdict on an order of the version that a service runs already: it is complete at once, as
-/// rolling it back would leave the service without back ends. Only before anything was directed:
-/// later, old back ends that are gone say nothing of the new ones.
+/// The verdict on a rollout to the version that a service already runs: it completes at once, as
+/// rolling it back would leave the service without back ends. Applies only before the first
+/// directive; later, the removal of the old back ends tells nothing about the new version.
 pub(super) fn verdict_without_baseline(
     state: &NodeState,
     directive: &Directive,
@@ -43,11 +43,11 @@
     now: Millis,
     elapsed_ms: u64,
 ) -> Option<Verdict> {
-    let is_untouched = *directive == Directive::default();
+    let has_no_directive = *directive == Directive::default();
     let has_only_candidates =
         progress.ready_candidate_backends > 0 && progress.baseline_versions.is_empty();
     let is_current = state.has_current_listing(now);
-    (is_untouched && has_only_candidates && is_current).then(|| Verdict {
+    (has_no_directive && has_only_candidates && is_current).then(|| Verdict {
         reason: NO_OTHER_VERSION.to_owned(),
         route: String::new(),
         candidate: (0, 0),
--- a/crates/daemon/src/rollout/recording.rs
+++ b/crates/daemon/src/rollout/recording.rs
@@ -1,4 +1,4 @@
-//! What operators see of rollouts: decision lines and metrics.
+//! Decision log lines and metrics of rollouts.
 
 use crate::metrics::Metrics;
 use silversail_control::Rollouts;
@@ -6,7 +6,7 @@
 use silversail_rollout::{Directive, Evidence, Rollout, RolloutNumber, RolloutState, Verdict};
 use std::collections::BTreeMap;
 
-/// Name of a state, as operators are told.
+/// Name of a state in logs, metrics and answers to operators.
 pub fn state_name(state: &RolloutState) -> &'static str {
     match state {
         RolloutState::InProgress(_) => "in_progress",
@@ -15,48 +15,49 @@
     }
 }
 
-/// Answers of both versions over all routes.
+/// Response counts of both versions over all routes.
 #[derive(Clone, Copy, Debug, Default)]
-struct AnswerTotals {
-    candidate_good: u64,
-    candidate_bad: u64,
-    baseline_good: u64,
-    baseline_bad: u64,
+struct ResponseTotals {
+    candidate_succeeded: u64,
+    candidate_failed: u64,
+    baseline_succeeded: u64,
+    baseline_failed: u64,
 }
 
-impl AnswerTotals {
-    fn of(evidence: &Evidence) -> Self {
+impl ResponseTotals {
+    fn from_evidence(evidence: &Evidence) -> Self {
         let mut totals = Self::default();
-        for seen in evidence.routes.values() {
-            totals.candidate_good += seen.candidate.succeeded;
-            totals.candidate_bad += seen.candidate.failed;
-            totals.baseline_good += seen.baseline.succeeded;
-            totals.baseline_bad += seen.baseline.failed;
+        for route_evidence in evidence.routes.values() {
+            totals.candidate_succeeded += route_evidence.candidate.succeeded;
+            totals.candidate_failed += route_evidence.candidate.failed;
+            totals.baseline_succeeded += route_evidence.baseline.succeeded;
+            totals.baseline_failed += route_evidence.baseline.failed;
         }
         totals
     }
 }
 
-/// Tells on the leader how rollouts go on, by what is committed.
+/// Records committed changes of rollouts on the leader.
 #[derive(Debug, Default)]
-pub(super) struct Recorder {
-    known: BTreeMap<RolloutNumber, RolloutState>,
+pub(super) struct RolloutRecorder {
+    last_states: BTreeMap<RolloutNumber, RolloutState>,
 }
 
-impl Recorder {
-    /// Looks at the rollouts; where this process leads, what is new is recorded.
-    pub(super) fn follow(
+impl RolloutRecorder {
+    /// Compares the rollouts with those seen before, and records changes if `log` is given, which
+    /// only the leader does.
+    pub(super) fn record_changes(
         &mut self,
         rollouts: &Rollouts,
         log: Option<&DecisionLog>,
         evidence: impl Fn(RolloutNumber) -> Evidence,
         elapsed: impl Fn(RolloutNumber) -> u64,
     ) {
-        self.known
+        self.last_states
             .retain(|number, _| rollouts.by_number(*number).is_some());
         for rollout in rollouts.all() {
-            let former = self.known.insert(rollout.number, rollout.state.clone());
-            if former.as_ref() == Some(&rollout.state) {
+            let previous = self.last_states.insert(rollout.number, rollout.state.clone());
+            if previous.as_ref() == Some(&rollout.state) {
                 continue;
             }
             let Some(log) = log else {
@@ -64,7 +65,7 @@
             };
             let event = match &rollout.state {
                 RolloutState::InProgress(directive) => {
-                    let totals = AnswerTotals::of(&evidence(rollout.number));
+                    let totals = ResponseTotals::from_evidence(&evidence(rollout.number));
                     directive_event(rollout, directive, totals, elapsed(rollout.number))
                 }
                 RolloutState::Completed { verdict, .. } | RolloutState::RolledBack { verdict } => {
@@ -79,7 +80,7 @@
 fn directive_event(
     rollout: &Rollout,
     directive: &Directive,
-    totals: AnswerTotals,
+    totals: ResponseTotals,
     elapsed_ms: u64,
 ) -> Event {
     Event::RolloutDirective {
@@ -88,10 +89,10 @@
         step: directive.step,
         share_permille: directive.canary_permille,
         moved_routes: directive.moved_routes.iter().cloned().collect(),
-        candidate_answers: totals.candidate_good + totals.candidate_bad,
-        candidate_bad: totals.candidate_bad,
-        baseline_answers: totals.baseline_good + totals.baseline_bad,
-        baseline_bad: totals.baseline_bad,
+        candidate_answers: totals.candidate_succeeded + totals.candidate_failed,
+        candidate_bad: totals.candidate_failed,
+        baseline_answers: totals.baseline_succeeded + totals.baseline_failed,
+        baseline_bad: totals.baseline_failed,
         elapsed_ms,
     }
 }
@@ -112,8 +113,8 @@
     }
 }
 
-/// Renews the gauges of rollouts by service, version and state.
-pub(super) fn count_rollouts(metrics: &Metrics, rollouts: &Rollouts) {
+/// Updates the gauge of rollouts by service, version and state.
+pub(super) fn set_rollout_gauges(metrics: &Metrics, rollouts: &Rollouts) {
     metrics.rollouts.reset();
     for rollout in rollouts.all() {
         let order = &rollout.order;
@@ -126,14 +127,14 @@
     }
 }
 
-/// Renews the gauges of what answers of a rollout came to, on the leader.
-pub(super) fn count_answers(metrics: &Metrics, service: &str, evidence: &Evidence) {
-    let totals = AnswerTotals::of(evidence);
+/// Updates the gauges of a rollout's responses by version and outcome.
+pub(super) fn set_response_gauges(metrics: &Metrics, service: &str, evidence: &Evidence) {
+    let totals = ResponseTotals::from_evidence(evidence);
     for (version, outcome, count) in [
-        ("candidate", "good", totals.candidate_good),
-        ("candidate", "bad", totals.candidate_bad),
-        ("baseline", "good", totals.baseline_good),
-        ("baseline", "bad", totals.baseline_bad),
+        ("candidate", "good", totals.candidate_succeeded),
+        ("candidate", "bad", totals.candidate_failed),
+        ("baseline", "good", totals.baseline_succeeded),
+        ("baseline", "bad", totals.baseline_failed),
     ] {
         let gauge = &metrics.rollout_answers;
         gauge
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -1,6 +1,6 @@
-//! A planned stop: leave the answers, wait until the last answer that named
-//! this node has ended, refuse new requests, finish those under way, hand over
-//! leadership, exit.
+//! Graceful shutdown: leaves the cluster view, waits until the last entry-point answers that name
+//! this node have expired, refuses new requests, drains the open ones, transfers leadership, and
+//! exits.
 
 use crate::gateway::runtime::GatewayRuntime;
 use crate::metrics::Metrics;
@@ -14,103 +14,103 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const TICK: Duration = Duration::from_millis(50);
-/// Time for the last answers and the handed-over leadership to leave.
-const FLUSH: Duration = Duration::from_millis(400);
+/// Interval at which the step is checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time for the last responses and the leadership transfer to be sent.
+const FLUSH_DURATION: Duration = Duration::from_millis(400);
 
-/// What a stop needs.
+/// Dependencies and configuration of a [`StopActor`].
 pub struct StopSetup {
-    /// This node.
+    /// Name of the own node.
     pub node: NodeName,
-    /// Intervals.
+    /// Leases and timeouts.
     pub timing: TimingSettings,
-    /// What the node has in force.
+    /// Holds the cluster view; marked as refusing requests during the stop.
     pub state: SharedNodeState,
-    /// Tells the leader.
+    /// Announces the stop to the leader.
     pub session: Actor<SessionActor>,
-    /// Number of requests under way.
+    /// Counts the open requests.
     pub metrics: Arc<Metrics>,
-    /// The callers' surface.
+    /// Server of the callers' API.
     pub server: Rc<HttpServer>,
-    /// The gateway, where there is one.
+    /// The gateway, if the node has one.
     pub gateway: Option<Rc<GatewayRuntime>>,
-    /// Time until the process is killed, where that is known.
+    /// Time from the stop signal until the process is killed, if known.
     pub stop_grace: Option<Duration>,
-    /// Decisions.
+    /// Records the steps of the stop.
     pub log: DecisionLog,
-    /// Hands leadership over, by group.
+    /// Callbacks that transfer leadership, one for each replica of this node.
     pub leadership_transfers: Vec<Fwd<()>>,
 }
 
-/// When the steps of a stop come where the time of the kill is known, counted from
-/// the order to stop.
+/// Times of the steps of a stop if the time of the kill is known, measured from the stop signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopTimes {
-    /// From then on new requests are refused, so that those taken have time to end.
+    /// New requests are refused from then on, so that accepted ones have time to complete.
     pub refuse_after: Duration,
-    /// Requests must have ended by then.
+    /// Open requests must have completed by then.
     pub drained_by: Duration,
 }
 
 impl StopTimes {
-    /// The times of a process that is killed `grace` after the order to stop.
+    /// Times for a process that is killed `grace` after the stop signal.
     pub fn new(grace: Duration) -> Self {
         Self {
-            refuse_after: grace.mul_f64(TAKES_REQUESTS).min(LONGEST_TAKING),
-            drained_by: grace.saturating_sub(BEFORE_KILL),
+            refuse_after: grace.mul_f64(ACCEPTING_SHARE).min(MAX_ACCEPTING_DURATION),
+            drained_by: grace.saturating_sub(KILL_MARGIN),
         }
     }
 }
 
-/// New requests are refused from this share of the time until the kill.
-const TAKES_REQUESTS: f64 = 0.4;
-/// A request that is taken later than 3 s after the order must end, whatever its
-/// engine does; none is.
-const LONGEST_TAKING: Duration = Duration::from_millis(2_700);
-/// The last answers must have left so long before the kill: a flush and a margin.
-const BEFORE_KILL: Duration = Duration::from_millis(650);
+/// Share of the time until the kill in which new requests are accepted.
+const ACCEPTING_SHARE: f64 = 0.4;
+/// Longest time after the stop signal in which new requests are accepted. Requests accepted 3 s
+/// after the signal or later would have to complete whatever their engine does.
+const MAX_ACCEPTING_DURATION: Duration = Duration::from_millis(2_700);
+/// Time before the kill at which open requests must have completed: the flush and a margin.
+const KILL_MARGIN: Duration = Duration::from_millis(650);
 
-/// The steps of a stop.
+/// Steps of a stop; the `Debug` text is part of the decision log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// Until the view names this node no more, or no longer than the time.
+    /// Until the view does not list this node any more, at most until the given time.
     LeavingView(Instant),
-    /// Until the last answer that named this node has ended.
+    /// Until the last entry-point answer that names this node has expired.
     AnswersEnding(Instant),
-    /// Until no request is under way, or no longer than the time.
+    /// Until no request is open, at most until the given time.
     Draining(Instant),
-    /// Until what was sent last has left.
+    /// Until the last messages have been sent.
     Flushing(Instant),
 }
 
-/// Carries out a planned stop.
+/// Performs a graceful shutdown.
 pub struct StopActor {
     setup: StopSetup,
     step: Step,
-    began_at: Instant,
+    started_at: Instant,
 }
 
 impl StopActor {
-    /// Begins the stop.
+    /// Announces the stop and starts with the first step.
     pub fn init(cx: CX![], setup: StopSetup) -> Option<Self> {
         call!([setup.session], stop());
-        let longest = Duration::from_millis(setup.timing.node_lease_ms);
-        let step = Step::LeavingView(cx.now() + longest);
-        after!(TICK, [cx], tick());
-        let began_at = cx.now();
+        let view_timeout = Duration::from_millis(setup.timing.node_lease_ms);
+        let step = Step::LeavingView(cx.now() + view_timeout);
+        after!(TICK_INTERVAL, [cx], tick());
+        let started_at = cx.now();
         Some(Self {
             setup,
             step,
-            began_at,
+            started_at,
         })
     }
 
     fn tick(&mut self, cx: CX![]) {
-        after!(TICK, [cx], tick());
+        after!(TICK_INTERVAL, [cx], tick());
         let now = cx.now();
-        let next = match self.step {
+        let next_step = match self.step {
             Step::LeavingView(until) if now >= until || !self.is_in_view() => {
-                Some(Step::AnswersEnding(self.answers_end(now)))
+                Some(Step::AnswersEnding(self.accepts_requests_until(now)))
             }
             Step::AnswersEnding(until) if now >= until => {
                 self.setup.state.borrow_mut().refusing = true;
@@ -124,7 +124,7 @@
                 for transfer in &self.setup.leadership_transfers {
                     fwd!([transfer], ());
                 }
-                Some(Step::Flushing(now + FLUSH))
+                Some(Step::Flushing(now + FLUSH_DURATION))
             }
             Step::Flushing(until) if now >= until => {
                 cx.shutdown(stakker::StopCause::Stopped);
@@ -132,11 +132,11 @@
             }
             _ => None,
         };
-        if let Some(next) = next {
+        if let Some(next_step) = next_step {
             self.setup.log.record(LogEvent::Stopping {
-                step: format!("{next:?}"),
+                step: format!("{next_step:?}"),
             });
-            self.step = next;
+            self.step = next_step;
         }
     }
 
@@ -145,7 +145,7 @@
         let in_view = state
             .view
             .usable_nodes()
-            .any(|one| one.node == self.setup.node);
+            .any(|usable_node| usable_node.node == self.setup.node);
         in_view
     }
 
@@ -154,25 +154,26 @@
         metrics.open_requests.get() == 0 && metrics.gateway_requests.get() == 0
     }
 
-    /// Until when callers that hold an answer are served.
-    fn answers_end(&self, now: Instant) -> Instant {
+    /// Time until which requests are accepted from callers that hold an entry-point answer.
+    fn accepts_requests_until(&self, now: Instant) -> Instant {
         match self.setup.stop_grace {
-            Some(grace) => self.began_at + StopTimes::new(grace).refuse_after,
-            None => now + self.answer_lifetime(),
+            Some(grace) => self.started_at + StopTimes::new(grace).refuse_after,
+            None => now + self.entry_point_answer_lifetime(),
         }
     }
 
-    /// By when requests under way must have ended.
+    /// Time by which open requests must have completed.
     fn drained_by(&self, now: Instant) -> Instant {
         match self.setup.stop_grace {
-            Some(grace) => self.began_at + StopTimes::new(grace).drained_by,
+            Some(grace) => self.started_at + StopTimes::new(grace).drained_by,
             None => now + Duration::from_millis(self.setup.timing.stop_timeout_ms),
         }
     }
 
-    /// Other nodes answer from a view that may be as old as their freshness
-    /// lease, and callers keep the answer for its lifetime.
-    fn answer_lifetime(&self) -> Duration {
+    /// Longest time for which callers may use an answer that names this node: other nodes answer
+    /// from a view that may be as old as their freshness lease, and callers keep the answer for
+    /// its lifetime.
+    fn entry_point_answer_lifetime(&self) -> Duration {
         let timing = &self.setup.timing;
         Duration::from_millis(timing.freshness_lease_ms + timing.entry_point_lifetime_ms)
     }
--- a/crates/simulation/tests/evacuations.rs
+++ b/crates/simulation/tests/evacuations.rs
@@ -188,7 +188,7 @@
         is_waiting,
         answer: told,
     });
-    call!([actor], order(order, caller));
+    call!([actor], submit(order, caller));
     world.wake(position);
     world.run_for(2_000);
     let answered = *answer.borrow();
