--- a/crates/daemon/src/call_guard.rs
+++ b/crates/daemon/src/call_guard.rs
@@ -13,17 +13,19 @@
 
 /// Applies and records the notices of the back end at one address, for one kind of exchange.
 pub struct AddressGuard<'a> {
-    /// What back ends self_report.
+    /// Records the notices of back ends.
     pub listener: &'a NoticeListener,
     /// Address of the back end.
     pub address: &'a str,
     /// Kind of exchange that is guarded.
-    pub path: ExchangeKind,
+    pub exchange_kind: ExchangeKind,
 }
 
 impl CallGuard for AddressGuard<'_> {
     fn takes_calls(&self) -> bool {
-        self.listener.withheld(self.address, self.path).is_none()
+        self.listener
+            .withheld(self.address, self.exchange_kind)
+            .is_none()
     }
 
     fn heard(&self, report: &HeadReport) {
@@ -34,6 +36,7 @@
             limit: report.limit,
             ..SelfReport::default()
         };
-        self.listener.heard(self.address, self.path, &self_report);
+        self.listener
+            .heard(self.address, self.exchange_kind, &self_report);
     }
 }
--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -136,7 +136,7 @@
         AddressGuard {
             listener: &self.listener,
             address,
-            path: ExchangeKind::Stage,
+            exchange_kind: ExchangeKind::Stage,
         }
     }
 
--- a/crates/daemon/src/node/operators.rs
+++ b/crates/daemon/src/node/operators.rs
@@ -32,7 +32,7 @@
     fn answer(self: Box<Self>, result: Result<EvacuationRevision, ResultCode>) {
         let reply = match result {
             Ok(revision) => OperatorReply::ok(&json!({ "revision": revision })),
-            Err(code) => OperatorReply::refuse(code, zone_error_message(code), json!({})),
+            Err(code) => OperatorReply::error(code, zone_error_message(code), json!({})),
         };
         // The operator's thread may have timed out.
         let _ = self.0.try_send(reply);
@@ -47,7 +47,7 @@
     fn answer(self: Box<Self>, outcome: RolloutOutcome) {
         let reply = match outcome {
             Ok(number) => OperatorReply::ok(&json!({ "rollout": number })),
-            Err(rejection) => OperatorReply::refuse(rejection.code, &rejection.problem, json!({})),
+            Err(rejection) => OperatorReply::error(rejection.code, &rejection.problem, json!({})),
         };
         // The operator's thread may have timed out.
         let _ = self.0.try_send(reply);
@@ -58,15 +58,17 @@
 fn no_gateway_rejection() -> RolloutRejection {
     RolloutRejection {
         code: ResultCode::UnknownService,
-        problem: "this node serves no services with versions".to_owned(),
+        problem: "this node has no gateway, so it accepts no rollout orders".to_owned(),
     }
 }
 
 fn zone_error_message(code: ResultCode) -> &'static str {
     match code {
-        ResultCode::InvalidName => "a zone's name takes 1 to 128 letters, digits, '-', '_' and '.'",
-        ResultCode::UnknownZone => "this node's settings name no such zone",
-        _ => "no leader answered; send the order again",
+        ResultCode::InvalidName => {
+            "the zone's name must have 1 to 128 characters out of letters, digits, '-', '_' and '.'"
+        }
+        ResultCode::UnknownZone => "this node's settings contain no such zone",
+        _ => "the control group's leader did not answer in time; send the request again",
     }
 }
 
@@ -118,7 +120,7 @@
         if !state.is_current(now, self.settings.timing.freshness_lease_ms) {
             let message = "this node can't confirm that its configuration is current";
             let details = json!({ "revision": state.configuration.revision(), "age_ms": age });
-            return OperatorReply::refuse(ResultCode::NotCurrent, message, details);
+            return OperatorReply::error(ResultCode::NotCurrent, message, details);
         }
         OperatorReply::ok(&json!({
             "revision": state.configuration.revision(),
@@ -134,7 +136,7 @@
         if !state.has_current_rollouts(now, self.settings.timing.freshness_lease_ms) {
             let message = "this node can't confirm that its rollouts are current";
             let details = json!({ "age_ms": state.rollouts_freshness.age(now) });
-            return OperatorReply::refuse(ResultCode::NotCurrent, message, details);
+            return OperatorReply::error(ResultCode::NotCurrent, message, details);
         }
         let all = state.rollouts.iter().flat_map(|rollouts| rollouts.all());
         let matching =
@@ -142,7 +144,7 @@
         let rollouts: Vec<_> = matching.collect();
         if let (Some(service), true) = (service, rollouts.is_empty()) {
             let message = format!("service '{service}' never had a rollout");
-            return OperatorReply::refuse(ResultCode::NoRollout, &message, json!({}));
+            return OperatorReply::error(ResultCode::NoRollout, &message, json!({}));
         }
         OperatorReply::ok(&json!({ "rollouts": rollouts }))
     }
@@ -151,9 +153,9 @@
     fn history(&self) -> OperatorReply {
         match self.actors.history() {
             Some(history) => OperatorReply::ok(&json!({ "changes": history })),
-            None => OperatorReply::refuse(
+            None => OperatorReply::error(
                 ResultCode::NotAVoter,
-                "the history is kept by voters; ask one of them",
+                "only voters keep the history; send the request to one of them",
                 json!({ "voters": self.directory.borrow().replicating_nodes() }),
             ),
         }
@@ -269,9 +271,9 @@
         Some(ChangeOutcome::Accepted { revision }) => {
             OperatorReply::ok(&json!({ "revision": revision }))
         }
-        Some(ChangeOutcome::Conflict { current }) => OperatorReply::refuse(
+        Some(ChangeOutcome::Conflict { current }) => OperatorReply::error(
             ResultCode::RevisionConflict,
-            "another change was accepted on the base revision",
+            "the base revision is not the current revision",
             json!({ "current_revision": current }),
         ),
         Some(ChangeOutcome::Invalid(errors)) => {
@@ -286,20 +288,20 @@
                     })
                 })
                 .collect();
-            OperatorReply::refuse(
+            OperatorReply::error(
                 ResultCode::InvalidConfiguration,
                 &errors.to_string(),
                 json!({ "errors": details }),
             )
         }
-        Some(ChangeOutcome::ChangeIdReused) => OperatorReply::refuse(
+        Some(ChangeOutcome::ChangeIdReused) => OperatorReply::error(
             ResultCode::ChangeIdReused,
-            "the change identifier belongs to another change",
+            "the change identifier was used for another change",
             json!({}),
         ),
-        None => OperatorReply::refuse(
+        None => OperatorReply::error(
             ResultCode::NoLeader,
-            "no leader answered; resend with the same change identifier",
+            "the control group's leader did not answer in time; send the change again with the same change identifier",
             json!({}),
         ),
     }
--- a/crates/daemon/src/node/quarantine.rs
+++ b/crates/daemon/src/node/quarantine.rs
@@ -20,7 +20,7 @@
         let state = self.state.borrow();
         let Some(list) = &state.quarantine else {
             let message = "this node has not received the list of refused requests yet";
-            return OperatorReply::refuse(ResultCode::NotCurrent, message, json!({}));
+            return OperatorReply::error(ResultCode::NotCurrent, message, json!({}));
         };
         let control = self.actors.control_state().map(|state| state.borrow());
         let evidence = |fingerprint: &RequestFingerprint| {
@@ -81,12 +81,13 @@
             OperatorReply::ok(&json!({ "fingerprint": fingerprint.to_string() }))
         }
         Some(QuarantineReply::NotRefused) => {
-            let message = "the request is not refused";
-            OperatorReply::refuse(ResultCode::NotQuarantined, message, json!({}))
+            let message = "no request with this fingerprint is refused";
+            OperatorReply::error(ResultCode::NotQuarantined, message, json!({}))
         }
         None => {
-            let message = "no leader answered; send the order again";
-            OperatorReply::refuse(ResultCode::NoLeader, message, json!({}))
+            let message =
+                "the control group's leader did not answer in time; send the request again";
+            OperatorReply::error(ResultCode::NoLeader, message, json!({}))
         }
     }
 }
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -171,8 +171,8 @@
                 return;
             };
             let first_seen_at = *leadership.first_seen_at.entry(order.id).or_insert(now);
-            let has_taken_effect = loaded_models.get(&order.backend).is_some_and(|held| {
-                held.contains(&order.model) == (order.action == OrderAction::Load)
+            let has_taken_effect = loaded_models.get(&order.backend).is_some_and(|models| {
+                models.contains(&order.model) == (order.action == OrderAction::Load)
             });
             if has_taken_effect || now.saturating_sub(first_seen_at) > effect_timeout {
                 log::info!(event = "order_ended", backend = order.backend.as_str(), model = order.model.as_str(), done = has_taken_effect; "order ended");
--- a/crates/daemon/src/pollers.rs
+++ b/crates/daemon/src/pollers.rs
@@ -48,7 +48,7 @@
                 let guard = AddressGuard {
                     listener: &listener,
                     address: &address,
-                    path: ExchangeKind::Load,
+                    exchange_kind: ExchangeKind::Load,
                 };
                 if let Ok(load) = engine::load(&agents, &address, &guard) {
                     if events.send(Event::EngineLoad { backend, load }).is_err() {
--- a/crates/daemon/src/rollout/orders.rs
+++ b/crates/daemon/src/rollout/orders.rs
@@ -45,7 +45,7 @@
     fn no_leader() -> Self {
         Self::new(
             ResultCode::NoLeader,
-            "no leader answered; send the order again",
+            "the control group's leader did not answer in time; send the order again",
         )
     }
 }
@@ -163,7 +163,7 @@
         validate_names_and_duration(order)?;
         let state = self.setup.state.borrow();
         let Some(traffic) = &state.traffic else {
-            let problem = "this node holds no traffic configuration yet";
+            let problem = "this node has not received a traffic configuration yet";
             return Err(RolloutRejection::new(
                 ResultCode::NoTrafficConfiguration,
                 problem,
@@ -256,7 +256,7 @@
             Some(RolloutReply::Changed | RolloutReply::InForce { .. }) => Ok(number),
             Some(_) => Err(RolloutRejection::new(
                 ResultCode::RolloutEnded,
-                "the rollout is complete, or another one has followed it",
+                "the rollout is complete or was superseded by a later one",
             )),
             None => Err(RolloutRejection::no_leader()),
         };
@@ -292,7 +292,7 @@
 }
 
 fn not_current_rejection() -> RolloutRejection {
-    let problem = "this node can't confirm that what it holds is current";
+    let problem = "this node can't confirm that its traffic configuration is current";
     RolloutRejection::new(ResultCode::NotCurrent, problem)
 }
 
--- a/crates/daemon/src/rollout/progress.rs
+++ b/crates/daemon/src/rollout/progress.rs
@@ -9,12 +9,12 @@
 /// accept requests within a limit.
 pub(super) fn progress_of(
     order: &RolloutOrder,
-    listing: Option<&BackendList>,
+    backend_list: Option<&BackendList>,
     is_applied_everywhere: bool,
 ) -> RolloutProgress {
-    let entries = listing
+    let entries = backend_list
         .into_iter()
-        .flat_map(|listing| listing.entries.iter());
+        .flat_map(|backend_list| backend_list.entries.iter());
     let service_backends = entries.filter(|backend| backend.service == order.service);
     let mut progress = RolloutProgress {
         is_applied_everywhere,
--- a/crates/daemon/src/settings/gateway.rs
+++ b/crates/daemon/src/settings/gateway.rs
@@ -24,7 +24,7 @@
     #[serde(default = "default_list_rate")]
     pub backend_list_rate: f64,
     /// Longest time for which back ends may still get requests after the backend list marks them
-    /// as leaving, in milliseconds.
+    /// as draining, in milliseconds.
     #[serde(default = "default_leaving_bound")]
     pub leaving_bound_ms: u64,
     /// Time for which callers may use an entry-point answer, in milliseconds.
--- a/crates/daemon/src/settings/topology.rs
+++ b/crates/daemon/src/settings/topology.rs
@@ -47,7 +47,7 @@
     if is_valid_name(name) {
         return Ok(());
     }
-    let message = "a name takes 1 to 128 letters, digits, '-', '_' and '.'";
+    let message = "must have 1 to 128 characters out of letters, digits, '-', '_' and '.'";
     Err(SettingsError::new(ResultCode::InvalidName, path, message))
 }
 
--- a/crates/daemon/src/settings/validation.rs
+++ b/crates/daemon/src/settings/validation.rs
@@ -36,7 +36,8 @@
         for (position, node) in self.cluster.nodes.iter().enumerate() {
             let path = format!("cluster.nodes[{position}]");
             if !silversail_model::identifiers::is_valid_name(node.name.as_str()) {
-                let message = "a name takes 1 to 128 letters, digits, '-', '_' and '.'";
+                let message =
+                    "must have 1 to 128 characters out of letters, digits, '-', '_' and '.'";
                 return Err(SettingsError::new(
                     ResultCode::InvalidName,
                     format!("{path}.name"),
@@ -44,7 +45,7 @@
                 ));
             }
             if !names.insert(&node.name) {
-                let message = format!("'{}' stands twice", node.name);
+                let message = format!("'{}' is used by several nodes", node.name);
                 return Err(SettingsError::new(
                     ResultCode::DuplicateName,
                     format!("{path}.name"),
@@ -63,7 +64,7 @@
             return Ok(());
         }
         if !names.contains(&self.node) {
-            let message = format!("'{}' is not among cluster.nodes", self.node);
+            let message = format!("'{}' is not a node in cluster.nodes", self.node);
             return Err(SettingsError::new(
                 ResultCode::UnknownReference,
                 "node",
@@ -88,7 +89,7 @@
         }
         if !PROCESSOR_SHARE_RANGE.contains(&gateway.processor_share) {
             let path = "gateway.processor_share";
-            let message = "must lie between 0.01 and 64";
+            let message = "must be between 0.01 and 64";
             return Err(SettingsError::new(
                 ResultCode::ValueOutOfRange,
                 path,
@@ -118,7 +119,7 @@
                 return Err(SettingsError::new(
                     ResultCode::UnknownReference,
                     format!("cluster.voters[{position}]"),
-                    format!("'{voter}' is not among cluster.nodes"),
+                    format!("'{voter}' is not a node in cluster.nodes"),
                 ));
             }
         }
@@ -126,7 +127,7 @@
             return Err(SettingsError::new(
                 ResultCode::MissingField,
                 "data_folder",
-                "a voter needs a data folder",
+                "is required on a voter",
             ));
         }
         Ok(())
@@ -149,13 +150,13 @@
         if self.timing.node_lease_ms < 2 * self.timing.session_heartbeat_ms {
             return out_of_range(
                 "timing.node_lease_ms",
-                "must be at least 2 session_heartbeat_ms",
+                "must be at least twice session_heartbeat_ms",
             );
         }
         if self.timing.freshness_lease_ms < 2 * self.timing.session_heartbeat_ms {
             return out_of_range(
                 "timing.freshness_lease_ms",
-                "must be at least 2 session_heartbeat_ms",
+                "must be at least twice session_heartbeat_ms",
             );
         }
         if self.timing.ledger_retention_ms < self.limits.deadline_ms {
@@ -165,19 +166,19 @@
             );
         }
         if self.timing.weight_store_mb_per_s <= 0.0 {
-            return out_of_range("timing.weight_store_mb_per_s", "must be above 0");
+            return out_of_range("timing.weight_store_mb_per_s", "must be greater than 0");
         }
         if self.routing.slot_share <= 0.0 {
-            return out_of_range("routing.slot_share", "must be above 0");
+            return out_of_range("routing.slot_share", "must be greater than 0");
         }
         if !(0.0..=1.0).contains(&self.rollout.exposure_share) {
-            return out_of_range("rollout.exposure_share", "must lie between 0 and 1");
+            return out_of_range("rollout.exposure_share", "must be between 0 and 1");
         }
         if !self.rollout.exposure_slack.is_finite() || self.rollout.exposure_slack < 0.0 {
             return out_of_range("rollout.exposure_slack", "must be 0 or more");
         }
         if self.rollout.rollback_ms == 0 {
-            return out_of_range("rollout.rollback_ms", "must be above 0");
+            return out_of_range("rollout.rollback_ms", "must be greater than 0");
         }
         if self.log.level.parse::<log::LevelFilter>().is_err() {
             return out_of_range("log.level", "must be error, warn, info, debug or trace");
@@ -192,7 +193,7 @@
         Err(_) => Err(SettingsError::new(
             ResultCode::InvalidAddress,
             path,
-            format!("'{address}' is not IP:PORT"),
+            format!("'{address}' is not an address of the form IP:PORT"),
         )),
     }
 }
--- a/crates/daemon/src/surface/callers.rs
+++ b/crates/daemon/src/surface/callers.rs
@@ -113,11 +113,21 @@
 
     fn reject(&self, reason: RejectReason, head: &Request) -> (ResponseHead, Vec<u8>) {
         let (code, message, retry_after_ms) = match reason {
-            RejectReason::BodyTooLarge => (ResultCode::BodyTooLarge, "the body is too large", None),
-            RejectReason::BodyTimeout => {
-                (ResultCode::SlowRequest, "the body came too slowly", None)
-            }
-            RejectReason::BodyBroken => (ResultCode::MalformedRequest, "the body broke off", None),
+            RejectReason::BodyTooLarge => (
+                ResultCode::BodyTooLarge,
+                "the body exceeds the size limit",
+                None,
+            ),
+            RejectReason::BodyTimeout => (
+                ResultCode::SlowRequest,
+                "the body was not received in time",
+                None,
+            ),
+            RejectReason::BodyBroken => (
+                ResultCode::MalformedRequest,
+                "the connection was closed before the body was complete",
+                None,
+            ),
             RejectReason::TooManyConnections | RejectReason::NoRoom => (
                 ResultCode::TooManyRequests,
                 "too many connections are open",
--- a/crates/daemon/src/surface/entry_points.rs
+++ b/crates/daemon/src/surface/entry_points.rs
@@ -43,7 +43,11 @@
     let mut nodes: Vec<&NodeStatus> = state.view.usable_nodes().collect();
     if !state.is_current(now, settings.freshness_lease) || nodes.is_empty() {
         let code = ResultCode::NotCurrent;
-        let mut body = RefusalBody::new("", code, "this node can't tell which nodes are usable");
+        let mut body = RefusalBody::new(
+            "",
+            code,
+            "this node has no current view of the usable nodes",
+        );
         body.retry_after_ms = Some(500);
         let (head, bytes) = error_response(code, &body);
         responder.respond(head, bytes);
--- a/crates/daemon/src/surface/operators.rs
+++ b/crates/daemon/src/surface/operators.rs
@@ -109,7 +109,7 @@
     }
 
     /// An error response with a result code; the fields of `details` are merged into the body.
-    pub fn refuse(code: ResultCode, message: &str, details: serde_json::Value) -> Self {
+    pub fn error(code: ResultCode, message: &str, details: serde_json::Value) -> Self {
         let mut body = json!({
             "code": code.number(),
             "reason": code.reason(),
@@ -271,8 +271,8 @@
             .ok()
             .and_then(|()| answer.recv_timeout(REPLY_TIMEOUT).ok());
         answered.unwrap_or_else(|| {
-            let message = "no answer in time; resend with the same change identifier";
-            OperatorReply::refuse(ResultCode::NoLeader, message, json!({}))
+            let message = "no answer in time; send the request again, a change with the same change identifier";
+            OperatorReply::error(ResultCode::NoLeader, message, json!({}))
         })
     }
 }
@@ -305,7 +305,7 @@
         (Method::Post, "/v1/configuration/changes") => parse_change(request),
         (method, _) => {
             let message = format!("no {method} {path}");
-            Err(OperatorReply::refuse(
+            Err(OperatorReply::error(
                 ResultCode::UnknownPath,
                 &message,
                 json!({}),
@@ -320,13 +320,13 @@
         Method::Delete => false,
         method => {
             let message = format!("no {method} {EVACUATIONS_PATH}{zone}");
-            let rejection = OperatorReply::refuse(ResultCode::UnknownPath, &message, json!({}));
+            let rejection = OperatorReply::error(ResultCode::UnknownPath, &message, json!({}));
             return Err(rejection);
         }
     };
     if request.body_length().is_some_and(|length| length > 0) {
-        let message = "an order on a zone takes no body";
-        let rejection = OperatorReply::refuse(ResultCode::UnexpectedBody, message, json!({}));
+        let message = "a request to evacuate a zone must not have a body";
+        let rejection = OperatorReply::error(ResultCode::UnexpectedBody, message, json!({}));
         return Err(rejection);
     }
     let zone = zone.to_owned();
@@ -352,14 +352,14 @@
         }
         (method, _) => {
             let message = format!("no {method} {ROLLOUTS_PATH}{path}");
-            let rejection = OperatorReply::refuse(ResultCode::UnknownPath, &message, json!({}));
+            let rejection = OperatorReply::error(ResultCode::UnknownPath, &message, json!({}));
             Err(rejection)
         }
     }
 }
 
 fn parse_quarantine(path: &str, method: &Method) -> Result<OperatorRequest, OperatorReply> {
-    let refuse = |code, message: &str| Err(OperatorReply::refuse(code, message, json!({})));
+    let refuse = |code, message: &str| Err(OperatorReply::error(code, message, json!({})));
     match (method, path.strip_prefix('/')) {
         (Method::Get, None) if path.is_empty() => Ok(OperatorRequest::Quarantine),
         (Method::Delete, Some(fingerprint)) => match fingerprint.parse() {
@@ -377,7 +377,7 @@
 }
 
 fn malformed(message: &str) -> OperatorReply {
-    OperatorReply::refuse(ResultCode::MalformedChange, message, json!({}))
+    OperatorReply::error(ResultCode::MalformedChange, message, json!({}))
 }
 
 fn read_body<T: DeserializeOwned>(request: &mut Request) -> Result<T, OperatorReply> {
@@ -393,7 +393,9 @@
 fn parse_change(request: &mut Request) -> Result<OperatorRequest, OperatorReply> {
     let body: ChangeBody = read_body(request)?;
     if !silversail_model::identifiers::is_valid_name(body.change_id.as_str()) {
-        return Err(malformed("change_id must be a name"));
+        return Err(malformed(
+            "change_id must have 1 to 128 characters out of letters, digits, '-', '_' and '.'",
+        ));
     }
     Ok(OperatorRequest::Change(ChangeRequest {
         change_id: body.change_id,
--- a/crates/daemon/tests/clock.rs
+++ b/crates/daemon/tests/clock.rs
@@ -1,4 +1,4 @@
-//! Suspensions of the machine, by the lead of the clock that counts them.
+//! Detection of machine suspensions from the lead of the boot-time clock.
 
 use rstest::rstest;
 use silversail_daemon::clock::{Clock, SuspensionDetector};
@@ -9,39 +9,42 @@
 }
 
 #[test]
-fn a_suspension_is_counted_once_and_what_was_before_the_start_is_not() {
+fn a_suspension_is_detected_once_and_earlier_ones_are_ignored() {
     // The machine was suspended for an hour before this process started.
-    let before = ms(3_600_000);
-    let mut detector = SuspensionDetector::new(before);
-    assert_eq!(detector.detect(before), None);
-    assert_eq!(detector.detect(before + ms(5_000)), Some(ms(5_000)));
-    assert_eq!(detector.detect(before + ms(5_000)), None);
-    assert_eq!(detector.detect(before + ms(7_500)), Some(ms(2_500)));
+    let lead_at_start = ms(3_600_000);
+    let mut detector = SuspensionDetector::new(lead_at_start);
+    assert_eq!(detector.detect(lead_at_start), None);
+    assert_eq!(detector.detect(lead_at_start + ms(5_000)), Some(ms(5_000)));
+    assert_eq!(detector.detect(lead_at_start + ms(5_000)), None);
+    assert_eq!(detector.detect(lead_at_start + ms(7_500)), Some(ms(2_500)));
 }
 
-/// The clocks are read one after the other; a step of one of them back counts nothing.
+/// The clocks are not read at the same instant, so a small or negative difference is no suspension.
 #[rstest]
 #[case(1_000, None)]
 #[case(1_099, None)]
 #[case(1_100, Some(100))]
 #[case(0, None)]
-fn small_and_negative_leads_are_no_suspension(#[case] lead: u64, #[case] counted: Option<u64>) {
+fn small_and_negative_lead_changes_are_no_suspension(
+    #[case] lead: u64,
+    #[case] detected: Option<u64>,
+) {
     let mut detector = SuspensionDetector::new(ms(1_000));
-    assert_eq!(detector.detect(ms(lead)), counted.map(ms));
+    assert_eq!(detector.detect(ms(lead)), detected.map(ms));
 }
 
-/// Many small leads in a row are not lost: what was not counted yet stays in the lead.
+/// Growth below the minimum is not lost; it counts once the sum reaches the minimum.
 #[test]
-fn small_leads_add_up() {
+fn small_lead_increases_add_up() {
     let mut detector = SuspensionDetector::new(ms(0));
-    let counted: Duration = (1..=30)
+    let detected: Duration = (1..=30)
         .filter_map(|step| detector.detect(ms(step * 10)))
         .sum();
-    assert_eq!(counted, ms(300));
+    assert_eq!(detected, ms(300));
 }
 
 #[test]
-fn the_time_of_day_follows_the_count_from_the_start_on() {
+fn process_milliseconds_convert_to_unix_time_from_the_start() {
     let start = Instant::now();
     let clock = Clock::at(start, 1_700_000_000_000);
     let later = clock.millis(start + ms(1_500));
--- a/crates/daemon/tests/common/backends.rs
+++ b/crates/daemon/tests/common/backends.rs
@@ -1,10 +1,10 @@
-//! Back ends of pipelines that tests write themselves, on sockets of their own.
+//! Helpers for tests that implement a pipeline's back end on their own socket.
 
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
 
-/// Reads a call; none where none comes whole.
+/// Reads the body of a call; none if no complete call arrives.
 pub fn read_call(stream: &TcpStream) -> Option<Value> {
     let mut reader = BufReader::new(stream);
     let mut length = 0;
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A cluster with back ends and the pipelines in force.
+/// A running cluster with emulated back ends and the configuration of [`document`].
 pub struct Bench {
     pub emulator: Emulator,
     pub cluster: Cluster,
@@ -34,8 +34,8 @@
     .expect("the service is complete")
 }
 
-/// Two engines, two of each pool, two gates, and the platform's list, which
-/// nodes see with lags of 0, 300 and 600 ms by the last digit of their name.
+/// Emulated back ends and a platform whose machine list reaches the nodes with lags of 0, 300 and
+/// 600 ms, by the last digit of the node's name.
 pub fn emulator() -> Emulator {
     let config = EmulatorConfig {
         seed: 1,
@@ -63,7 +63,8 @@
     emulator
 }
 
-/// The pipelines `chat` of four stages, and `open`, which may not be repeated.
+/// Configuration with the pipeline `chat` of four stages, and the pipeline `open`, whose calls must
+/// not be retried.
 pub fn document(emulator: &Emulator) -> Value {
     let address = |name: &str| emulator.addresses[name].to_string();
     let backend = |name: &str, kind: &str| json!({ "name": name, "kind": kind, "address": address(name), "slots": 16 });
@@ -125,7 +126,7 @@
     }
 }
 
-/// A call of `pipeline` by the tenant `desk` with time to spare.
+/// A call of `pipeline` by the tenant `desk` with a deadline of three seconds.
 pub fn call(pipeline: &str, key: &str) -> CallOptions {
     CallOptions {
         deadline: Duration::from_secs(3),
@@ -133,7 +134,7 @@
     }
 }
 
-/// Sends `body` as it is: status and body of the answer.
+/// Sends `body` unchanged, and returns the status and the body of the response.
 pub fn post(address: SocketAddr, path: &str, body: &str) -> (u16, Value) {
     let sent = ureq::post(&format!("http://{address}{path}"))
         .timeout(Duration::from_secs(10))
--- a/crates/daemon/tests/configuration.rs
+++ b/crates/daemon/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! An accepted configuration is in force everywhere within seconds and never
-//! reverts: under kills, torn tails, races, silent leaders and emptied disks.
+//! An accepted configuration is applied by all nodes within seconds and never reverts: with killed
+//! processes, incomplete writes, concurrent changes, partitioned leaders and lost disks.
 
 mod common;
 
@@ -15,13 +15,13 @@
     json!({ "tenants": [{ "name": name }] })
 }
 
-fn formed(options: &ClusterOptions) -> Cluster {
+fn start_cluster(options: &ClusterOptions) -> Cluster {
     let cluster = Cluster::start(binary(), options).expect("processes start");
     assert!(cluster.wait_until_serving(), "the cluster did not form");
     cluster
 }
 
-fn accept(cluster: &Cluster, position: usize, base: u64) {
+fn change_configuration(cluster: &Cluster, position: usize, base: u64) {
     let change_id = format!("change-{base}");
     let (status, answer) = cluster
         .change(position, &change_id, base, tenant(&change_id))
@@ -31,17 +31,17 @@
 }
 
 #[test]
-fn the_last_accepted_revision_survives_the_loss_of_all_processes_and_a_torn_tail() {
-    let mut cluster = formed(&ClusterOptions::new(5, 3));
+fn the_last_accepted_revision_survives_a_restart_of_all_processes_with_incomplete_writes() {
+    let mut cluster = start_cluster(&ClusterOptions::new(5, 3));
     for base in 0..300 {
         let position = (base % 5) as usize;
-        // The next change builds on this one wherever it is sent.
-        accept(&cluster, position, base);
+        // Each change is based on the previous one, whichever process gets it.
+        change_configuration(&cluster, position, base);
     }
     for position in 0..5 {
         cluster.kill(position);
     }
-    // A write that a power loss cut in the middle.
+    // Append a write that was interrupted by a power loss.
     for voter in 0..3 {
         let log = cluster.nodes[voter].data_folder.join("control/log");
         let mut log = OpenOptions::new().append(true).open(log).expect("the log");
@@ -50,7 +50,7 @@
     for position in 0..5 {
         cluster.spawn(position).expect("started");
     }
-    let older = wait_until(Duration::from_secs(20), || {
+    let all_recovered = wait_until(Duration::from_secs(20), || {
         let revisions: Vec<_> = (0..5)
             .filter_map(|position| cluster.revision(position))
             .collect();
@@ -60,16 +60,19 @@
         );
         revisions.len() == 5
     });
-    assert!(older, "not all processes came back");
+    assert!(
+        all_recovered,
+        "not all processes serve the last accepted revision"
+    );
     assert!(cluster.log_of(0).contains("torn_tail"));
 }
 
 #[test]
-fn of_two_operators_with_equal_revisions_exactly_one_is_accepted() {
-    let cluster = formed(&ClusterOptions::new(3, 3));
+fn of_concurrent_changes_on_the_same_revision_exactly_one_is_accepted() {
+    let cluster = start_cluster(&ClusterOptions::new(3, 3));
     for round in 0..10 {
         let answers: Vec<(u16, Value)> = std::thread::scope(|scope| {
-            let race: Vec<_> = (0..3)
+            let concurrent_changes: Vec<_> = (0..3)
                 .map(|position| {
                     let cluster = &cluster;
                     scope.spawn(move || {
@@ -80,7 +83,8 @@
                     })
                 })
                 .collect();
-            race.into_iter()
+            concurrent_changes
+                .into_iter()
                 .map(|one| one.join().expect("joined"))
                 .collect()
         });
@@ -99,12 +103,12 @@
 }
 
 #[test]
-fn a_resend_gets_the_first_answer() {
-    let cluster = formed(&ClusterOptions::new(3, 3));
+fn a_repeated_change_gets_the_first_answer() {
+    let cluster = start_cluster(&ClusterOptions::new(3, 3));
     let first = cluster
         .change(0, "once", 0, tenant("a"))
         .expect("an answer");
-    accept(&cluster, 1, 1);
+    change_configuration(&cluster, 1, 1);
     let again = cluster
         .change(2, "once", 0, tenant("a"))
         .expect("an answer");
@@ -118,10 +122,10 @@
 }
 
 #[test]
-fn voters_tell_the_history_of_changes() {
-    let cluster = formed(&ClusterOptions::new(4, 3));
-    accept(&cluster, 3, 0);
-    accept(&cluster, 0, 1);
+fn voters_return_the_history_of_changes() {
+    let cluster = start_cluster(&ClusterOptions::new(4, 3));
+    change_configuration(&cluster, 3, 0);
+    change_configuration(&cluster, 0, 1);
     assert!(cluster.wait_for_revision(2));
     let history = |position: usize| -> (u16, Value) {
         let address = cluster.nodes[position].operators;
@@ -148,8 +152,8 @@
 }
 
 #[test]
-fn a_change_with_errors_is_refused_with_the_path_of_each_field() {
-    let cluster = formed(&ClusterOptions::new(3, 3));
+fn an_invalid_change_is_rejected_with_the_path_of_each_invalid_field() {
+    let cluster = start_cluster(&ClusterOptions::new(3, 3));
     let document = json!({
         "backends": [{ "name": "b", "kind": "engine", "address": "nowhere", "models": ["none"] }],
         "pipelines": [{ "name": "p", "deadline_ms": 0, "stages": [
@@ -174,17 +178,17 @@
             "pipelines.p.stages[0].selector.requirements[0].values",
         ]
     );
-    accept(&cluster, 0, 0);
+    change_configuration(&cluster, 0, 0);
 }
 
 #[test]
-fn a_leader_cut_off_in_silence_neither_accepts_nor_answers() {
+fn a_partitioned_leader_neither_accepts_changes_nor_answers_reads() {
     let options = ClusterOptions {
         proxied: true,
         ..ClusterOptions::new(5, 3)
     };
-    let cluster = formed(&options);
-    accept(&cluster, 0, 0);
+    let cluster = start_cluster(&options);
+    change_configuration(&cluster, 0, 0);
     assert!(cluster.wait_for_revision(1));
     let leader = cluster.leader("control").expect("a leader");
     cluster.set_all_links(leader, LinkFault::silent());
@@ -204,7 +208,7 @@
         wait_until(Duration::from_secs(10), || cluster
             .revision(leader)
             .is_none()),
-        "the cut-off leader still serves"
+        "the partitioned leader still serves"
     );
     let url = format!(
         "http://{}/v1/configuration",
@@ -215,7 +219,7 @@
             let body: Value = serde_json::from_reader(response.into_reader()).expect("JSON");
             assert_eq!(body["code"], 2101);
         }
-        other => panic!("a stale read: {other:?}"),
+        other => panic!("the partitioned leader answered a read: {other:?}"),
     }
     let refused = cluster.change(leader, "cut-off", 1, tenant("cut-off"));
     assert!(refused.is_none_or(|(status, _)| status == 503));
@@ -226,31 +230,31 @@
     ));
     cluster.set_all_links(leader, LinkFault::default());
     assert!(cluster.wait_for_revision(2));
-    // The change sent to the cut-off leader builds on an old revision: it can
-    // only have met a conflict.
+    // The change sent to the partitioned leader is based on an old revision, so it must have
+    // been rejected as a conflict.
     assert!(wait_until(Duration::from_secs(10), || {
         (0..5).all(|position| cluster.revision(position) == Some(2))
     }));
 }
 
 #[test]
-fn an_emptied_voter_votes_only_once_it_holds_the_log_and_another_loss_is_survived() {
-    let mut cluster = formed(&ClusterOptions::new(5, 5));
+fn a_voter_with_an_emptied_disk_votes_only_after_it_has_the_log() {
+    let mut cluster = start_cluster(&ClusterOptions::new(5, 5));
     for base in 0..20 {
-        accept(&cluster, 0, base);
+        change_configuration(&cluster, 0, base);
     }
     let replica = |cluster: &Cluster, position: usize| -> Value {
         let status = cluster.status(position).unwrap_or_default();
         status["groups"]["control"]["replica"].clone()
     };
-    let lost = 4;
-    let former = replica(&cluster, lost)["replica"].clone();
-    cluster.kill(lost);
-    cluster.wipe(lost).expect("emptied");
-    cluster.spawn(lost).expect("started");
+    let emptied_voter = 4;
+    let former_replica = replica(&cluster, emptied_voter)["replica"].clone();
+    cluster.kill(emptied_voter);
+    cluster.wipe(emptied_voter).expect("emptied");
+    cluster.spawn(emptied_voter).expect("started");
     let mut voted_without_log = false;
-    let back = wait_until(Duration::from_secs(30), || {
-        let status = cluster.status(lost).unwrap_or_default();
+    let is_voter_again = wait_until(Duration::from_secs(30), || {
+        let status = cluster.status(emptied_voter).unwrap_or_default();
         let group = &status["groups"]["control"];
         let voters = group["replica"]["voters"]
             .as_array()
@@ -261,18 +265,21 @@
         votes && voters.len() == 5
     });
     assert!(
-        back,
-        "the emptied voter did not come back: {}",
+        is_voter_again,
+        "the voter with an emptied disk did not become a voter again: {}",
         replica(&cluster, 0)
     );
-    assert!(!voted_without_log, "it voted before it held the log");
-    assert_ne!(replica(&cluster, lost)["replica"], former);
-    // Another loss right after the repair: the repaired one must count.
+    assert!(
+        !voted_without_log,
+        "it became a voter before it had the log"
+    );
+    assert_ne!(replica(&cluster, emptied_voter)["replica"], former_replica);
+    // With two more voters lost, a majority needs the vote of the recovered one.
     cluster.kill(0);
     cluster.kill(1);
     let accepted = wait_until(Duration::from_secs(30), || {
         cluster
-            .change(lost, "after-losses", 20, tenant("after-losses"))
+            .change(emptied_voter, "after-losses", 20, tenant("after-losses"))
             .is_some_and(|(status, _)| status == 200)
     });
     assert!(accepted, "three of five voters do not accept");
@@ -280,10 +287,10 @@
 }
 
 #[test]
-fn a_damaged_log_stops_the_process_with_a_numbered_error() {
-    let mut cluster = formed(&ClusterOptions::new(3, 3));
+fn a_corrupt_log_stops_the_process_with_a_numbered_error() {
+    let mut cluster = start_cluster(&ClusterOptions::new(3, 3));
     for base in 0..5 {
-        accept(&cluster, 0, base);
+        change_configuration(&cluster, 0, base);
     }
     cluster.kill(0);
     let path = cluster.nodes[0].data_folder.join("control/log");
@@ -297,6 +304,6 @@
         .expect("it stops");
     assert!(!status.success());
     assert!(cluster.log_of(0).contains("5002"), "{}", cluster.log_of(0));
-    // The others go on.
-    accept(&cluster, 1, 5);
+    // The other processes continue to accept changes.
+    change_configuration(&cluster, 1, 5);
 }
--- a/crates/daemon/tests/directory.rs
+++ b/crates/daemon/tests/directory.rs
@@ -1,4 +1,4 @@
-//! What processes tell each other of the nodes that they know, and how much that is.
+//! Exchange of contacts between processes, and the size of the replies.
 
 use silversail_daemon::directory::Directory;
 use silversail_model::NodeName;
@@ -19,13 +19,13 @@
     }
 }
 
-/// A directory of the node `own` that has not heard of any other.
+/// A directory of the node `own` without other contacts.
 fn directory(own: usize) -> Directory {
     Directory::with_discovery(contact(own), vec![contact(0).peer_address], true, 0)
 }
 
-/// A directory that heard of `nodes` nodes at `now`.
-fn knowing(nodes: usize, now: u64) -> Directory {
+/// A directory that received the contacts of `nodes` nodes at `now`.
+fn directory_with_contacts(nodes: usize, now: u64) -> Directory {
     let mut directory = directory(0);
     for number in 1..nodes {
         assert!(directory.record_contact(contact(number), 0, now));
@@ -33,74 +33,82 @@
     directory
 }
 
-fn known(directory: &Directory) -> usize {
+fn contact_count(directory: &Directory) -> usize {
     directory.last_heard_ages(0).len()
 }
 
-/// One question and its answer.
-fn ask(asker: &mut Directory, teller: &mut Directory, now: u64) -> Vec<ContactWithAge> {
-    let name = teller.own().node.clone();
-    let held = asker.contacts_version_of(&name);
-    let (others, has) = teller.contacts_for(held, now);
-    asker.record_contact(teller.own().clone(), 0, now);
+/// One hello of `asker` and the reply of `responder`.
+fn exchange_hello(
+    asker: &mut Directory,
+    responder: &mut Directory,
+    now: u64,
+) -> Vec<ContactWithAge> {
+    let name = responder.own().node.clone();
+    let known_version = asker.contacts_version_of(&name);
+    let (others, has) = responder.contacts_for(known_version, now);
+    asker.record_contact(responder.own().clone(), 0, now);
     for other in &others {
         asker.record_contact(other.contact.clone(), other.last_heard_age_ms, now);
     }
     asker.set_contacts_version(name.clone(), has);
-    if held == Some(has) {
-        asker.record_contact_ages(&name, &teller.contact_ages(now as usize, now), now);
+    if known_version == Some(has) {
+        asker.record_contact_ages(&name, &responder.contact_ages(now as usize, now), now);
     }
     others
 }
 
 #[test]
-fn a_node_that_asks_again_and_again_knows_all_after_a_few_answers() {
-    let (mut asker, mut teller) = (directory(NODES), knowing(NODES, 0));
-    let mut answers = 0;
-    while known(&asker) < NODES {
-        ask(&mut asker, &mut teller, answers * 100);
-        answers += 1;
-        assert!(answers <= 4, "{} known after {answers}", known(&asker));
+fn repeated_hellos_return_all_contacts_within_a_few_replies() {
+    let (mut asker, mut responder) = (directory(NODES), directory_with_contacts(NODES, 0));
+    let mut replies = 0;
+    while contact_count(&asker) < NODES {
+        exchange_hello(&mut asker, &mut responder, replies * 100);
+        replies += 1;
+        assert!(
+            replies <= 4,
+            "{} known after {replies} replies",
+            contact_count(&asker)
+        );
     }
 }
 
 #[test]
-fn the_replicating_nodes_are_told_with_the_first_answer() {
-    let (mut asker, mut teller) = (directory(NODES), knowing(NODES, 0));
-    ask(&mut asker, &mut teller, 100);
+fn the_first_reply_contains_all_replicating_nodes() {
+    let (mut asker, mut responder) = (directory(NODES), directory_with_contacts(NODES, 0));
+    exchange_hello(&mut asker, &mut responder, 100);
     assert_eq!(asker.replicating_nodes().len(), REPLICATING);
     assert!(!asker.has_all_contacts());
 }
 
 #[test]
-fn an_asker_knows_that_it_was_told_all_when_an_answer_adds_nothing() {
-    let (mut asker, mut teller) = (directory(NODES), knowing(20, 0));
-    ask(&mut asker, &mut teller, 100);
+fn all_contacts_are_received_once_a_reply_adds_nothing() {
+    let (mut asker, mut responder) = (directory(NODES), directory_with_contacts(20, 0));
+    exchange_hello(&mut asker, &mut responder, 100);
     assert!(!asker.has_all_contacts());
-    ask(&mut asker, &mut teller, 200);
+    exchange_hello(&mut asker, &mut responder, 200);
     assert!(asker.has_all_contacts());
 }
 
-/// Before, each answer told of all contacts: 20 KB of 300.
+/// Guards against replies that grow with the number of nodes.
 #[test]
-fn an_answer_is_small_whatever_the_asker_has() {
-    let (mut asker, mut teller) = (directory(NODES), knowing(NODES, 0));
+fn a_reply_has_a_bounded_size_whatever_contacts_the_asker_has() {
+    let (mut asker, mut responder) = (directory(NODES), directory_with_contacts(NODES, 0));
     for round in 0..20 {
-        let others = ask(&mut asker, &mut teller, round * 100);
-        let (_, has) = teller.contacts_for(asker.contacts_version_of(&contact(0).node), 0);
-        let known = DiscoveryMessage::HelloReply {
+        let others = exchange_hello(&mut asker, &mut responder, round * 100);
+        let (_, has) = responder.contacts_for(asker.contacts_version_of(&contact(0).node), 0);
+        let reply = DiscoveryMessage::HelloReply {
             contact: contact(0),
             sent_to: String::new(),
             others,
             has,
-            ages: teller.contact_ages(round as usize, round * 100),
+            ages: responder.contact_ages(round as usize, round * 100),
         };
         let envelope = Envelope {
             version: PROTOCOL_VERSION,
             cluster: "c".into(),
             from: contact(0).node,
             incarnation: 1,
-            message: PeerMessage::Discovery(known),
+            message: PeerMessage::Discovery(reply),
         };
         let bytes = encode(&envelope).len();
         assert!(bytes < 16_000, "{bytes} bytes in round {round}");
@@ -108,97 +116,98 @@
 }
 
 #[test]
-fn what_came_or_moved_since_is_told_and_nothing_else() {
-    let (mut asker, mut teller) = (directory(NODES), knowing(20, 0));
-    ask(&mut asker, &mut teller, 100);
+fn a_later_reply_contains_only_added_and_moved_contacts() {
+    let (mut asker, mut responder) = (directory(NODES), directory_with_contacts(20, 0));
+    exchange_hello(&mut asker, &mut responder, 100);
     let moved = Contact {
         incarnation: 1_000,
         peer_address: "10.9.9.9:7740".into(),
         ..contact(12)
     };
-    teller.record_contact(moved.clone(), 0, 150);
-    teller.record_contact(contact(25), 0, 150);
-    let others = ask(&mut asker, &mut teller, 200);
-    let rest: Vec<NodeName> = others
+    responder.record_contact(moved.clone(), 0, 150);
+    responder.record_contact(contact(25), 0, 150);
+    let others = exchange_hello(&mut asker, &mut responder, 200);
+    let non_replicating: Vec<NodeName> = others
         .into_iter()
         .filter(|one| !one.contact.replicates)
         .map(|one| one.contact.node)
         .collect();
-    assert_eq!(rest, [moved.node, contact(25).node]);
+    assert_eq!(non_replicating, [moved.node, contact(25).node]);
 }
 
 #[test]
-fn another_process_of_the_teller_tells_all_anew() {
-    let (mut asker, mut teller) = (directory(NODES), knowing(20, 0));
-    ask(&mut asker, &mut teller, 100);
+fn a_restarted_responder_sends_all_contacts_again() {
+    let (mut asker, mut responder) = (directory(NODES), directory_with_contacts(20, 0));
+    exchange_hello(&mut asker, &mut responder, 100);
     let former = ContactsVersion {
         incarnation: 77,
         changes: 10_000,
     };
-    let (others, _) = teller.contacts_for(Some(former), 200);
+    let (others, _) = responder.contacts_for(Some(former), 200);
     assert_eq!(others.len(), 19);
 }
 
-/// Forgets all that were not heard of for long; how many.
-fn forget_silent(directory: &mut Directory, now: u64) -> usize {
-    let silent = directory.stale_contacts(now);
-    directory.forget(&silent);
-    silent.len()
+/// Removes all stale contacts, and returns their number.
+fn remove_stale_contacts(directory: &mut Directory, now: u64) -> usize {
+    let stale = directory.stale_contacts(now);
+    directory.forget(&stale);
+    stale.len()
 }
 
-/// Of 1,000 contacts a node hears too few ages: those that the leader hears stay all the same.
+/// With 1,000 nodes the replies carry too few ages to refresh all contacts; those in the leader's
+/// view must not be removed.
 #[test]
-fn nodes_that_the_view_names_are_kept_and_others_are_forgotten() {
+fn stale_contacts_in_the_view_are_kept_and_others_are_removed() {
     const MANY: usize = 1_000;
-    let (mut asker, mut teller) = (directory(MANY), knowing(MANY, 0));
+    let (mut asker, mut responder) = (directory(MANY), directory_with_contacts(MANY, 0));
     for round in 0..MANY as u64 / 100 {
-        ask(&mut asker, &mut teller, round * 100);
+        exchange_hello(&mut asker, &mut responder, round * 100);
     }
-    assert_eq!(known(&asker), MANY);
-    let silent = asker.stale_contacts(25_000);
-    assert!(silent.len() > MANY / 2, "{}", silent.len());
-    let lost = contact(200).node;
-    let (gone, live): (Vec<NodeName>, Vec<NodeName>) =
-        silent.into_iter().partition(|node| *node == lost);
+    assert_eq!(contact_count(&asker), MANY);
+    let stale = asker.stale_contacts(25_000);
+    assert!(stale.len() > MANY / 2, "{}", stale.len());
+    let lost_node = contact(200).node;
+    let (removed, live): (Vec<NodeName>, Vec<NodeName>) =
+        stale.into_iter().partition(|node| *node == lost_node);
     asker.refresh_contacts(&live, 25_000);
-    asker.forget(&gone);
+    asker.forget(&removed);
     let replicating = asker.replicating_nodes();
-    let silent = asker.stale_contacts(44_000);
+    let stale = asker.stale_contacts(44_000);
     assert!(
-        silent.iter().all(|node| replicating.contains(node)),
-        "{silent:?}"
+        stale.iter().all(|node| replicating.contains(node)),
+        "{stale:?}"
     );
-    assert_eq!(known(&asker), MANY - 1);
+    assert_eq!(contact_count(&asker), MANY - 1);
 }
 
 #[test]
-fn nodes_that_others_hear_of_are_not_forgotten_and_silent_ones_are() {
-    let (mut asker, mut teller) = (directory(NODES), knowing(NODES, 0));
-    let silent = contact(200).node;
+fn contacts_that_others_hear_of_are_kept_and_stale_ones_are_removed() {
+    let (mut asker, mut responder) = (directory(NODES), directory_with_contacts(NODES, 0));
+    let stale = contact(200).node;
     for round in 0..30_u64 {
         let now = round * 2_000;
         for number in (1..NODES).filter(|number| *number != 200) {
-            teller.record_message(&contact(number).node, now);
+            responder.record_message(&contact(number).node, now);
         }
-        ask(&mut asker, &mut teller, now);
-        ask(&mut asker, &mut teller, now + 777);
-        forget_silent(&mut teller, now + 777);
-        forget_silent(&mut asker, now + 777);
+        exchange_hello(&mut asker, &mut responder, now);
+        exchange_hello(&mut asker, &mut responder, now + 777);
+        remove_stale_contacts(&mut responder, now + 777);
+        remove_stale_contacts(&mut asker, now + 777);
     }
-    assert!(asker.last_heard_age(silent.as_str(), 60_000).is_none());
-    assert_eq!(known(&asker), NODES - 1);
+    assert!(asker.last_heard_age(stale.as_str(), 60_000).is_none());
+    assert_eq!(contact_count(&asker), NODES - 1);
 }
 
 #[test]
-fn a_node_that_was_forgotten_here_only_is_asked_for_again() {
-    let (mut asker, mut teller) = (directory(NODES), knowing(20, 0));
-    ask(&mut asker, &mut teller, 100);
-    assert_eq!(forget_silent(&mut asker, 25_000), 20);
+fn a_contact_that_was_removed_only_locally_is_requested_again() {
+    let (mut asker, mut responder) = (directory(NODES), directory_with_contacts(20, 0));
+    exchange_hello(&mut asker, &mut responder, 100);
+    assert_eq!(remove_stale_contacts(&mut asker, 25_000), 20);
     for number in 1..20 {
-        teller.record_message(&contact(number).node, 25_000);
+        responder.record_message(&contact(number).node, 25_000);
     }
     for round in 0..3 {
-        ask(&mut asker, &mut teller, 25_000 + round);
+        exchange_hello(&mut asker, &mut responder, 25_000 + round);
     }
-    assert_eq!(known(&asker), 20);
+    assert_eq!(contact_count(&asker), 20);
 }
--- a/crates/daemon/tests/orders.rs
+++ b/crates/daemon/tests/orders.rs
@@ -1,5 +1,5 @@
-//! Declared intent becomes orders to engines: paced, one at a time at each
-//! engine, never repeated after a change of leader, and never by two leaders.
+//! Orders to engines from declared models: paced by the weight store, one at a time for each
+//! engine, not repeated after a change of leader, and never sent by two leaders.
 
 mod common;
 
@@ -12,8 +12,9 @@
 use std::time::Duration;
 
 const ENGINES: usize = 4;
-/// Rate of the emulated store: a model of 500 MB takes half a second.
-const MB_PER_S: f64 = 1_000.0;
+/// Throughput of the emulated weight store, in megabytes per second: a model of 500 MB takes half
+/// a second.
+const WEIGHT_STORE_MB_PER_S: f64 = 1_000.0;
 
 fn emulator(checks_fence: bool) -> Emulator {
     let engines: Vec<Value> = (1..=ENGINES)
@@ -24,7 +25,7 @@
         .collect();
     let config: EmulatorConfig = serde_json::from_value(json!({
         "engines": engines,
-        "weight_store": { "mb_per_s": MB_PER_S, "models": { "chat": 500.0, "sum": 500.0 } },
+        "weight_store": { "mb_per_s": WEIGHT_STORE_MB_PER_S, "models": { "chat": 500.0, "sum": 500.0 } },
     }))
     .expect("the configuration is complete");
     Emulator::start(&config).expect("back ends start")
@@ -53,14 +54,14 @@
 
 fn cluster() -> Cluster {
     let mut options = ClusterOptions::new(3, 3);
-    options.settings = json!({ "timing": { "weight_store_mb_per_s": MB_PER_S } });
+    options.settings = json!({ "timing": { "weight_store_mb_per_s": WEIGHT_STORE_MB_PER_S } });
     let cluster = Cluster::start(binary(), &options).expect("processes start");
     assert!(cluster.wait_until_serving() && cluster.wait_for_usable(3));
     cluster
 }
 
-/// How many engines say that they hold `model`.
-fn holders(emulator: &Emulator, model: &str) -> usize {
+/// Number of engines that report `model` as loaded.
+fn loaded_engine_count(emulator: &Emulator, model: &str) -> usize {
     emulator
         .addresses
         .values()
@@ -76,9 +77,9 @@
         .count()
 }
 
-fn wait_for_holders(emulator: &Emulator, chat: usize, sum: usize) -> bool {
+fn wait_for_loaded_engines(emulator: &Emulator, chat: usize, sum: usize) -> bool {
     wait_until(Duration::from_secs(40), || {
-        holders(emulator, "chat") == chat && holders(emulator, "sum") == sum
+        loaded_engine_count(emulator, "chat") == chat && loaded_engine_count(emulator, "sum") == sum
     })
 }
 
@@ -94,41 +95,41 @@
     assert!(answer, "the change was not accepted");
 }
 
-fn accepted(emulator: &Emulator, action: &str) -> Vec<OrderRecord> {
+fn accepted_orders(emulator: &Emulator, action: &str) -> Vec<OrderRecord> {
     let records = emulator.orders.records();
     records
         .into_iter()
-        .filter(|one| one.accepted && one.action == action)
+        .filter(|record| record.accepted && record.action == action)
         .collect()
 }
 
 #[test]
-fn engines_come_to_hold_what_is_declared_paced_by_the_weight_store() {
+fn engines_load_the_declared_models_at_the_pace_of_the_weight_store() {
     let emulator = emulator(true);
     let cluster = cluster();
     change(&cluster, 0, document(&emulator, 2, 1));
     assert!(
-        wait_for_holders(&emulator, 2, 1),
+        wait_for_loaded_engines(&emulator, 2, 1),
         "{:?}",
         emulator.orders.records()
     );
-    let loads = accepted(&emulator, "load");
+    let loads = accepted_orders(&emulator, "load");
     assert_eq!(loads.len(), 3, "{loads:?}");
-    // Paced: no load waited for another one at the store.
+    // The loads are paced: none waited for another one at the weight store.
     assert!(loads.iter().all(|load| load.load_ms <= 600), "{loads:?}");
     let caller = Caller::new(cluster.nodes.iter().map(|node| node.callers).collect());
     let served = wait_until(Duration::from_secs(10), || {
         caller.call(&call("chat", "first"), 0, 1).outcome() == Some("completed")
     });
     assert!(served);
-    // More of one model at the price of the other.
+    // Replace the replica of one model by a replica of the other.
     change(&cluster, 1, document(&emulator, 4, 0));
     assert!(
-        wait_for_holders(&emulator, 4, 0),
+        wait_for_loaded_engines(&emulator, 4, 0),
         "{:?}",
         emulator.orders.records()
     );
-    assert_eq!(accepted(&emulator, "unload").len(), 1);
+    assert_eq!(accepted_orders(&emulator, "unload").len(), 1);
 }
 
 #[test]
@@ -136,25 +137,25 @@
     let emulator = emulator(false);
     let mut cluster = cluster();
     change(&cluster, 0, document(&emulator, 3, 1));
-    // The leader dies when it has sent some of the orders.
-    let some = wait_until(Duration::from_secs(20), || {
+    // Kill the leader after it has sent some of the orders.
+    let has_sent_some = wait_until(Duration::from_secs(20), || {
         emulator.orders.records().len() >= 2
     });
-    assert!(some);
+    assert!(has_sent_some);
     let leader = cluster.leader("control").expect("a leader");
     cluster.kill(leader);
     assert!(
-        wait_for_holders(&emulator, 3, 1),
+        wait_for_loaded_engines(&emulator, 3, 1),
         "{:?}",
         emulator.orders.records()
     );
     std::thread::sleep(Duration::from_secs(2));
-    let loads = accepted(&emulator, "load");
-    let distinct: BTreeSet<(&str, &str)> = loads
+    let loads = accepted_orders(&emulator, "load");
+    let distinct_loads: BTreeSet<(&str, &str)> = loads
         .iter()
         .map(|load| (load.engine.as_str(), load.model.as_str()))
         .collect();
-    assert_eq!((loads.len(), distinct.len()), (4, 4), "{loads:?}");
+    assert_eq!((loads.len(), distinct_loads.len()), (4, 4), "{loads:?}");
     let terms: BTreeSet<u64> = loads.iter().map(|load| load.term).collect();
     assert!(
         terms.len() >= 2,
@@ -163,43 +164,48 @@
 }
 
 #[test]
-fn a_frozen_leader_sends_no_order_when_it_wakes() {
+fn a_frozen_leader_sends_no_order_after_it_resumes() {
     let emulator = emulator(false);
     let cluster = cluster();
     change(&cluster, 0, document(&emulator, 1, 0));
-    assert!(wait_for_holders(&emulator, 1, 0));
-    let former = cluster.leader("control").expect("a leader");
-    cluster.freeze(former);
-    let elected = wait_until(Duration::from_secs(20), || {
+    assert!(wait_for_loaded_engines(&emulator, 1, 0));
+    let former_leader = cluster.leader("control").expect("a leader");
+    cluster.freeze(former_leader);
+    let has_new_leader = wait_until(Duration::from_secs(20), || {
         (0..3).any(|position| {
-            position != former
+            position != former_leader
                 && cluster
                     .status(position)
                     .is_some_and(|status| status["groups"]["control"]["is_leader"] == true)
         })
     });
-    assert!(elected);
+    assert!(has_new_leader);
     let base = 1;
-    let others: Vec<usize> = (0..3).filter(|position| *position != former).collect();
+    let others: Vec<usize> = (0..3)
+        .filter(|position| *position != former_leader)
+        .collect();
     let answer = cluster.change(others[0], "more", base, document(&emulator, 3, 1));
     assert!(answer.is_some_and(|(status, _)| status == 200));
-    // It wakes while the new leader orders.
-    let ordering = wait_until(Duration::from_secs(20), || {
+    // Resume the former leader while the new leader issues orders.
+    let has_new_orders = wait_until(Duration::from_secs(20), || {
         emulator.orders.records().len() >= 2
     });
-    assert!(ordering);
-    cluster.thaw(former);
+    assert!(has_new_orders);
+    cluster.thaw(former_leader);
     assert!(
-        wait_for_holders(&emulator, 3, 1),
+        wait_for_loaded_engines(&emulator, 3, 1),
         "{:?}",
         emulator.orders.records()
     );
     std::thread::sleep(Duration::from_secs(1));
     let records = emulator.orders.records();
-    let fences: Vec<(u64, u64)> = records.iter().map(|one| (one.term, one.sequence)).collect();
+    let fencing_tokens: Vec<(u64, u64)> = records
+        .iter()
+        .map(|record| (record.term, record.sequence))
+        .collect();
     assert!(
-        fences.windows(2).all(|pair| pair[0] < pair[1]),
+        fencing_tokens.windows(2).all(|pair| pair[0] < pair[1]),
         "orders of two leaders: {records:?}"
     );
-    assert_eq!(accepted(&emulator, "load").len(), 4, "{records:?}");
+    assert_eq!(accepted_orders(&emulator, "load").len(), 4, "{records:?}");
 }
--- a/crates/daemon/tests/startup.rs
+++ b/crates/daemon/tests/startup.rs
@@ -1,4 +1,4 @@
-//! Settings and machines that are not as they should be: a clear numbered line.
+//! Invalid settings and unusable resources stop a process with a numbered error.
 
 mod common;
 
@@ -25,7 +25,7 @@
     })
 }
 
-/// Settings with a gateway.
+/// Valid settings with a gateway.
 fn gateway_settings(folder: &Path) -> Value {
     let address = || free_address().expect("an address").to_string();
     let mut settings = settings(folder);
@@ -39,7 +39,7 @@
     settings
 }
 
-fn run(folder: &Path, text: &str) -> Output {
+fn run_with_settings(folder: &Path, text: &str) -> Output {
     let path = folder.join("settings.yaml");
     std::fs::write(&path, text).expect("written");
     Command::new(binary())
@@ -49,9 +49,9 @@
         .expect("the program runs")
 }
 
-fn stops_with(folder: &Path, settings: &Value, code: &str) {
+fn assert_stops_with(folder: &Path, settings: &Value, code: &str) {
     let text = serde_yaml_ng::to_string(settings).expect("YAML");
-    let output = run(folder, &text);
+    let output = run_with_settings(folder, &text);
     let errors = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success());
     assert!(errors.contains(code), "{errors}");
@@ -74,14 +74,18 @@
 #[case("/rollout", json!({ "rollback_ms": "soon" }), "1001")]
 #[case("/rollout", json!({ "exposure": 0.1 }), "1001")]
 #[case("/unknown", json!(1), "1001")]
-fn bad_settings_name_their_field(#[case] path: &str, #[case] value: Value, #[case] code: &str) {
+fn an_invalid_setting_is_reported_with_its_code(
+    #[case] path: &str,
+    #[case] value: Value,
+    #[case] code: &str,
+) {
     let folder = tempfile::tempdir().expect("a folder");
     let mut settings = settings(folder.path());
     match settings.pointer_mut(path) {
         Some(field) => *field = value,
         None => settings[path.trim_start_matches('/')] = value,
     }
-    stops_with(folder.path(), &settings, code);
+    assert_stops_with(folder.path(), &settings, code);
 }
 
 #[rstest]
@@ -98,12 +102,16 @@
 #[case("region_affinity", json!("sometimes"), "1001")]
 #[case("prefill_tokens_per_ms", json!(0.0), "1004")]
 #[case("prefill_tokens_per_ms", json!("fast"), "1001")]
-fn a_bad_policy_names_its_field(#[case] field: &str, #[case] value: Value, #[case] code: &str) {
+fn an_invalid_policy_is_reported_with_its_field(
+    #[case] field: &str,
+    #[case] value: Value,
+    #[case] code: &str,
+) {
     let folder = tempfile::tempdir().expect("a folder");
     let mut settings = gateway_settings(folder.path());
     settings["gateway"]["policy"] = json!({ field: value });
     let text = serde_yaml_ng::to_string(&settings).expect("YAML");
-    let output = run(folder.path(), &text);
+    let output = run_with_settings(folder.path(), &text);
     let errors = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success());
     assert!(
@@ -115,7 +123,7 @@
 #[rstest]
 #[case("processor_share", json!(0.0), "1004")]
 #[case("processor_share", json!("much"), "1001")]
-fn bad_gateway_settings_name_their_field(
+fn an_invalid_gateway_setting_is_reported_with_its_field(
     #[case] field: &str,
     #[case] value: Value,
     #[case] code: &str,
@@ -124,13 +132,13 @@
     let mut settings = gateway_settings(folder.path());
     settings["gateway"][field] = value;
     let text = serde_yaml_ng::to_string(&settings).expect("YAML");
-    let output = run(folder.path(), &text);
+    let output = run_with_settings(folder.path(), &text);
     let errors = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success());
     assert!(errors.contains(code) && errors.contains(field), "{errors}");
 }
 
-/// A deployment with the regions of its zones; the process lies in zone `a`.
+/// The process is in zone `a`.
 #[rstest]
 #[case::no_region(json!({ "zones": { "a": null } }), "1007", "topology.zones.a")]
 #[case::an_empty_region(json!({ "zones": { "a": "" } }), "1007", "topology.zones.a")]
@@ -141,7 +149,7 @@
 #[case::shorter_far(json!({ "round_trip_ms": { "other_region": 1.0 } }), "1004", "topology.round_trip_ms")]
 #[case::no_number(json!({ "round_trip_ms": { "same_region": "near" } }), "1001", "topology.round_trip_ms")]
 #[case::a_list(json!({ "zones": ["a"] }), "1001", "topology.zones")]
-fn a_bad_topology_names_its_field(
+fn an_invalid_topology_is_reported_with_its_field(
     #[case] topology: Value,
     #[case] code: &str,
     #[case] field: &str,
@@ -150,16 +158,16 @@
     let mut settings = settings(folder.path());
     settings["topology"] = topology;
     let text = serde_yaml_ng::to_string(&settings).expect("YAML");
-    let output = run(folder.path(), &text);
+    let output = run_with_settings(folder.path(), &text);
     let errors = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success());
     assert!(errors.contains(code) && errors.contains(field), "{errors}");
 }
 
 #[test]
-fn text_that_is_no_yaml_is_refused_with_its_place() {
+fn invalid_yaml_is_reported_with_its_line() {
     let folder = tempfile::tempdir().expect("a folder");
-    let output = run(folder.path(), "node: [");
+    let output = run_with_settings(folder.path(), "node: [");
     let errors = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
         errors.contains("1001") && errors.contains("line"),
@@ -173,11 +181,11 @@
 #[case("/operators")]
 fn a_port_in_use_stops_the_process(#[case] path: &str) {
     let folder = tempfile::tempdir().expect("a folder");
-    let taken = TcpListener::bind("127.0.0.1:0").expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let mut settings = settings(folder.path());
-    let address = taken.local_addr().expect("an address").to_string();
+    let address = listener.local_addr().expect("an address").to_string();
     *settings.pointer_mut(path).expect("a field") = json!(address);
-    stops_with(folder.path(), &settings, "5004");
+    assert_stops_with(folder.path(), &settings, "5004");
 }
 
 #[test]
@@ -185,7 +193,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("data"), "a file").expect("written");
     let settings = settings(folder.path());
-    stops_with(folder.path(), &settings, "5001");
+    assert_stops_with(folder.path(), &settings, "5001");
 }
 
 #[test]
@@ -201,11 +209,11 @@
         .stderr(Stdio::null())
         .spawn()
         .expect("started");
-    let locked = wait_until(Duration::from_secs(10), || {
+    let is_locked = wait_until(Duration::from_secs(10), || {
         folder.path().join("data/control/identity").exists()
     });
-    assert!(locked);
-    stops_with(folder.path(), &settings(folder.path()), "5006");
+    assert!(is_locked);
+    assert_stops_with(folder.path(), &settings(folder.path()), "5006");
     running.kill().expect("killed");
     running.wait().expect("ended");
 }
@@ -232,12 +240,12 @@
     body["revision"].as_u64()
 }
 
-/// The shell bounds the size of files, which a write meets as it would a full
-/// disk; the signal that comes with it is ignored.
-const BOUNDED: &str = "trap '' XFSZ; ulimit -f 24; exec \"$0\" --settings \"$1\"";
+/// Limits the size of files, so that a write fails as on a full disk; the signal of the limit is
+/// ignored.
+const FILE_SIZE_LIMIT_COMMAND: &str = "trap '' XFSZ; ulimit -f 24; exec \"$0\" --settings \"$1\"";
 
 #[test]
-fn a_write_that_fails_stops_the_process_and_loses_nothing_accepted() {
+fn a_failed_write_stops_the_process_and_loses_no_accepted_change() {
     let folder = tempfile::tempdir().expect("a folder");
     let settings = settings(folder.path());
     let operators = settings["operators"]
@@ -247,40 +255,42 @@
     let path = folder.path().join("settings.yaml");
     let text = serde_yaml_ng::to_string(&settings).expect("YAML");
     std::fs::write(&path, text).expect("written");
-    let mut bounded = Command::new("sh")
-        .args(["-c", BOUNDED])
+    let mut limited_process = Command::new("sh")
+        .args(["-c", FILE_SIZE_LIMIT_COMMAND])
         .arg(binary())
         .arg(&path)
         .stderr(Stdio::piped())
         .spawn()
         .expect("started");
-    let serves = || revision(&operators).is_some();
-    assert!(wait_until(Duration::from_secs(20), serves));
+    let is_serving = || revision(&operators).is_some();
+    assert!(wait_until(Duration::from_secs(20), is_serving));
     let mut accepted = 0;
     while change(&operators, accepted).is_some_and(|answer| answer["revision"] == accepted + 1) {
         accepted += 1;
         assert!(accepted < 5_000, "no write failed");
     }
     let output = wait_until(Duration::from_secs(20), || {
-        bounded.try_wait().is_ok_and(|status| status.is_some())
+        limited_process
+            .try_wait()
+            .is_ok_and(|status| status.is_some())
     });
-    assert!(output, "the process goes on after a failed write");
-    let output = bounded.wait_with_output().expect("output");
+    assert!(output, "the process continues after a failed write");
+    let output = limited_process.wait_with_output().expect("output");
     let errors = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success());
     assert!(errors.contains("5003"), "{errors}");
     assert!(accepted > 10, "{accepted}");
-    // With room again, all that was accepted is there.
-    let mut again = Command::new(binary())
+    // Without the limit, all accepted changes are recovered.
+    let mut restarted_process = Command::new(binary())
         .arg("--settings")
         .arg(&path)
         .stderr(Stdio::null())
         .spawn()
         .expect("started");
-    let back = wait_until(Duration::from_secs(20), || {
+    let is_recovered = wait_until(Duration::from_secs(20), || {
         revision(&operators) >= Some(accepted)
     });
-    again.kill().expect("killed");
-    again.wait().expect("ended");
-    assert!(back, "{accepted} changes were accepted");
+    restarted_process.kill().expect("killed");
+    restarted_process.wait().expect("ended");
+    assert!(is_recovered, "{accepted} changes were accepted");
 }
--- a/crates/daemon/tests/stops.rs
+++ b/crates/daemon/tests/stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops cut nothing, and a leaving back end gets nothing new.
+//! Graceful shutdowns interrupt no request, and leaving back ends get no new calls.
 
 mod common;
 
@@ -11,9 +11,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Keeps callers busy, each with entry points that it asked for itself and
-/// keeps for their lifetime, until `done`.
-fn keep_calling(bench: &Bench, done: &AtomicBool, replies: &Mutex<Vec<Reply>>) {
+/// Sends requests from several callers until `done`. Each caller requests entry points itself and
+/// uses them for their lifetime.
+fn send_requests_until_done(bench: &Bench, done: &AtomicBool, replies: &Mutex<Vec<Reply>>) {
     let addresses = bench.addresses();
     thread::scope(|scope| {
         for number in 0..6 {
@@ -36,22 +36,22 @@
 }
 
 #[test]
-fn a_planned_stop_cuts_no_request_and_refuses_no_unexpired_answer() {
+fn a_graceful_shutdown_interrupts_no_request_and_serves_unexpired_entry_points() {
     let mut options = ClusterOptions::new(4, 3);
     options.settings = json!({ "timing": { "entry_point_lifetime_ms": 1500 } });
     let mut bench = Bench::start(options);
-    // The leader of the control group stops, the worst to lose.
+    // The leader of the control group stops, which affects the cluster most.
     let leader = bench.cluster.leader("control").expect("a leader");
     let done = AtomicBool::new(false);
     let replies = Mutex::new(Vec::new());
     thread::scope(|scope| {
-        let bench_seen = &bench;
+        let running_bench = &bench;
         let (done, replies) = (&done, &replies);
-        scope.spawn(move || keep_calling(bench_seen, done, replies));
+        scope.spawn(move || send_requests_until_done(running_bench, done, replies));
         thread::sleep(Duration::from_millis(800));
-        bench_seen.cluster.terminate(leader);
+        running_bench.cluster.terminate(leader);
         let gone = wait_until(Duration::from_secs(30), || {
-            bench_seen.cluster.status(leader).is_none()
+            running_bench.cluster.status(leader).is_none()
         });
         assert!(gone, "the process did not stop");
         thread::sleep(Duration::from_millis(800));
@@ -67,12 +67,12 @@
 }
 
 #[test]
-fn a_leaving_back_end_gets_nothing_new_though_lists_lag() {
+fn a_leaving_back_end_gets_no_new_calls_though_machine_lists_lag() {
     let bench = Bench::start(ClusterOptions::new(3, 3));
     let leaving = bench.emulator.addresses["gate-1"].to_string();
     let done = AtomicBool::new(false);
     let platform = bench.emulator.platform.clone().expect("configured");
-    let runs_at_gate_1 = || {
+    let call_count_of_gate_1 = || {
         let runs = bench.emulator.run_log.records();
         runs.iter().filter(|run| run.service == "gate-1").count()
     };
@@ -92,31 +92,37 @@
             });
         }
         thread::sleep(Duration::from_millis(700));
-        assert!(runs_at_gate_1() > 0, "the gate was not used at all");
+        assert!(
+            call_count_of_gate_1() > 0,
+            "the back end got no call before it was marked as leaving"
+        );
         platform.set_leaving(&leaving, true);
-        let marked = Instant::now();
-        // Wait until its runs stand still for a second.
-        let mut last = (runs_at_gate_1(), Instant::now());
-        let quiet = wait_until(Duration::from_secs(15), || {
-            let now = runs_at_gate_1();
-            if now != last.0 {
-                last = (now, Instant::now());
+        let marked_at = Instant::now();
+        // Wait until the back end gets no call for a second.
+        let mut last_change = (call_count_of_gate_1(), Instant::now());
+        let has_stopped = wait_until(Duration::from_secs(15), || {
+            let now = call_count_of_gate_1();
+            if now != last_change.0 {
+                last_change = (now, Instant::now());
             }
-            last.1.elapsed() > Duration::from_secs(1)
+            last_change.1.elapsed() > Duration::from_secs(1)
         });
-        assert!(quiet, "the leaving back end still gets calls");
-        println!("last new call {:?} after the mark", last.1 - marked);
-        // Never again, though the slowest list lags behind the fastest.
-        let settled = runs_at_gate_1();
+        assert!(has_stopped, "the leaving back end still gets calls");
+        println!(
+            "last new call {:?} after it was marked as leaving",
+            last_change.1 - marked_at
+        );
+        // It must not get calls from nodes whose list lags behind either.
+        let final_count = call_count_of_gate_1();
         thread::sleep(Duration::from_secs(2));
-        assert_eq!(runs_at_gate_1(), settled);
+        assert_eq!(call_count_of_gate_1(), final_count);
         done.store(true, Ordering::Relaxed);
     });
     for node in 0..3 {
         let status = bench.cluster.status(node).expect("a status");
         assert_eq!(status["leaving_machines"], json!([leaving]));
     }
-    // Back on the list, it serves again.
+    // The nodes learn that it is no longer leaving.
     platform.set_leaving(&leaving, false);
     assert!(wait_until(Duration::from_secs(10), || {
         let status = bench.cluster.status(2).unwrap_or_default();
@@ -125,7 +131,7 @@
 }
 
 #[test]
-fn a_drained_back_end_gets_nothing_new_once_the_change_is_in_force() {
+fn a_draining_back_end_gets_no_calls_once_the_change_is_in_force() {
     let bench = Bench::start(ClusterOptions::new(3, 3));
     let address = bench.emulator.addresses["gate-1"].to_string();
     let drained = json!({ "backends": [
@@ -147,15 +153,18 @@
 }
 
 #[test]
-fn entry_points_name_no_process_that_is_gone() {
+fn entry_points_do_not_contain_a_killed_process() {
     let mut bench = Bench::start(ClusterOptions::new(4, 3));
     bench.cluster.kill(3);
     let gone = bench.cluster.nodes[3].callers;
-    let left = wait_until(Duration::from_secs(15), || {
+    let is_removed = wait_until(Duration::from_secs(15), || {
         let addresses = Caller::new(bench.addresses()).addresses();
         addresses.len() == 3 && !addresses.contains(&gone)
     });
-    assert!(left, "a killed process is still named");
+    assert!(
+        is_removed,
+        "a killed process is still among the entry points"
+    );
     bench.cluster.spawn(3).expect("started");
     assert!(bench.cluster.wait_for_usable(4));
 }
