--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -98,12 +98,12 @@
     }
 
     fn submit(&self, job: Job) -> io::Result<()> {
-        let reserved =
+        let reserved_thread =
             self.idle_threads
                 .fetch_update(Ordering::AcqRel, Ordering::Acquire, |idle_threads| {
                     idle_threads.checked_sub(1)
                 });
-        if reserved.is_err() {
+        if reserved_thread.is_err() {
             self.start_thread()?;
         }
         self.jobs.send(job).map_err(io::Error::other)
@@ -144,7 +144,7 @@
         match job {
             Job::Order { id, address, order } => {
                 let result = order::send(&self.agents, &address, &order);
-                let _ = self.events.send(Event::OrderSent { id, result });
+                let _ = self.events.send(Event::OrderAnswered { id, result });
             }
             Job::Probe(probe) => {
                 let answer = probe_connection(&probe.address);
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -132,9 +132,10 @@
             }
             return;
         }
-        let turn = (self.first_address_position + self.ticks as usize).checked_rem(addresses.len());
-        if let Some(turn) = turn.filter(|_| !has_all) {
-            self.send_hello_to_address(addresses[turn].clone());
+        let index =
+            (self.first_address_position + self.ticks as usize).checked_rem(addresses.len());
+        if let Some(index) = index.filter(|_| !has_all) {
+            self.send_hello_to_address(addresses[index].clone());
         }
     }
 
@@ -157,7 +158,7 @@
         }
     }
 
-    fn hello(&self, sent_to: String, has: Option<ContactsVersion>) -> PeerMessage {
+    fn hello_message(&self, sent_to: String, has: Option<ContactsVersion>) -> PeerMessage {
         let contact = self.directory.borrow().own().clone();
         PeerMessage::Discovery(DiscoveryMessage::Hello {
             contact,
@@ -172,8 +173,10 @@
             return;
         }
         let has = self.directory.borrow().contacts_version_at(&address);
-        let hello = self.hello(address.clone(), has);
-        self.outbox.borrow_mut().send_to_address(&address, hello);
+        let hello_message = self.hello_message(address.clone(), has);
+        self.outbox
+            .borrow_mut()
+            .send_to_address(&address, hello_message);
     }
 
     fn send(&self, to: &NodeName, message: DiscoveryMessage) {
@@ -183,8 +186,8 @@
 
     fn send_hello_to_node(&mut self, node: &NodeName) {
         let has = self.directory.borrow().contacts_version_of(node);
-        let hello = self.hello(String::new(), has);
-        self.outbox.borrow_mut().send(node, hello);
+        let hello_message = self.hello_message(String::new(), has);
+        self.outbox.borrow_mut().send(node, hello_message);
     }
 
     /// Probes replicating nodes without recent messages, and replaces connections that may
@@ -196,12 +199,14 @@
             if !replicating.contains(&node) || age < PROBE_AFTER_MS {
                 continue;
             }
-            let last = self
+            let last_reconnect = self
                 .last_reconnect_at
                 .get(&node)
                 .copied()
                 .unwrap_or_default();
-            if age >= RECONNECT_AFTER_MS && now.saturating_sub(last) >= MIN_RECONNECT_INTERVAL_MS {
+            if age >= RECONNECT_AFTER_MS
+                && now.saturating_sub(last_reconnect) >= MIN_RECONNECT_INTERVAL_MS
+            {
                 self.last_reconnect_at.insert(node.clone(), now);
                 self.outbox.borrow_mut().reconnect(&node);
                 log::info!(event = "peer_silent", node = node.as_str(), silence_ms = age; "reconnecting to a node that does not respond");
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -19,9 +19,9 @@
 /// An event for the main thread.
 pub enum Event {
     /// A message from a peer, or from this node to itself.
-    Peer(Envelope),
+    PeerMessage(Envelope),
     /// Writes of a group's replica were synced.
-    Synced {
+    WritesSynced {
         /// The group.
         group: GroupId,
         /// Number of oldest writes that were synced.
@@ -35,11 +35,11 @@
         error: StorageError,
     },
     /// A caller's pipeline request.
-    Caller(CallerRequest),
+    CallerRequest(CallerRequest),
     /// The caller of a request disconnected.
     CallerDisconnected(RequestNumber),
     /// A caller's request for entry points.
-    EntryPoints {
+    EntryPointsRequest {
         /// Preferred zone.
         zone: Option<String>,
         /// Sends the response.
@@ -78,7 +78,7 @@
         load: EngineLoad,
     },
     /// An order was answered by its engine, or failed.
-    OrderSent {
+    OrderAnswered {
         /// Identifier of the order.
         id: OrderId,
         /// Success, or the failure of the call.
@@ -87,7 +87,7 @@
     /// The platform's list of machines.
     MachineList(MachineList),
     /// An operator's request.
-    Operator {
+    OperatorRequest {
         /// The request.
         request: OperatorRequest,
         /// Receives the reply.
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -132,10 +132,10 @@
     fn handle(&mut self, event: Event) {
         let requests = self.actors.requests.as_ref();
         match event {
-            Event::Peer(envelope) => self.actors.deliver(envelope, clock::now()),
-            Event::Synced { group, count } => self.actors.synced(group, count),
+            Event::PeerMessage(envelope) => self.actors.deliver(envelope, clock::now()),
+            Event::WritesSynced { group, count } => self.actors.synced(group, count),
             Event::StorageFailed { group, error } => self.storage_failed(group, error),
-            Event::Caller(request) => {
+            Event::CallerRequest(request) => {
                 if let Some(requests) = requests {
                     call!([requests], request(request));
                 }
@@ -145,7 +145,7 @@
                     call!([requests], caller_gone(number));
                 }
             }
-            Event::EntryPoints { zone, responder } => {
+            Event::EntryPointsRequest { zone, responder } => {
                 let now = self.clock.millis(clock::now());
                 let settings = EntryPointSettings {
                     freshness_lease: self.settings.timing.freshness_lease_ms,
@@ -178,7 +178,7 @@
                 }
             }
             Event::EngineLoad { backend, load } => self.engine_load(backend, load),
-            Event::OrderSent { id, result } => {
+            Event::OrderAnswered { id, result } => {
                 if let Some(orders) = &self.actors.orders {
                     call!([orders], handle_answer(id, result));
                 }
@@ -187,7 +187,7 @@
                 let session = &self.actors.session;
                 call!([session], machine_list(list));
             }
-            Event::Operator { request, reply } => self.operator(request, reply),
+            Event::OperatorRequest { request, reply } => self.operator(request, reply),
             Event::Gateway(event) => {
                 if let Some(gateway) = &self.actors.gateway {
                     call!([gateway], event(event));
--- a/crates/daemon/src/node/start.rs
+++ b/crates/daemon/src/node/start.rs
@@ -152,7 +152,7 @@
         let events = self.events.clone();
         let notify = move |notice| {
             let event = match notice {
-                WriteNotice::Synced(count) => Event::Synced { group, count },
+                WriteNotice::Synced(count) => Event::WritesSynced { group, count },
                 WriteNotice::Failed(error) => Event::StorageFailed { group, error },
             };
             // Sending fails only while the process exits.
@@ -212,34 +212,40 @@
         .filter(|node| node.name != settings.node)
         .map(|node| (node.name.clone(), node.peer.clone()))
         .collect();
-    let received = events.clone();
-    let counted = metrics.clone();
+    let peer_events = events.clone();
+    let receive_metrics = metrics.clone();
     let receive = move |message: Result<Envelope, _>, bytes: usize| match message {
         Ok(envelope) => {
             let kind = envelope.message.kind();
-            counted.peer_received.with_label_values(&[kind]).inc();
-            counted
+            receive_metrics
+                .peer_received
+                .with_label_values(&[kind])
+                .inc();
+            receive_metrics
                 .peer_received_bytes
                 .with_label_values(&[kind])
                 .inc_by(bytes as u64);
-            let _ = received.send(Event::Peer(envelope));
+            let _ = peer_events.send(Event::PeerMessage(envelope));
         }
         Err(error) => {
-            counted.peer_received.with_label_values(&["rejected"]).inc();
+            receive_metrics
+                .peer_received
+                .with_label_values(&["rejected"])
+                .inc();
             log::warn!(event = "peer_message_rejected", code = ResultCode::PeerProtocol.number(); "{error}");
         }
     };
     let cluster = &settings.cluster.name;
     let transport = NngTransport::start(settings.peer_listen_address(), &peers, cluster, receive)
         .map_err(|error| NodeError::new(ResultCode::AddressInUse, error))?;
-    let loopback = events.clone();
+    let loopback_events = events.clone();
     let mut outbox = Outbox::new(
         cluster.clone(),
         settings.node.clone(),
         incarnation,
         Box::new(transport),
         Box::new(move |envelope| {
-            let _ = loopback.send(Event::Peer(envelope));
+            let _ = loopback_events.send(Event::PeerMessage(envelope));
         }),
         metrics.clone(),
     )
@@ -318,9 +324,9 @@
 
 fn start_signal_handler(events: EventSender) -> Result<(), NodeError> {
     use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
-    let failed = |error: std::io::Error| NodeError::new(ResultCode::InvalidSettings, error);
+    let signal_error = |error: std::io::Error| NodeError::new(ResultCode::InvalidSettings, error);
     let mut signals =
-        signal_hook::iterator::Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(failed)?;
+        signal_hook::iterator::Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(signal_error)?;
     std::thread::Builder::new()
         .name("signals".into())
         .spawn(move || {
@@ -335,23 +341,23 @@
             }
         })
         .map(drop)
-        .map_err(failed)
+        .map_err(signal_error)
 }
 
 /// Watches the settings file, as it may change without a signal to the process.
 fn start_settings_watcher(path: PathBuf, events: EventSender) -> Result<(), NodeError> {
-    let mut known = std::fs::read(&path).unwrap_or_default();
+    let mut last_content = std::fs::read(&path).unwrap_or_default();
     std::thread::Builder::new()
         .name("settings-watch".into())
         .spawn(move || loop {
             std::thread::sleep(SETTINGS_CHECK_INTERVAL);
-            let Ok(current) = std::fs::read(&path) else {
+            let Ok(content) = std::fs::read(&path) else {
                 continue;
             };
-            if current != known && events.send(Event::Reload).is_err() {
+            if content != last_content && events.send(Event::Reload).is_err() {
                 return;
             }
-            known = current;
+            last_content = content;
         })
         .map(drop)
         .map_err(|error| NodeError::new(ResultCode::InvalidSettings, error))
--- a/crates/daemon/src/replica/formation.rs
+++ b/crates/daemon/src/replica/formation.rs
@@ -61,7 +61,7 @@
     }
 
     /// Handles a reply to a probe. `initial_data` encodes the state machine's initial state.
-    pub fn on_reply(
+    pub fn handle_reply(
         &mut self,
         from: NodeName,
         replica: ReplicaId,
--- a/crates/daemon/src/replica/joining.rs
+++ b/crates/daemon/src/replica/joining.rs
@@ -84,7 +84,8 @@
         let machine = self.setup.state_machine.clone();
         let initial_data = || machine.borrow().snapshot();
         let mut random_generator = ChaCha8Rng::seed_from_u64(self.setup.seed);
-        let step = formation.on_reply(from, replica, formed, initial_data, &mut random_generator);
+        let step =
+            formation.handle_reply(from, replica, formed, initial_data, &mut random_generator);
         self.apply_formation_step(step, now);
     }
 
--- a/crates/daemon/src/replica/proposer.rs
+++ b/crates/daemon/src/replica/proposer.rs
@@ -38,14 +38,14 @@
     deadline: Instant,
     resend_at: Instant,
     /// Whether the last voter that replied knew no leader.
-    has_unknown_leader: bool,
+    is_leader_unknown: bool,
     ret: Ret<ProposalOutcome>,
 }
 
 impl OutstandingProposal {
     /// Time that the current target has to reply before the proposal is resent.
     fn resend_timeout(&self) -> Duration {
-        match self.has_unknown_leader {
+        match self.is_leader_unknown {
             true => RESEND_TIMEOUT_WITHOUT_LEADER,
             false => RESEND_TIMEOUT,
         }
@@ -106,7 +106,7 @@
             command,
             deadline: cx.now() + timeout,
             resend_at: cx.now() + RESEND_TIMEOUT,
-            has_unknown_leader: false,
+            is_leader_unknown: false,
             ret,
         };
         self.outstanding.insert(proposal, outstanding);
@@ -218,7 +218,7 @@
                 outstanding.resend_at = cx.now();
             }
             ProposalResult::NotLeader(Some(leader)) => {
-                outstanding.has_unknown_leader = false;
+                outstanding.is_leader_unknown = false;
                 outstanding.resend_at = cx.now() + RESEND_TIMEOUT;
                 let voters = self.directory.borrow().replicating_nodes();
                 if let Some(position) = voters.iter().position(|voter| *voter == leader) {
@@ -227,7 +227,7 @@
                 self.send(proposal);
             }
             ProposalResult::NotLeader(None) => {
-                outstanding.has_unknown_leader = true;
+                outstanding.is_leader_unknown = true;
                 outstanding.resend_at = cx.now() + NO_LEADER_RETRY_DELAY;
             }
         }
--- a/crates/daemon/src/rollout/clocks.rs
+++ b/crates/daemon/src/rollout/elapsed_times.rs
@@ -17,11 +17,11 @@
 /// from its own measurement and the duration of an election is included. Uncommitted time is lost
 /// only while no voter runs.
 #[derive(Debug, Default)]
-pub struct ElapsedClocks {
+pub struct ElapsedTimes {
     measurements: BTreeMap<RolloutNumber, Measurement>,
 }
 
-impl ElapsedClocks {
+impl ElapsedTimes {
     /// Follows the committed rollouts; a measurement behind the committed time is advanced to it.
     pub fn update(&mut self, rollouts: &Rollouts, now: Millis) {
         self.measurements.retain(|number, _| {
--- a/crates/daemon/src/rollout/leader.rs
+++ b/crates/daemon/src/rollout/leader.rs
@@ -2,7 +2,7 @@
 //! replica leads the control group. All voters measure the elapsed time, so that a new leader
 //! continues from where its predecessor was.
 
-use super::clocks::ElapsedClocks;
+use super::elapsed_times::ElapsedTimes;
 use super::progress::{progress_of, verdict_without_baseline};
 use super::recording::{set_response_gauges, RolloutRecorder};
 use crate::clock::Clock;
@@ -76,7 +76,7 @@
 /// Decides on the rollouts in progress on the leader of the control group.
 pub struct RolloutLeaderActor {
     setup: RolloutLeaderSetup,
-    clocks: ElapsedClocks,
+    elapsed_times: ElapsedTimes,
     recorder: RolloutRecorder,
     leadership: Option<Leadership>,
 }
@@ -87,7 +87,7 @@
         after!(TICK_INTERVAL, [cx], tick());
         Some(Self {
             setup,
-            clocks: ElapsedClocks::default(),
+            elapsed_times: ElapsedTimes::default(),
             recorder: RolloutRecorder::default(),
             leadership: None,
         })
@@ -136,15 +136,15 @@
     fn record_changes(&mut self, now: Millis) {
         let control_state = self.setup.control_state.borrow();
         let rollouts = &control_state.rollouts;
-        self.clocks.update(rollouts, now);
+        self.elapsed_times.update(rollouts, now);
         let evidence = self.setup.evidence.borrow();
         let log = self.leadership.is_some().then_some(&self.setup.log);
-        let clocks = &self.clocks;
+        let elapsed_times = &self.elapsed_times;
         self.recorder.record_changes(
             rollouts,
             log,
             |number| evidence.sum(number),
-            |number| clocks.elapsed(number, now).unwrap_or_default(),
+            |number| elapsed_times.elapsed(number, now).unwrap_or_default(),
         );
     }
 
@@ -165,7 +165,7 @@
             .filter(|rollout| needs_elapsed_time(rollout))
         {
             let number = rollout.number;
-            let elapsed_ms = self.clocks.elapsed(number, now).unwrap_or_default();
+            let elapsed_ms = self.elapsed_times.elapsed(number, now).unwrap_or_default();
             let command = RolloutCommand::Elapsed { number, elapsed_ms };
             let command = ControlCommand::Rollout(command).encode();
             let proposer = &self.setup.proposer;
@@ -213,7 +213,7 @@
             (table.sum(number), table.is_in_force(number, directive.step))
         };
         set_response_gauges(&self.setup.metrics, &rollout.order.service, &evidence);
-        let elapsed_ms = self.clocks.elapsed(number, now).unwrap_or_default();
+        let elapsed_ms = self.elapsed_times.elapsed(number, now).unwrap_or_default();
         let (progress, immediate_verdict) = {
             let state = self.setup.state.borrow();
             let listing = state.listing.as_deref();
--- a/crates/daemon/src/settings/gateway.rs
+++ b/crates/daemon/src/settings/gateway.rs
@@ -60,7 +60,7 @@
 
 /// Share of the leaving bound for which a read of the backend list is trusted. In the rest another
 /// node can take over from a failed reader, and read and distribute the list.
-const LEASE_SHARE: f64 = 2.0 / 3.0;
+const BACKEND_LIST_LEASE_SHARE: f64 = 2.0 / 3.0;
 /// Share of that lease after which a long list is read again, so that a failed read can be
 /// repeated within the lease.
 const LONG_LIST_INTERVAL_SHARE: f64 = 0.5;
@@ -68,7 +68,7 @@
 impl GatewaySettings {
     /// Time for which nodes trust a read of the backend list.
     pub fn backend_list_lease(&self) -> ListingLease {
-        let lease = (self.leaving_bound_ms as f64 * LEASE_SHARE) as u64;
+        let lease = (self.leaving_bound_ms as f64 * BACKEND_LIST_LEASE_SHARE) as u64;
         ListingLease(lease.max(LISTING_LEASE))
     }
 
--- a/crates/daemon/src/surface/callers.rs
+++ b/crates/daemon/src/surface/callers.rs
@@ -49,7 +49,7 @@
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let header = |name| request.header(name).map(str::to_owned);
         let (key, retry_token) = (header(IDEMPOTENCY_KEY_HEADER), header(RETRY_TOKEN_HEADER));
-        self.send(Event::Caller(CallerRequest {
+        self.send(Event::CallerRequest(CallerRequest {
             number,
             pipeline: pipeline.to_owned(),
             body: request.body,
@@ -101,7 +101,7 @@
             ("POST", Some(pipeline)) => return self.pipeline_request(pipeline, request, responder),
             ("GET", None) if path == ENTRY_POINTS_PATH => {
                 let zone = request.query.strip_prefix("zone=").map(str::to_owned);
-                self.send(Event::EntryPoints { zone, responder });
+                self.send(Event::EntryPointsRequest { zone, responder });
             }
             _ => {
                 let message = format!("no {} {path}", request.method);
--- a/crates/daemon/src/surface/operators.rs
+++ b/crates/daemon/src/surface/operators.rs
@@ -266,7 +266,7 @@
 
     fn forward(&self, request: OperatorRequest) -> OperatorReply {
         let (reply, answer) = sync_channel(1);
-        let sent = self.events.send(Event::Operator { request, reply });
+        let sent = self.events.send(Event::OperatorRequest { request, reply });
         let answered = sent
             .ok()
             .and_then(|()| answer.recv_timeout(REPLY_TIMEOUT).ok());
