--- a/crates/daemon/src/actors.rs
+++ b/crates/daemon/src/actors.rs
@@ -117,7 +117,7 @@
     control_state: Rc<RefCell<ControlState>>,
 }
 
-/// The actors of one node.
+/// Owns the actors of one node and dispatches messages to them.
 pub struct NodeActors {
     /// The replicas and the relay; none on a node that does not vote.
     pub voter: Option<VoterActors>,
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -131,7 +131,7 @@
         &self.topology
     }
 
-    /// This node's contact.
+    /// Contact under which other nodes reach this one.
     pub fn own(&self) -> &Contact {
         &self.known[&self.own].contact
     }
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -22,14 +22,14 @@
     PeerMessage(Envelope),
     /// Writes of a group's replica were synced.
     WritesSynced {
-        /// The group.
+        /// Replication group of the replica.
         group: GroupId,
         /// Number of oldest writes that were synced.
         count: usize,
     },
     /// A write to the storage failed; the process has to stop.
     StorageFailed {
-        /// The group.
+        /// Replication group of the replica.
         group: GroupId,
         /// Cause of the failure.
         error: StorageError,
@@ -65,12 +65,12 @@
     Token {
         /// Number of the attempt.
         attempt: u64,
-        /// Position in the stream.
+        /// Position of the token in the stream.
         sequence: u64,
         /// Text of the token.
         text: String,
     },
-    /// An engine's load report.
+    /// An engine reported its load and its loaded models.
     EngineLoad {
         /// Name of the engine.
         backend: BackendName,
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -62,7 +62,7 @@
     pub malformed_entries: IntCounterVec,
     /// Requests and phases, by distance to their back ends.
     pub work_by_distance: IntCounterVec,
-    /// Pieces in each batch call.
+    /// Number of pieces in each batch call.
     pub batch_size: Histogram,
     /// Accepted and dropped lines of the decision log, by class.
     pub decision_lines: IntGaugeVec,
--- a/crates/daemon/src/rollout/orders.rs
+++ b/crates/daemon/src/rollout/orders.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{} {}: {problem}", code.number(), code.reason())]
 pub struct RolloutRejection {
-    /// Numbered code.
+    /// Numbered result code.
     pub code: ResultCode,
     /// Explanation for the operator.
     pub problem: String,
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -82,7 +82,7 @@
     /// Intervals, timeouts and rates.
     #[serde(default)]
     pub timing: TimingSettings,
-    /// Logging.
+    /// Log level and destination of log lines.
     #[serde(default)]
     pub log: LogSettings,
 }
@@ -283,7 +283,7 @@
     }
 }
 
-/// Logging.
+/// Log level and destination of log lines.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
@@ -389,7 +389,7 @@
             .unwrap_or(&self.own_node().callers)
     }
 
-    /// Timing of the replication groups.
+    /// Heartbeat interval, election timeout and lease of the replication groups.
     pub fn consensus_config(&self) -> ConsensusConfig {
         let election_timeout = self.timing.election_timeout_ms;
         ConsensusConfig {
--- a/crates/daemon/src/surface/operators.rs
+++ b/crates/daemon/src/surface/operators.rs
@@ -93,9 +93,9 @@
 /// Response to an operator.
 #[derive(Debug)]
 pub struct OperatorReply {
-    /// HTTP status.
+    /// Status code of the HTTP response.
     pub status: u16,
-    /// JSON body.
+    /// Body of the response, encoded as JSON.
     pub body: Vec<u8>,
 }
 
