--- a/crates/daemon/src/gateway/actor.rs
+++ b/crates/daemon/src/gateway/actor.rs
@@ -15,7 +15,7 @@
 use crate::gateway::waiting_orders::WaitingOrders;
 use crate::metrics::Metrics;
 use crate::outbox::SharedOutbox;
-use crate::replica::{ProposerActor, SharedStatus};
+use crate::replica::{ProposerActor, SharedGroupStatus};
 use crate::rollout::RolloutActor;
 use crate::session::{RelayActor, SharedNodeState};
 use crate::settings::GatewaySettings;
@@ -70,7 +70,7 @@
     /// Distributes the backend list to all nodes; `None` on a node that is not a relay.
     pub relay: Option<Actor<RelayActor>>,
     /// Status of the local replica of the control group.
-    pub control: SharedStatus,
+    pub control: SharedGroupStatus,
     /// Adapters for the external protocols.
     pub protocols: Protocols,
     /// Makes calls to back ends.
@@ -205,7 +205,7 @@
 
     /// Sets the forwarder that triggers an immediate heartbeat.
     pub fn set_heartbeat_trigger(&mut self, _: CX![], heartbeat_trigger: Fwd<()>) {
-        self.crash_reporter.set_tell_at_once(heartbeat_trigger);
+        self.crash_reporter.set_heartbeat_trigger(heartbeat_trigger);
     }
 
     pub(super) fn tick(&mut self, cx: CX![]) {
@@ -307,7 +307,7 @@
         let open = self.dispatcher.open_requests() + self.batcher.order_and_call_counts().0;
         let metrics = &self.setup.metrics;
         metrics.gateway_requests.set(open as i64);
-        metrics.take_log_counts(&self.setup.log.counts());
+        metrics.set_log_counts(&self.setup.log.counts());
     }
 
     pub(super) fn handle_arrival(
@@ -324,7 +324,7 @@
         };
         self.open_requests.insert(number, open);
         for name in &call.stripped_headers {
-            let counter = &self.setup.metrics.withheld_headers;
+            let counter = &self.setup.metrics.stripped_headers;
             counter.with_label_values(&[name]).inc();
         }
         let is_refusing = self.setup.state.borrow().refusing;
--- a/crates/daemon/src/gateway/crashes.rs
+++ b/crates/daemon/src/gateway/crashes.rs
@@ -1,6 +1,6 @@
 //! Diagnosis of lost connections, and rejection of requests that crash back ends.
 
-use crate::crashes::Finding;
+use crate::crashes::DiagnosisProgress;
 use crate::gateway::actor::GatewayActor;
 use silversail_consensus::Millis;
 use silversail_decisions::Event as LogEvent;
@@ -10,15 +10,15 @@
 impl GatewayActor {
     /// Handles lost connections to a back end, which is probed to find out whether it crashed.
     pub(super) fn handle_connection_loss(&mut self, connection_loss: ConnectionLoss, now: Millis) {
-        match self.crash_reporter.broke_off(connection_loss, now) {
-            Finding::Ask(probe) => self.setup.calls.probe(probe),
-            Finding::Pending => {}
-            Finding::Known(diagnosis) => self.handle_diagnosis(&diagnosis, now),
+        match self.crash_reporter.connection_lost(connection_loss, now) {
+            DiagnosisProgress::Probe(probe) => self.setup.calls.probe(probe),
+            DiagnosisProgress::Pending => {}
+            DiagnosisProgress::Complete(diagnosis) => self.handle_diagnosis(&diagnosis, now),
         }
     }
 
     pub(super) fn handle_probe_result(&mut self, instance: &str, result: ProbeResult, now: Millis) {
-        if let Some(diagnosis) = self.crash_reporter.probed(instance, result) {
+        if let Some(diagnosis) = self.crash_reporter.probe_finished(instance, result) {
             self.handle_diagnosis(&diagnosis, now);
         }
     }
@@ -34,7 +34,7 @@
             fingerprints: sends.map(|send| send.fingerprint.to_string()).collect(),
         });
         let quarantine = &mut self.dispatcher.quarantine;
-        if self.crash_reporter.report(diagnosis, quarantine, now) {
+        if self.crash_reporter.report_crash(diagnosis, quarantine, now) {
             self.reject_quarantined(now);
         }
     }
@@ -52,7 +52,8 @@
         let fingerprint = self.dispatcher.fingerprint_of(number);
         if let Some(fingerprint) = fingerprint.filter(|_| is_success) {
             let quarantine = &mut self.dispatcher.quarantine;
-            self.crash_reporter.ended_well(fingerprint, quarantine);
+            self.crash_reporter
+                .request_completed(fingerprint, quarantine);
         }
     }
 
--- a/crates/daemon/src/gateway/notices.rs
+++ b/crates/daemon/src/gateway/notices.rs
@@ -32,7 +32,7 @@
     }
 
     fn count_withheld(&self, reason: UnavailableReason, path: ExchangeKind) {
-        let counter = &self.metrics.sends_withheld;
+        let counter = &self.metrics.unavailable_sends;
         let labels = [reason.name(), path.name()];
         counter.with_label_values(&labels).inc();
     }
--- a/crates/daemon/src/gateway/request_sender.rs
+++ b/crates/daemon/src/gateway/request_sender.rs
@@ -94,7 +94,7 @@
         plan: &SendPlan,
         callbacks: StreamCallbacks,
     ) -> SendResult {
-        let deadline = clock::steady(self.clock.instant(plan.end));
+        let deadline = clock::to_monotonic(self.clock.instant(plan.end));
         let result = timeout_at(
             deadline.into(),
             self.try_send(request, id, plan, callbacks, deadline),
--- a/crates/daemon/src/gateway/send_metrics.rs
+++ b/crates/daemon/src/gateway/send_metrics.rs
@@ -42,7 +42,7 @@
     /// Counts a batch call by the version of its back end.
     pub(super) fn count_call_start(&mut self, call: &BatchCall) {
         let pieces = call.pieces.len() as f64;
-        self.setup.metrics.batch_pieces.observe(pieces);
+        self.setup.metrics.batch_size.observe(pieces);
         let failure_counter = self.count_version(&call.service, &call.version);
         self.call_failure_counters
             .insert(call.call, failure_counter);
--- a/crates/daemon/src/gateway/surface.rs
+++ b/crates/daemon/src/gateway/surface.rs
@@ -1,6 +1,6 @@
 //! HTTP service for operators, readiness checks and entry-point lookups.
 
-use crate::evacuation::ZoneOrder;
+use crate::evacuation::EvacuationRequest;
 use crate::event::{Event, EventSender};
 use crate::gateway::entry_points::EntryPointLookup;
 use crate::gateway::event::{GatewayEvent, SurfaceReply, SurfaceRequest};
@@ -78,7 +78,7 @@
                 return refusal_response(ResultCode::UnexpectedBody);
             }
             Some(SurfaceCall::Evacuate { zone, evacuated }) => {
-                SurfaceRequest::Evacuate(ZoneOrder { zone, evacuated })
+                SurfaceRequest::Evacuate(EvacuationRequest { zone, evacuated })
             }
             Some(SurfaceCall::BeginRollout) if request.body.len() > MAX_ROLLOUT_ORDER_BYTES => {
                 return refusal_response(ResultCode::BodyTooLarge);
--- a/crates/daemon/src/gateway/surface_requests.rs
+++ b/crates/daemon/src/gateway/surface_requests.rs
@@ -1,6 +1,6 @@
 //! Handling of requests from operators, the platform and callers that look up entry points.
 
-use crate::evacuation::OrderCaller;
+use crate::evacuation::EvacuationCaller;
 use crate::gateway::actor::GatewayActor;
 use crate::gateway::entry_points::{choose_entry_points, EntryPointLookup};
 use crate::gateway::event::{SurfaceReply, SurfaceRequest};
@@ -23,7 +23,7 @@
 /// An operator who waits for an answer on the platform surface.
 struct SurfaceCaller(oneshot::Sender<SurfaceReply>);
 
-impl OrderCaller for SurfaceCaller {
+impl EvacuationCaller for SurfaceCaller {
     fn is_waiting(&self) -> bool {
         !self.0.is_closed()
     }
@@ -65,7 +65,7 @@
             }
             SurfaceRequest::Evacuate(order) => {
                 let caller = Box::new(SurfaceCaller(reply));
-                call!([self.setup.evacuation], order(order, caller));
+                call!([self.setup.evacuation], submit(order, caller));
                 return;
             }
             SurfaceRequest::BeginRollout(order) => {
--- a/crates/daemon/src/node/start.rs
+++ b/crates/daemon/src/node/start.rs
@@ -1,9 +1,9 @@
-//! How a process starts: data folder, sockets, actors, surfaces, pollers.
+//! Start of a process: data folder, sockets, actors, APIs and pollers.
 
 use super::{Node, NodeError, NodeParts};
-use crate::actors::{ActorBuilder, ActorContext, GatewayPorts, Platform, ReplicaFiles};
-use crate::calls::{CallRunner, Calls, OrderSender};
-use crate::clock::{self, wall_clock_ms, Clock, SuspensionWatch};
+use crate::actors::{ActorBuilder, ActorContext, GatewayPorts, OpenedReplica, Platform};
+use crate::calls::{CallThreadPool, OrderSender, StageCalls};
+use crate::clock::{self, wall_clock_ms, Clock, SuspensionMonitor};
 use crate::event::{Event, EventSender};
 use crate::gateway::calls::RuntimeCalls;
 use crate::gateway::notices::NoticeRecorder;
@@ -34,13 +34,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Interval at which the settings file is looked at.
-const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval at which the settings file is checked for changes.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Starts a process.
+/// Starts all components of a process.
 pub(super) fn start(parts: NodeParts) -> Result<Node, NodeError> {
     let settings = Arc::new(parts.settings);
-    let suspension_watch = SuspensionWatch::start();
+    let suspension_monitor = SuspensionMonitor::start();
     let now = clock::now();
     let (events, receiver) = channel();
     let metrics = Arc::new(Metrics::new());
@@ -78,7 +78,7 @@
     let mut platform = ProcessPlatform {
         data_folder: settings.data_folder.clone().unwrap_or_default(),
         events: events.clone(),
-        calls: CallRunner::new(agents.clone(), stage_listener.clone(), events.clone()),
+        calls: CallThreadPool::new(agents.clone(), stage_listener.clone(), events.clone()),
         gateway: gateway.as_ref().map(|gateway| gateway.calls()),
         protocols: parts.protocols,
         notices,
@@ -100,9 +100,9 @@
     let server = serve_callers(&settings, &events, &metrics)?;
     serve_operators(&settings, &events, &metrics)?;
     let engine_targets = start_pollers(&settings, &events, agents, &stage_listener);
-    listen_to_signals(events.clone())?;
+    start_signal_handler(events.clone())?;
     if settings.discovery.is_some() {
-        watch_settings(parts.settings_path.clone(), events)?;
+        start_settings_watcher(parts.settings_path.clone(), events)?;
     }
     log.record(LogEvent::Started {
         version: env!("CARGO_PKG_VERSION").to_owned(),
@@ -120,47 +120,47 @@
         stop: None,
         server: Rc::new(server),
         engine_targets,
-        polled_state: None,
+        poll_targets_source: None,
         failure: None,
         directory,
         settings_path: parts.settings_path,
         gateway: gateway.map(Rc::new),
-        suspension_watch,
+        suspension_monitor,
         log,
         notices: all_notices,
         _lock: lock,
     })
 }
 
-/// Disks and threads of a real process.
+/// The [`Platform`] of a real process: its disk and threads.
 struct ProcessPlatform {
     data_folder: PathBuf,
     events: EventSender,
-    calls: CallRunner,
+    calls: CallThreadPool,
     gateway: Option<RuntimeCalls>,
     protocols: Protocols,
     notices: BackendNotices,
 }
 
 impl Platform for ProcessPlatform {
-    fn open_replica(&mut self, group: GroupId) -> Result<ReplicaFiles, NodeError> {
+    fn open_replica(&mut self, group: GroupId) -> Result<OpenedReplica, NodeError> {
         let folder = self.data_folder.join(group.to_string());
         let opened = ReplicaStore::open(&folder, || ReplicaId(rand::random()))?;
         if opened.torn_bytes > 0 {
-            log::warn!(event = "torn_tail", group = group.to_string().as_str(), bytes = opened.torn_bytes; "an unfinished write was cut off the log");
+            log::warn!(event = "torn_tail", group = group.to_string().as_str(), bytes = opened.torn_bytes; "removed an incomplete write from the end of the log");
         }
         let events = self.events.clone();
         let notify = move |notice| {
             let event = match notice {
-                WriteNotice::Synced(count) => Event::Synced { group, count },
+                WriteNotice::Synced(count) => Event::WritesSynced { group, count },
                 WriteNotice::Failed(error) => Event::StorageFailed { group, error },
             };
-            // The main thread is gone only when the process ends.
+            // Sending fails only while the process exits.
             let _ = events.send(event);
         };
         let queue = WriteQueue::start(opened.store, notify)
             .map_err(|error| NodeError::new(ResultCode::DataFolder, error))?;
-        Ok(ReplicaFiles {
+        Ok(OpenedReplica {
             identity: opened.identity,
             stored: opened.state,
             writer: Box::new(StorageWriter(queue)),
@@ -171,7 +171,7 @@
         rand::random()
     }
 
-    fn calls(&self) -> Option<Box<dyn Calls>> {
+    fn calls(&self) -> Option<Box<dyn StageCalls>> {
         Some(Box::new(self.calls.clone()))
     }
 
@@ -212,40 +212,46 @@
         .filter(|node| node.name != settings.node)
         .map(|node| (node.name.clone(), node.peer.clone()))
         .collect();
-    let received = events.clone();
-    let counted = metrics.clone();
+    let peer_events = events.clone();
+    let receive_metrics = metrics.clone();
     let receive = move |message: Result<Envelope, _>, bytes: usize| match message {
         Ok(envelope) => {
             let kind = envelope.message.kind();
-            counted.peer_received.with_label_values(&[kind]).inc();
-            counted
+            receive_metrics
+                .peer_received
+                .with_label_values(&[kind])
+                .inc();
+            receive_metrics
                 .peer_received_bytes
                 .with_label_values(&[kind])
                 .inc_by(bytes as u64);
-            let _ = received.send(Event::Peer(envelope));
+            let _ = peer_events.send(Event::PeerMessage(envelope));
         }
         Err(error) => {
-            counted.peer_received.with_label_values(&["rejected"]).inc();
+            receive_metrics
+                .peer_received
+                .with_label_values(&["rejected"])
+                .inc();
             log::warn!(event = "peer_message_rejected", code = ResultCode::PeerProtocol.number(); "{error}");
         }
     };
     let cluster = &settings.cluster.name;
     let transport = NngTransport::start(settings.peer_listen_address(), &peers, cluster, receive)
         .map_err(|error| NodeError::new(ResultCode::AddressInUse, error))?;
-    let loopback = events.clone();
+    let loopback_events = events.clone();
     let mut outbox = Outbox::new(
         cluster.clone(),
         settings.node.clone(),
         incarnation,
         Box::new(transport),
         Box::new(move |envelope| {
-            let _ = loopback.send(Event::Peer(envelope));
+            let _ = loopback_events.send(Event::PeerMessage(envelope));
         }),
         metrics.clone(),
     )
     .with_topology(topology);
     for node in &settings.cluster.nodes {
-        outbox.place(&node.name, &node.zone);
+        outbox.set_zone(&node.name, &node.zone);
     }
     Ok(Rc::new(RefCell::new(outbox)))
 }
@@ -293,7 +299,7 @@
 ) -> EngineTargets {
     let targets = EngineTargets::default();
     if settings.gateway.is_some() {
-        // The gateway's engines tell their loads with their answers.
+        // The gateway's back ends report their loads with their answers.
         return targets;
     }
     let timing = &settings.timing;
@@ -316,11 +322,11 @@
     targets
 }
 
-fn listen_to_signals(events: EventSender) -> Result<(), NodeError> {
+fn start_signal_handler(events: EventSender) -> Result<(), NodeError> {
     use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
-    let failed = |error: std::io::Error| NodeError::new(ResultCode::InvalidSettings, error);
+    let signal_error = |error: std::io::Error| NodeError::new(ResultCode::InvalidSettings, error);
     let mut signals =
-        signal_hook::iterator::Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(failed)?;
+        signal_hook::iterator::Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(signal_error)?;
     std::thread::Builder::new()
         .name("signals".into())
         .spawn(move || {
@@ -335,23 +341,23 @@
             }
         })
         .map(drop)
-        .map_err(failed)
+        .map_err(signal_error)
 }
 
-/// Tells when the settings file changed: that may come without a signal.
-fn watch_settings(path: PathBuf, events: EventSender) -> Result<(), NodeError> {
-    let mut known = std::fs::read(&path).unwrap_or_default();
+/// Watches the settings file, as it may change without a signal to the process.
+fn start_settings_watcher(path: PathBuf, events: EventSender) -> Result<(), NodeError> {
+    let mut last_content = std::fs::read(&path).unwrap_or_default();
     std::thread::Builder::new()
         .name("settings-watch".into())
         .spawn(move || loop {
-            std::thread::sleep(SETTINGS_INTERVAL);
-            let Ok(now) = std::fs::read(&path) else {
+            std::thread::sleep(SETTINGS_CHECK_INTERVAL);
+            let Ok(content) = std::fs::read(&path) else {
                 continue;
             };
-            if now != known && events.send(Event::Reload).is_err() {
+            if content != last_content && events.send(Event::Reload).is_err() {
                 return;
             }
-            known = now;
+            last_content = content;
         })
         .map(drop)
         .map_err(|error| NodeError::new(ResultCode::InvalidSettings, error))
--- a/crates/daemon/src/replica/mod.rs
+++ b/crates/daemon/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! The replicas that a process holds, and the way to propose to a group.
+//! Replicas of the replication groups, and the proposer that sends commands to a group.
 
 pub mod actor;
 pub mod formation;
@@ -12,4 +12,4 @@
 pub use actor::{ReplicaActor, ReplicaSetup};
 pub use log_writer::{LogWriter, StorageWriter};
 pub use proposer::{ProposalOutcome, ProposerActor};
-pub use status::{GroupStatus, SharedStatus};
+pub use status::{GroupStatus, SharedGroupStatus};
--- a/crates/daemon/src/requests/accept.rs
+++ b/crates/daemon/src/requests/accept.rs
@@ -122,7 +122,7 @@
 
     /// Sends an error answer.
     pub(crate) fn respond_refusal(&self, responder: Responder, code: ResultCode, body: &ErrorBody) {
-        let (head, bytes) = crate::surface::refusal_response(code, body);
+        let (head, bytes) = crate::surface::error_response(code, body);
         responder.respond(head, bytes);
     }
 
--- a/crates/daemon/src/requests/actor.rs
+++ b/crates/daemon/src/requests/actor.rs
@@ -1,6 +1,6 @@
 //! The actor of the request path: its state and entry points.
 
-use crate::calls::Calls;
+use crate::calls::StageCalls;
 use crate::clock::Clock;
 use crate::crashes::CrashReporter;
 use crate::metrics::Metrics;
@@ -38,7 +38,7 @@
     /// Proposers to the ledger groups, by group number.
     pub ledgers: Vec<Actor<ProposerActor>>,
     /// Starts back-end calls, cancellations and probes.
-    pub calls: Box<dyn Calls>,
+    pub calls: Box<dyn StageCalls>,
     /// Metrics of the process.
     pub metrics: Arc<Metrics>,
     /// State that back ends report about themselves in answers, by address.
--- a/crates/daemon/src/requests/crashes.rs
+++ b/crates/daemon/src/requests/crashes.rs
@@ -1,7 +1,7 @@
 //! Pipeline requests that crash back ends: evidence of crashes, and quarantine. See
 //! `silversail_quarantine`.
 
-use crate::crashes::Finding;
+use crate::crashes::DiagnosisProgress;
 use crate::requests::active::RequestNumber;
 use crate::requests::actor::{OutstandingCall, RequestActor};
 use silversail_consensus::Millis;
@@ -11,7 +11,7 @@
 impl RequestActor {
     /// Sets the trigger that sends a heartbeat at once, so that crashes are reported without delay.
     pub fn set_heartbeat_trigger(&mut self, _: CX![], tell_at_once: Fwd<()>) {
-        self.crashes.set_tell_at_once(tell_at_once);
+        self.crashes.set_heartbeat_trigger(tell_at_once);
     }
 
     /// Whether the request is quarantined because it crashes back ends.
@@ -34,17 +34,17 @@
                 fingerprint: request.fingerprint,
             }],
         };
-        match self.crashes.broke_off(broken, now) {
-            Finding::Ask(probe) => self.setup.calls.probe(probe),
-            Finding::Pending => {}
-            Finding::Known(diagnosis) => self.apply_diagnosis(&diagnosis, now),
+        match self.crashes.connection_lost(broken, now) {
+            DiagnosisProgress::Probe(probe) => self.setup.calls.probe(probe),
+            DiagnosisProgress::Pending => {}
+            DiagnosisProgress::Complete(diagnosis) => self.apply_diagnosis(&diagnosis, now),
         }
     }
 
     /// Handles the result of a probe.
     pub fn probe_finished(&mut self, cx: CX![], backend: String, answer: ProbeResult) {
         let now = self.now_millis(cx);
-        if let Some(diagnosis) = self.crashes.probed(&backend, answer) {
+        if let Some(diagnosis) = self.crashes.probe_finished(&backend, answer) {
             self.apply_diagnosis(&diagnosis, now);
         }
         self.dispatch_and_update_gauges(cx);
@@ -53,7 +53,8 @@
     fn apply_diagnosis(&mut self, diagnosis: &Diagnosis, now: Millis) {
         let cause = diagnosis.answer.cause();
         log::info!(event = "broke_off", backend = diagnosis.instance.as_str(), cause = cause, calls = diagnosis.sends.len(); "connections to a back end were lost");
-        self.crashes.report(diagnosis, &mut self.quarantine, now);
+        self.crashes
+            .report_crash(diagnosis, &mut self.quarantine, now);
     }
 
     /// Applies the quarantine list of the node state.
--- a/crates/daemon/src/session/relay.rs
+++ b/crates/daemon/src/session/relay.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::directory::SharedDirectory;
 use crate::outbox::SharedOutbox;
-use crate::replica::SharedStatus;
+use crate::replica::SharedGroupStatus;
 use crate::session::large_updates::{LargeUpdateTracker, UpdateKind};
 use crate::session::node_state::BackendListLease;
 use crate::session::relay_backend_list::HeldBackendList;
@@ -48,7 +48,7 @@
     /// Replicated state of the control group.
     pub machine: Rc<RefCell<ControlState>>,
     /// Status of this node's replica of the control group.
-    pub status: SharedStatus,
+    pub status: SharedGroupStatus,
     /// Queue of outgoing peer messages.
     pub outbox: SharedOutbox,
     /// Time without a heartbeat after which a node is removed from the view, in milliseconds.
@@ -177,7 +177,7 @@
         let services = batched_services(&control);
         drop((control, evidence, crash_table));
         let directory = self.setup.directory.borrow();
-        let replicating = directory.replicating();
+        let replicating = directory.replicating_nodes();
         let own_node = &directory.own().node;
         let topology = &self.setup.topology;
         membership_table.assign_services(
@@ -203,7 +203,7 @@
         let update = self.view_history.update_since(former_version, &self.view);
         let mut outbox = self.setup.outbox.borrow_mut();
         let own_node = outbox.node().clone();
-        let relays = self.setup.directory.borrow().replicating();
+        let relays = self.setup.directory.borrow().replicating_nodes();
         for relay in relays.iter().filter(|relay| **relay != own_node) {
             let message = SessionMessage::View(update.clone());
             outbox.send(relay, PeerMessage::Session(message));
@@ -410,7 +410,7 @@
     pub(super) fn send_to_other_relays(&self, message: SessionMessage) {
         let mut outbox = self.setup.outbox.borrow_mut();
         let own_node = outbox.node().clone();
-        let relays = self.setup.directory.borrow().replicating();
+        let relays = self.setup.directory.borrow().replicating_nodes();
         for relay in relays.iter().filter(|relay| **relay != own_node) {
             outbox.send(relay, PeerMessage::Session(message.clone()));
         }
--- a/crates/daemon/tests/list_reader.rs
+++ b/crates/daemon/tests/list_reader.rs
@@ -168,7 +168,7 @@
     #[case] lease_ms: u64,
 ) {
     let settings = gateway_settings(leaving_bound_ms);
-    assert_eq!(settings.listing_lease(), BackendListLease(lease_ms));
+    assert_eq!(settings.backend_list_lease(), BackendListLease(lease_ms));
     let interval = settings.long_list_interval().as_millis() as u64;
     // With jitter of the interval, the read itself and a heartbeat.
     assert!(interval * 13 / 10 + 300 + 400 <= lease_ms, "{interval} ms");
@@ -180,7 +180,7 @@
     #[values(3_000, 4_000, 5_000)] leaving_bound_ms: u64,
 ) {
     const READ_AND_DISTRIBUTE_MS: u64 = 800;
-    let lease = gateway_settings(leaving_bound_ms).listing_lease();
+    let lease = gateway_settings(leaving_bound_ms).backend_list_lease();
     let input = ListReaderInput {
         lease,
         ..reader_input(
