--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -54,7 +54,10 @@
         ..ClusterOptions::new(5, 3)
     };
     let mut bench = Bench::start(options);
-    bench.emulator.faults("gate-2").set_mode(FaultMode::Cut);
+    bench
+        .emulator
+        .faults("gate-2")
+        .set_mode(FaultMode::CloseConnection);
     let records = Mutex::new(Vec::new());
     let done = AtomicBool::new(false);
     let Bench { emulator, cluster } = bench;
@@ -69,14 +72,14 @@
                 let mut cluster = cluster.lock().expect("not poisoned");
                 match step % 3 {
                     0 => cluster.kill(position),
-                    1 => cluster.set_all_links(position, LinkFault::silent()),
+                    1 => cluster.set_all_links(position, LinkFault::black_hole()),
                     _ => cluster.freeze(position),
                 }
                 thread::sleep(Duration::from_millis(1_200));
                 match step % 3 {
                     0 => cluster.spawn(position).expect("started"),
                     1 => cluster.set_all_links(position, LinkFault::default()),
-                    _ => cluster.thaw(position),
+                    _ => cluster.resume(position),
                 }
                 thread::sleep(Duration::from_millis(600));
                 step += 1;
--- a/crates/daemon/tests/configuration.rs
+++ b/crates/daemon/tests/configuration.rs
@@ -61,7 +61,7 @@
         revisions.len() == 5
     });
     assert!(older, "not all processes came back");
-    assert!(cluster.log_of(0).contains("torn_tail"));
+    assert!(cluster.log_text(0).contains("torn_tail"));
 }
 
 #[test]
@@ -187,7 +187,7 @@
     accept(&cluster, 0, 0);
     assert!(cluster.wait_for_revision(1));
     let leader = cluster.leader("control").expect("a leader");
-    cluster.set_all_links(leader, LinkFault::silent());
+    cluster.set_all_links(leader, LinkFault::black_hole());
     let others: Vec<usize> = (0..5).filter(|position| *position != leader).collect();
     assert!(
         wait_until(Duration::from_secs(20), || {
@@ -296,7 +296,11 @@
         .wait_for_exit(0, Duration::from_secs(10))
         .expect("it stops");
     assert!(!status.success());
-    assert!(cluster.log_of(0).contains("5002"), "{}", cluster.log_of(0));
+    assert!(
+        cluster.log_text(0).contains("5002"),
+        "{}",
+        cluster.log_text(0)
+    );
     // The others go on.
     accept(&cluster, 1, 5);
 }
--- a/crates/daemon/tests/orders.rs
+++ b/crates/daemon/tests/orders.rs
@@ -188,7 +188,7 @@
         emulator.orders.records().len() >= 2
     });
     assert!(ordering);
-    cluster.thaw(former);
+    cluster.resume(former);
     assert!(
         wait_for_holders(&emulator, 3, 1),
         "{:?}",
--- a/crates/daemon/tests/requests.rs
+++ b/crates/daemon/tests/requests.rs
@@ -43,7 +43,10 @@
         ..call("chat", key)
     };
     for engine in ["engine-1", "engine-2"] {
-        bench.emulator.faults(engine).set_mode(FaultMode::Cut);
+        bench
+            .emulator
+            .faults(engine)
+            .set_mode(FaultMode::CloseConnection);
     }
     for attempt in 0..6 {
         let reply = caller.call(&options(&format!("cut-{attempt}")), attempt, 1);
@@ -71,11 +74,11 @@
 }
 
 #[rstest]
-#[case(FaultMode::Garbage)]
+#[case(FaultMode::MalformedBody)]
 #[case(FaultMode::WrongAttempt)]
 #[case(FaultMode::Error)]
-#[case(FaultMode::Cut)]
-#[case(FaultMode::Refuse)]
+#[case(FaultMode::CloseConnection)]
+#[case(FaultMode::Reject)]
 fn a_repeatable_stage_goes_elsewhere_when_a_back_end_answers_badly(#[case] mode: FaultMode) {
     let bench = three();
     bench.emulator.faults("encoder-1").set_mode(mode);
@@ -102,11 +105,11 @@
 }
 
 #[rstest]
-#[case(FaultMode::Garbage, "unknown", 3101)]
+#[case(FaultMode::MalformedBody, "unknown", 3101)]
 #[case(FaultMode::WrongAttempt, "unknown", 3101)]
-#[case(FaultMode::Cut, "unknown", 3101)]
+#[case(FaultMode::CloseConnection, "unknown", 3101)]
 #[case(FaultMode::Error, "failed", 3001)]
-#[case(FaultMode::Refuse, "not_run", 2111)]
+#[case(FaultMode::Reject, "not_run", 2111)]
 fn a_call_that_may_not_be_repeated_is_never_sent_again(
     #[case] mode: FaultMode,
     #[case] outcome: &str,
@@ -142,7 +145,7 @@
 fn a_refused_key_runs_again_only_for_a_caller_who_saw_the_refusal() {
     let bench = three();
     for gate in ["gate-1", "gate-2"] {
-        bench.emulator.faults(gate).set_mode(FaultMode::Refuse);
+        bench.emulator.faults(gate).set_mode(FaultMode::Reject);
     }
     let caller = bench.caller();
     let mut options = call("open", "retry");
--- a/crates/daemon/tests/resting_backends.rs
+++ b/crates/daemon/tests/resting_backends.rs
@@ -9,7 +9,9 @@
 use rstest::rstest;
 use serde_json::{json, Value};
 use silversail_testbed::cluster::wait_until;
-use silversail_testbed::emulate::conduct::{ConductConfig, LimitConfig, ShedConfig};
+use silversail_testbed::emulate::behavior::{
+    AdvertisedLimitConfig, BehaviorConfig, LoadSheddingConfig,
+};
 use silversail_testbed::ClusterOptions;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -198,14 +200,14 @@
 fn told_in_answers_a_pipelines_engine_rests_for_as_long_as_it_asked() {
     const LENGTH: Duration = Duration::from_secs(4);
     let bench = Bench::start(ClusterOptions::new(3, 3));
-    bench.emulator.faults["engine-1"].set_conduct(ConductConfig {
-        sheds: vec![ShedConfig {
+    bench.emulator.faults["engine-1"].set_behavior(BehaviorConfig {
+        sheds: vec![LoadSheddingConfig {
             from_ms: 0,
             for_ms: 1_000,
             percent: 100,
             rest_ms: Some(LENGTH.as_millis() as u64),
         }],
-        ..ConductConfig::default()
+        ..BehaviorConfig::default()
     });
     let was_turned_away = |seen: &[(String, u64)]| seen.iter().any(|(_, tries)| *tries > 1);
     let until_asked = generations(&bench, was_turned_away);
@@ -224,9 +226,9 @@
 #[test]
 fn told_in_answers_a_pipelines_engine_that_leaves_gets_no_generation() {
     let bench = Bench::start(ClusterOptions::new(3, 3));
-    bench.emulator.faults["engine-1"].set_conduct(ConductConfig {
+    bench.emulator.faults["engine-1"].set_behavior(BehaviorConfig {
         leaves_after_ms: Some(0),
-        ..ConductConfig::default()
+        ..BehaviorConfig::default()
     });
     let began = Instant::now();
     let seen = generations(&bench, |_| began.elapsed() > Duration::from_secs(4));
@@ -240,13 +242,13 @@
 #[test]
 fn a_limit_that_a_pipelines_engine_names_is_told_to_operators() {
     let bench = Bench::start(ClusterOptions::new(3, 3));
-    bench.emulator.faults["engine-1"].set_conduct(ConductConfig {
-        limits: vec![LimitConfig {
+    bench.emulator.faults["engine-1"].set_behavior(BehaviorConfig {
+        limits: vec![AdvertisedLimitConfig {
             from_ms: 0,
             for_ms: 60_000,
             per_second: 2.5,
         }],
-        ..ConductConfig::default()
+        ..BehaviorConfig::default()
     });
     let came_there = |seen: &[(String, u64)]| seen.iter().any(|(engine, _)| engine == "engine-1");
     generations(&bench, came_there);
--- a/crates/testbed/examples/fleets.rs
+++ b/crates/testbed/examples/fleets.rs
@@ -84,14 +84,14 @@
         let position = (step * 2) % NODES;
         match step % 3 {
             0 => cluster.kill(position),
-            1 => cluster.set_all_links(position, LinkFault::silent()),
+            1 => cluster.set_all_links(position, LinkFault::black_hole()),
             _ => cluster.freeze(position),
         }
         thread::sleep(FAULT_LASTS);
         match step % 3 {
             0 => cluster.spawn(position).expect("started"),
             1 => cluster.set_all_links(position, LinkFault::default()),
-            _ => cluster.thaw(position),
+            _ => cluster.resume(position),
         }
         step += 1;
     }
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -243,7 +243,7 @@
     }
 
     /// Lets a frozen process go on.
-    pub fn thaw(&self, position: usize) {
+    pub fn resume(&self, position: usize) {
         self.signal(position, Signal::SIGCONT);
     }
 
@@ -278,7 +278,7 @@
     }
 
     /// What a process logged.
-    pub fn log_of(&self, position: usize) -> String {
+    pub fn log_text(&self, position: usize) -> String {
         std::fs::read_to_string(&self.nodes[position].log).unwrap_or_default()
     }
 
--- a/crates/testbed/src/emulate/conduct.rs
+++ b/crates/testbed/src/emulate/behavior.rs
@@ -13,7 +13,7 @@
 /// A time in which a back end turns calls away.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ShedConfig {
+pub struct LoadSheddingConfig {
     /// When it begins, in milliseconds since the start.
     pub from_ms: u64,
     /// How long it lasts, in milliseconds.
@@ -29,7 +29,7 @@
 /// A time in which a back end names a limit in all answers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct LimitConfig {
+pub struct AdvertisedLimitConfig {
     /// When it begins, in milliseconds since the start.
     pub from_ms: u64,
     /// How long it lasts, in milliseconds.
@@ -45,32 +45,32 @@
 /// What a back end says of itself over time.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct ConductConfig {
+pub struct BehaviorConfig {
     /// When it turns calls away.
-    pub sheds: Vec<ShedConfig>,
+    pub sheds: Vec<LoadSheddingConfig>,
     /// From when it says in all answers that it leaves, in milliseconds since the start.
     pub leaves_after_ms: Option<u64>,
     /// When it names a limit.
-    pub limits: Vec<LimitConfig>,
+    pub limits: Vec<AdvertisedLimitConfig>,
 }
 
 /// The conduct of a back end that runs.
 #[derive(Debug)]
-pub struct Conduct {
-    config: ConductConfig,
+pub struct BackendBehavior {
+    config: BehaviorConfig,
     started: Instant,
     calls: u64,
 }
 
-impl Default for Conduct {
+impl Default for BackendBehavior {
     fn default() -> Self {
-        Self::start(ConductConfig::default())
+        Self::start(BehaviorConfig::default())
     }
 }
 
-impl Conduct {
+impl BackendBehavior {
     /// Starts now.
-    pub fn start(config: ConductConfig) -> Self {
+    pub fn start(config: BehaviorConfig) -> Self {
         Self {
             config,
             started: Instant::now(),
@@ -83,9 +83,10 @@
     }
 
     /// The answer to a call that is turned away; none where it is taken. Of a share every n-th is.
-    pub fn turn_away(&mut self) -> Option<ResponseHead> {
+    pub fn reject_call(&mut self) -> Option<ResponseHead> {
         let now = self.elapsed_ms();
-        let is_on = |shed: &&ShedConfig| (shed.from_ms..shed.from_ms + shed.for_ms).contains(&now);
+        let is_on =
+            |shed: &&LoadSheddingConfig| (shed.from_ms..shed.from_ms + shed.for_ms).contains(&now);
         let shed = self.config.sheds.iter().find(is_on)?;
         let number = self.calls;
         self.calls += 1;
@@ -107,8 +108,9 @@
             head.headers.push((LEAVING, "1".to_owned()));
         }
         let now = self.elapsed_ms();
-        let is_on =
-            |limit: &&LimitConfig| (limit.from_ms..limit.from_ms + limit.for_ms).contains(&now);
+        let is_on = |limit: &&AdvertisedLimitConfig| {
+            (limit.from_ms..limit.from_ms + limit.for_ms).contains(&now)
+        };
         if let Some(limit) = self.config.limits.iter().find(is_on) {
             head.headers.push((LIMIT, limit.per_second.to_string()));
         }
--- a/crates/testbed/src/emulate/config.rs
+++ b/crates/testbed/src/emulate/config.rs
@@ -1,6 +1,6 @@
 //! What is emulated.
 
-use super::conduct::ConductConfig;
+use super::behavior::BehaviorConfig;
 use super::weights::WeightStoreConfig;
 use serde::Deserialize;
 use std::path::PathBuf;
@@ -61,8 +61,8 @@
     #[serde(default = "default_load_lag_ms")]
     pub load_lag_ms: u64,
     /// What it says of itself over time.
-    #[serde(default)]
-    pub conduct: ConductConfig,
+    #[serde(default, rename = "conduct")]
+    pub behavior: BehaviorConfig,
 }
 
 fn default_engine_slots() -> usize {
@@ -101,8 +101,8 @@
     #[serde(default)]
     pub logged: bool,
     /// What it says of itself over time.
-    #[serde(default)]
-    pub conduct: ConductConfig,
+    #[serde(default, rename = "conduct")]
+    pub behavior: BehaviorConfig,
 }
 
 fn default_service_slots() -> usize {
--- a/crates/testbed/src/emulate/engine.rs
+++ b/crates/testbed/src/emulate/engine.rs
@@ -23,7 +23,7 @@
 const IDLE_WAIT: Duration = Duration::from_millis(2);
 /// A stream that nobody reads is kept for a resume so long.
 const KEEP_UNREAD: Duration = Duration::from_secs(5);
-/// Token after which a stream is cut under [`FaultMode::Cut`].
+/// Token after which a stream is cut under [`FaultMode::CloseConnection`].
 const CUT_AFTER_TOKENS: usize = 3;
 /// Extra time of a full batch over that of one sequence.
 const FULL_BATCH_EXTRA: f64 = 0.5;
@@ -114,7 +114,7 @@
             responder.respond(self.faults.head(400, JSON), b"{}".to_vec());
             return;
         };
-        if let Some(head) = self.faults.turn_away() {
+        if let Some(head) = self.faults.reject_call() {
             responder.respond(head, b"{}".to_vec());
             return;
         }
@@ -124,7 +124,7 @@
             return;
         }
         match self.faults.mode() {
-            FaultMode::Refuse => {
+            FaultMode::Reject => {
                 responder.respond(self.faults.head(503, JSON), b"{}".to_vec());
                 return;
             }
@@ -292,7 +292,7 @@
     let Some(reader) = &mut sequence.reader else {
         return;
     };
-    let is_cut = mode == FaultMode::Cut && !sequence.was_cut;
+    let is_cut = mode == FaultMode::CloseConnection && !sequence.was_cut;
     let cuts_now = is_cut && reader.sent == CUT_AFTER_TOKENS;
     if reader.responder.is_closed() || cuts_now {
         sequence.was_cut |= cuts_now;
@@ -312,7 +312,7 @@
             "choices": [{ "index": 0, "text": sequence.tokens[reader.sent], "finish_reason": null }],
         });
         let line = match mode {
-            FaultMode::Garbage => "data: <html>\n\n".to_owned(),
+            FaultMode::MalformedBody => "data: <html>\n\n".to_owned(),
             _ => format!("data: {data}\n\n"),
         };
         reader.responder.chunk(line.into_bytes());
--- a/crates/testbed/src/emulate/faults.rs
+++ b/crates/testbed/src/emulate/faults.rs
@@ -1,6 +1,6 @@
 //! Faults of an emulated back end, changed while it runs.
 
-use super::conduct::{Conduct, ConductConfig};
+use super::behavior::{BackendBehavior, BehaviorConfig};
 use silversail_http::ResponseHead;
 use std::sync::Mutex;
 
@@ -11,25 +11,25 @@
     #[default]
     None,
     /// With an error, without running.
-    Refuse,
+    Reject,
     /// With status 500, after running.
     Error,
     /// With something that is no JSON, after running.
-    Garbage,
+    MalformedBody,
     /// With another attempt's identifier, after running.
     WrongAttempt,
     /// Never, after running.
     Hang,
     /// The connection is cut, after running (services) or once in the middle
     /// of each stream (engines).
-    Cut,
+    CloseConnection,
 }
 
 #[derive(Debug)]
 struct State {
     mode: FaultMode,
     slowdown: f64,
-    conduct: Conduct,
+    behavior: BackendBehavior,
 }
 
 /// Faults of one back end.
@@ -41,7 +41,7 @@
         Self(Mutex::new(State {
             mode: FaultMode::None,
             slowdown: 1.0,
-            conduct: Conduct::default(),
+            behavior: BackendBehavior::default(),
         }))
     }
 }
@@ -58,19 +58,19 @@
     }
 
     /// Changes what it says of itself, from now on.
-    pub fn set_conduct(&self, conduct: ConductConfig) {
-        self.0.lock().expect("not poisoned").conduct = Conduct::start(conduct);
+    pub fn set_behavior(&self, behavior: BehaviorConfig) {
+        self.0.lock().expect("not poisoned").behavior = BackendBehavior::start(behavior);
     }
 
     /// The answer to a call that is turned away; none where it is taken.
-    pub fn turn_away(&self) -> Option<ResponseHead> {
-        self.0.lock().expect("not poisoned").conduct.turn_away()
+    pub fn reject_call(&self) -> Option<ResponseHead> {
+        self.0.lock().expect("not poisoned").behavior.reject_call()
     }
 
     /// The head of an answer, with what is said in all of them.
     pub fn head(&self, status: u16, content_type: &'static str) -> ResponseHead {
         let head = ResponseHead::new(status, content_type);
-        self.0.lock().expect("not poisoned").conduct.marked(head)
+        self.0.lock().expect("not poisoned").behavior.marked(head)
     }
 
     /// Factor on service times.
--- a/crates/testbed/src/emulate/mod.rs
+++ b/crates/testbed/src/emulate/mod.rs
@@ -1,7 +1,7 @@
 //! Emulated back ends in one process: engines, pools, plain services and the
 //! platform's list, each behind its own address.
 
-pub mod conduct;
+pub mod behavior;
 pub mod config;
 pub mod engine;
 pub mod faults;
@@ -69,14 +69,14 @@
                 let log = emulator.orders.clone();
                 ModelHolder::new(&engine.name, engine.checks_fence, store.clone(), log)
             });
-            faults.set_conduct(engine.conduct.clone());
+            faults.set_behavior(engine.behavior.clone());
             let handler =
                 engine::EngineHandler::start(engine.clone(), faults, models, runtime.handle());
             emulator.serve(&engine.name, &engine.address, Arc::new(handler))?;
         }
         for service in &config.services {
             let faults = emulator.add_faults(&service.name);
-            faults.set_conduct(service.conduct.clone());
+            faults.set_behavior(service.behavior.clone());
             let log = emulator.run_log.clone();
             let handler = service::ServiceHandler::new(
                 service.clone(),
--- a/crates/testbed/src/emulate/service.rs
+++ b/crates/testbed/src/emulate/service.rs
@@ -84,12 +84,12 @@
             responder.respond(self.faults.head(400, JSON), b"{}".to_vec());
             return;
         };
-        if let Some(head) = self.faults.turn_away() {
+        if let Some(head) = self.faults.reject_call() {
             let refusal = json!({ "not_run": true }).to_string();
             responder.respond(head, refusal.into_bytes());
             return;
         }
-        if self.faults.mode() == FaultMode::Refuse {
+        if self.faults.mode() == FaultMode::Reject {
             let refusal = json!({ "not_run": true }).to_string();
             responder.respond(self.faults.head(503, JSON), refusal.into_bytes());
             return;
@@ -124,13 +124,13 @@
 
     async fn answer(&self, body: CallBody, service_ms: f64, responder: Responder) {
         let attempt = match self.faults.mode() {
-            FaultMode::None | FaultMode::Refuse => body.attempt,
+            FaultMode::None | FaultMode::Reject => body.attempt,
             FaultMode::WrongAttempt => format!("other-{}", body.attempt),
             FaultMode::Error => {
                 responder.respond(self.faults.head(500, JSON), b"{}".to_vec());
                 return;
             }
-            FaultMode::Garbage => {
+            FaultMode::MalformedBody => {
                 responder.respond(self.faults.head(200, JSON), b"<html>".to_vec());
                 return;
             }
@@ -138,7 +138,7 @@
                 tokio::time::sleep(Duration::from_secs(600)).await;
                 return;
             }
-            FaultMode::Cut => {
+            FaultMode::CloseConnection => {
                 // The connection breaks inside the body.
                 responder.head(self.faults.head(200, JSON));
                 responder.chunk(b"{\"attempt\":".to_vec());
--- a/crates/testbed/src/proxy.rs
+++ b/crates/testbed/src/proxy.rs
@@ -22,14 +22,14 @@
     /// Data to the client is held back in silence and released when this ends.
     pub hold_to_client: bool,
     /// Open connections are closed and new ones refused.
-    pub cut: bool,
+    pub refuse_connections: bool,
     /// Connections are closed after so many bytes to the client.
-    pub cut_after_bytes: Option<u64>,
+    pub close_after_bytes: Option<u64>,
 }
 
 impl LinkFault {
     /// Nothing passes either way, in silence.
-    pub fn silent() -> Self {
+    pub fn black_hole() -> Self {
         Self {
             hold_to_server: true,
             hold_to_client: true,
@@ -87,7 +87,7 @@
             continue;
         };
         connections.fetch_add(1, Ordering::Relaxed);
-        if fault.borrow().cut {
+        if fault.borrow().refuse_connections {
             continue;
         }
         tokio::spawn(forward(client, target, fault.clone()));
@@ -107,7 +107,7 @@
     let mut cut = fault;
     tokio::select! {
         _ = async { tokio::join!(to_server, to_client) } => {}
-        _ = cut.wait_for(|fault| fault.cut) => {}
+        _ = cut.wait_for(|fault| fault.refuse_connections) => {}
     }
 }
 
@@ -142,7 +142,7 @@
             tokio::time::sleep(current.delay).await;
         }
         let limit = current
-            .cut_after_bytes
+            .close_after_bytes
             .filter(|_| way == Way::ToClient)
             .unwrap_or(u64::MAX);
         let allowed = (limit.saturating_sub(passed)).min(count as u64) as usize;
