--- a/crates/simulation/src/traffic.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,4 +1,4 @@
-//! Operators and callers of a simulated cluster, and what they were told.
+//! Operators and callers of a simulated cluster, with the responses that they got.
 
 use crate::world::World;
 use rand::seq::SliceRandom;
@@ -16,23 +16,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest wait of an operator.
+/// Timeout of a configuration change.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Recent keys and changes among which resends are chosen.
+/// Number of latest keys or changes from which a is_resend is drawn.
 const RECENT: usize = 6;
 
-/// A change and an answer to it.
+/// Response to a configuration change.
 #[derive(Clone, Debug)]
-pub struct ChangeAnswer {
-    /// The change.
+pub struct ChangeResponse {
+    /// Identifier of the change.
     pub change_id: String,
-    /// The answer; none when there was no leader in time.
+    /// Outcome; none when the proposal was not committed in time.
     pub outcome: Option<ChangeOutcome>,
 }
 
 struct OpenCall {
     key: String,
-    retried: bool,
+    is_retry: bool,
     reader: ResponseReader,
     body: Vec<u8>,
 }
@@ -42,12 +42,12 @@
     token: Option<String>,
 }
 
-/// All that operators and callers did.
+/// Requests of operators and callers, and the responses to them.
 #[derive(Default)]
-pub struct TrafficLog {
-    /// Answers to changes.
-    pub changes: Rc<RefCell<Vec<ChangeAnswer>>>,
-    /// Answers to calls.
+pub struct ClientLog {
+    /// Responses to configuration changes.
+    pub changes: Rc<RefCell<Vec<ChangeResponse>>>,
+    /// Results of calls, for the checker.
     pub calls: Vec<CallRecord>,
     sent_changes: Vec<ChangeRequest>,
     sent_calls: Vec<SentCall>,
@@ -57,7 +57,7 @@
     next_number: u64,
 }
 
-/// The document of the first change: one service that may not be repeated.
+/// Document of the first change: a pipeline whose only stage must not run twice.
 pub fn first_document() -> ConfigurationDocument {
     let document = json!({
         "backends": [
@@ -74,11 +74,11 @@
     serde_json::from_value(document).expect("the document is complete")
 }
 
-impl TrafficLog {
-    /// An operator sends a new change through a node, or an earlier one again.
+impl ClientLog {
+    /// Sends a new configuration change through a node, or resends a recent one.
     pub fn change(&mut self, world: &mut World, position: usize) {
-        let resend = !self.sent_changes.is_empty() && world.random.gen_bool(0.3);
-        let request = if resend {
+        let is_resend = !self.sent_changes.is_empty() && world.random.gen_bool(0.3);
+        let request = if is_resend {
             let from = self.sent_changes.len().saturating_sub(RECENT);
             let recent = &self.sent_changes[from..];
             recent.choose(&mut world.random).cloned()
@@ -110,7 +110,7 @@
     }
 
     fn send_change(&mut self, world: &mut World, position: usize, request: ChangeRequest) {
-        let Some(node) = &world.places[position].node else {
+        let Some(node) = &world.nodes[position].process else {
             return;
         };
         let answers = self.changes.clone();
@@ -122,7 +122,7 @@
             };
             answers
                 .borrow_mut()
-                .push(ChangeAnswer { change_id, outcome });
+                .push(ChangeResponse { change_id, outcome });
         });
         let command = ControlCommand::Change(request).encode();
         call!(
@@ -132,10 +132,10 @@
         world.wake(position);
     }
 
-    /// A caller sends a call to a node: a new key, or a recent one again.
+    /// Sends a call with a new idempotency key to a node, or resends a recent one.
     pub fn call(&mut self, world: &mut World, position: usize) {
-        let resend = !self.sent_calls.is_empty() && world.random.gen_bool(0.5);
-        let (key, token) = if resend {
+        let is_resend = !self.sent_calls.is_empty() && world.random.gen_bool(0.5);
+        let (key, token) = if is_resend {
             let from = self.sent_calls.len().saturating_sub(RECENT);
             let count = self.sent_calls.len() - from;
             let chosen = &self.sent_calls[from + world.random.gen_range(0..count)];
@@ -163,7 +163,7 @@
     ) {
         let deadline_ms: Millis = world.random.gen_range(200..3_000);
         let arrived_at = world.instant();
-        let Some(node) = &world.places[position].node else {
+        let Some(node) = &world.nodes[position].process else {
             return;
         };
         let Some(requests) = &node.actors.requests else {
@@ -188,14 +188,14 @@
         call!([requests], request(request));
         self.open.push(OpenCall {
             key,
-            retried: token.is_some(),
+            is_retry: token.is_some(),
             reader,
             body: Vec::new(),
         });
         world.wake(position);
     }
 
-    /// Takes in the answers that have arrived.
+    /// Reads the responses that have arrived.
     pub fn collect(&mut self) {
         let open = std::mem::take(&mut self.open);
         for mut call in open {
@@ -208,15 +208,15 @@
                 }
             }
             if ended {
-                self.note_answer(call);
+                self.record_answer(call);
             } else {
                 self.open.push(call);
             }
         }
     }
 
-    /// Notes the calls that never got an answer, as their process crashed.
-    pub fn note_unanswered(&mut self) {
+    /// Records the calls without a response, whose process crashed.
+    pub fn record_unanswered(&mut self) {
         for call in std::mem::take(&mut self.open) {
             self.calls.push(CallRecord {
                 key: call.key,
@@ -225,15 +225,15 @@
                 code: None,
                 output: None,
                 ended_early: false,
-                retried_after_refusal: call.retried,
+                retried_after_refusal: call.is_retry,
             });
         }
     }
 
-    fn note_answer(&mut self, call: OpenCall) {
+    fn record_answer(&mut self, call: OpenCall) {
         let body: Value = serde_json::from_slice(&call.body).unwrap_or(Value::Null);
         if let Some(token) = body["retry_token"].as_str() {
-            let sent = self.sent_calls.iter_mut().find(|one| one.key == call.key);
+            let sent = self.sent_calls.iter_mut().find(|sent| sent.key == call.key);
             if let Some(sent) = sent {
                 sent.token = Some(token.to_owned());
             }
@@ -245,7 +245,7 @@
             code: body["code"].as_u64().map(|code| code as u16),
             output: body.get("output").cloned(),
             ended_early: false,
-            retried_after_refusal: call.retried,
+            retried_after_refusal: call.is_retry,
         });
     }
 }
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -1,5 +1,5 @@
-//! Simulated disks: a write counts once its sync is done, and a crash loses
-//! what was not synced.
+//! Simulated disks: a write is durable once its sync has finished, and a crash loses
+//! all unsynced writes.
 
 use silversail_consensus::{
     Entry, HardState, Millis, ReplicaId, Snapshot, StoredState, WriteBatch,
@@ -14,49 +14,48 @@
     Compact(Snapshot, HardState, Vec<Entry>),
 }
 
-/// One replica's folder.
+/// Simulated data folder of one replica.
 pub struct Disk {
-    /// Identity of the replica; it lasts from its first start until the folder
-    /// is emptied.
+    /// Identity of the replica; set at its first start and cleared by a wipe.
     pub identity: Option<ReplicaId>,
-    /// How long a sync takes.
-    pub sync_time: Millis,
+    /// Duration of a sync, in milliseconds.
+    pub sync_duration_ms: Millis,
     state: Option<StoredState>,
     pending: VecDeque<(Millis, Job)>,
     now: Millis,
 }
 
-/// A disk shared by its replica and the world.
+/// A disk, shared by its replica and the simulated cluster.
 pub type SharedDisk = Rc<RefCell<Disk>>;
 
 impl Disk {
-    /// An empty folder.
-    pub fn new(sync_time: Millis) -> Self {
+    /// Creates an empty folder.
+    pub fn new(sync_duration_ms: Millis) -> Self {
         Self {
             identity: None,
-            sync_time,
+            sync_duration_ms,
             state: None,
             pending: VecDeque::new(),
             now: 0,
         }
     }
 
-    /// What a start finds.
-    pub fn stored(&self) -> Option<StoredState> {
+    /// Durable state, which a starting replica loads.
+    pub fn stored_state(&self) -> Option<StoredState> {
         self.state.clone()
     }
 
-    /// Moves time on.
+    /// Sets the virtual time, in milliseconds.
     pub fn set_now(&mut self, now: Millis) {
         self.now = now;
     }
 
-    /// When the next sync is done.
+    /// Virtual time at which the oldest pending sync finishes.
     pub fn next_sync(&self) -> Option<Millis> {
         self.pending.front().map(|(at, _)| *at)
     }
 
-    /// Finishes the syncs that are due; gives how many writes to report.
+    /// Finishes the syncs that are due; returns the number of writes to report as synced.
     pub fn finish_syncs(&mut self) -> usize {
         let mut reported = 0;
         while self.next_sync().is_some_and(|at| at <= self.now) {
@@ -102,30 +101,30 @@
         }
     }
 
-    /// Whether there are writes that are not synced.
+    /// Whether writes are still to be synced.
     pub fn has_unsynced(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Loses what was not synced.
+    /// Drops all unsynced writes.
     pub fn crash(&mut self) {
         self.pending.clear();
     }
 
-    /// Empties the folder.
+    /// Erases the state and the identity.
     pub fn wipe(&mut self) {
-        *self = Self::new(self.sync_time);
+        *self = Self::new(self.sync_duration_ms);
     }
 
     fn push(&mut self, job: Job) {
-        // Syncs of one disk end in order.
+        // Syncs of one disk finish in order.
         let earliest = self.pending.back().map_or(self.now, |(at, _)| *at);
-        let due = (self.now + self.sync_time).max(earliest);
+        let due = (self.now + self.sync_duration_ms).max(earliest);
         self.pending.push_back((due, job));
     }
 }
 
-/// Writes to a simulated disk.
+/// Log writer of a replica on a simulated disk.
 pub struct SimulatedWriter(pub SharedDisk);
 
 impl LogWriter for SimulatedWriter {
--- a/crates/simulation/src/hollow.rs
+++ b/crates/simulation/src/hollow.rs
@@ -1,8 +1,8 @@
-//! Hollow nodes: the actors that keep a node in step, without requests, many in
-//! one process, to measure what control costs as the cluster grows.
+//! Hollow nodes, which replicate control state and serve no requests. Many run in one process
+//! to measure how the cost of control grows with the cluster.
 
-use crate::network::Traffic;
-use crate::world::{Knowledge, World, WorldSize};
+use crate::network::NodeTraffic;
+use crate::world::{NodeDiscovery, World, WorldSize};
 use serde::Serialize;
 use serde_json::json;
 use silversail_consensus::Millis;
@@ -14,36 +14,38 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Zones of the size to design for, and regions over which they are spread.
+/// Number of zones over which the nodes are spread.
 const ZONES: usize = 8;
+/// Number of regions over which the zones are spread.
 const REGIONS: usize = 3;
 const VOTERS: usize = 5;
-/// Virtual time over which traffic is measured.
-const MEASURED: Millis = 20_000;
-/// Changes whose time until they are in force everywhere is measured.
-const CHANGES: usize = 20;
-/// Pause between changes: 3,200 a day are one in 27 s; this is a busy time.
-const CHANGE_PAUSE: Millis = 1_000;
-/// Longest virtual time for a change or a recovery.
-const LONGEST: Millis = 60_000;
-/// How long a part of the cluster is cut off.
-const CUT: Millis = 10_000;
-const STEP: Millis = 10;
+/// Virtual time over which traffic is measured, in milliseconds.
+const MEASUREMENT_PERIOD_MS: Millis = 20_000;
+/// Number of configuration changes whose propagation time is measured.
+const MEASURED_CHANGES: usize = 20;
+/// Interval between configuration changes, in milliseconds.
+const CHANGE_INTERVAL_MS: Millis = 1_000;
+/// Longest virtual time for a change or a recovery, in milliseconds.
+const CONVERGENCE_TIMEOUT_MS: Millis = 60_000;
+/// Duration of a network partition, in milliseconds.
+const PARTITION_DURATION_MS: Millis = 10_000;
+/// Virtual time between two checks of a condition, in milliseconds.
+const POLL_INTERVAL_MS: Millis = 10;
 
-/// Objects in the configuration.
+/// Number of objects in the configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigurationSize {
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: usize,
-    /// Engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Pipelines of five stages.
+    /// Number of pipelines, of five stages each.
     pub pipelines: usize,
-    /// Models.
+    /// Number of models, which the engines share.
     pub models: usize,
 }
 
-/// Traffic a second of one role.
+/// Control traffic of a node, per second of virtual time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct RoleTraffic {
     /// Messages sent and received.
@@ -52,11 +54,11 @@
     pub bytes: f64,
 }
 
-/// What was measured at one size. Times are virtual milliseconds, with message
-/// delays of 0 to 2 ms and syncs of 3 ms.
+/// Measurements of a cluster of one size. Times are virtual milliseconds, with
+/// message delays of 0 to 2 ms and disk syncs of 3 ms.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct HollowReport {
-    /// Nodes, voters among them.
+    /// Number of nodes, voters included.
     pub nodes: usize,
     /// Traffic of the node that leads the control group.
     pub leader: RoleTraffic,
@@ -64,34 +66,34 @@
     pub voter: RoleTraffic,
     /// Mean traffic of the nodes that do not vote.
     pub node: RoleTraffic,
-    /// Traffic of the node that does not vote and has the most.
+    /// Largest traffic of a node that does not vote, by bytes.
     pub busiest_node: RoleTraffic,
-    /// From proposing a change until it is in force everywhere, median.
+    /// Median time from the proposal of a change until all nodes have applied it.
     pub in_force_median_ms: Millis,
-    /// The same, worst.
+    /// Longest time from the proposal of a change until all nodes have applied it.
     pub in_force_worst_ms: Millis,
-    /// From the start until all nodes serve and see each other.
+    /// Time from the start until all nodes are current and see each other as usable.
     pub formed_ms: Millis,
-    /// From the end of a cut until all are in step: a tenth of the nodes.
+    /// Time to converge after a tenth of the nodes was partitioned.
     pub after_tenth_ms: Millis,
-    /// A zone.
+    /// Time to converge after a zone was partitioned.
     pub after_zone_ms: Millis,
-    /// A region.
+    /// Time to converge after a region was partitioned.
     pub after_region_ms: Millis,
-    /// Revisions that the cut-off region was behind when it came back.
+    /// Number of revisions that the partitioned region had missed.
     pub region_behind: u64,
-    /// From the start of the last node of a rolling restart.
+    /// Time to converge after the last node of a rolling restart has started.
     pub after_rolling_ms: Millis,
-    /// From the start of all nodes after all were down.
+    /// Time to converge after all nodes were down and have started.
     pub after_full_restart_ms: Millis,
-    /// Processor time of the simulation for a node and a virtual second, in
-    /// microseconds, encoding and the simulated network included.
+    /// Processor time of the simulation per node and virtual second, in
+    /// microseconds, including encoding and the simulated network.
     pub node_cpu_us_per_s: f64,
-    /// Bytes of the whole configuration when it is sent.
+    /// Encoded size of the whole configuration, in bytes.
     pub configuration_bytes: usize,
 }
 
-struct Hollow {
+struct HollowCluster {
     world: World,
     report: HollowReport,
     revision: u64,
@@ -104,9 +106,9 @@
         voters: VOTERS,
         zones: ZONES,
         is_hollow: true,
-        knowledge: Knowledge::Settings,
+        discovery: NodeDiscovery::StaticSettings,
     };
-    let mut hollow = Hollow {
+    let mut cluster = HollowCluster {
         world: World::new(1, size),
         report: HollowReport {
             nodes,
@@ -114,36 +116,36 @@
         },
         revision: 0,
     };
-    hollow.run(configuration);
-    hollow.report
+    cluster.run(configuration);
+    cluster.report
 }
 
-impl Hollow {
+impl HollowCluster {
     fn run(&mut self, configuration: ConfigurationSize) {
-        self.report.formed_ms = self.time_until_well();
-        let document = document_of(configuration);
+        self.report.formed_ms = self.wait_until_converged();
+        let document = configuration_of_size(configuration);
         self.report.configuration_bytes =
             postcard::to_stdvec(&document).map_or(0, |bytes| bytes.len());
         self.change(document);
         self.measure_traffic();
         self.measure_changes();
-        self.measure_cuts();
+        self.measure_partitions();
         self.measure_restarts();
     }
 
-    /// Proposes a change and gives the time until it is in force everywhere.
+    /// Proposes a change and returns the time until all nodes have applied it.
     fn change(&mut self, document: ConfigurationDocument) -> Millis {
-        let began = self.world.now();
+        let started_at = self.world.now();
         let request = ChangeRequest {
             change_id: ChangeId(format!("c{}", self.revision)),
             base_revision: self.revision,
             operator: String::new(),
             document,
         };
-        let last = self.world.places.len() - 1;
+        let last = self.world.nodes.len() - 1;
         let done = Rc::new(Cell::new(false));
         let answered = done.clone();
-        if let Some(node) = &self.world.places[last].node {
+        if let Some(node) = &self.world.nodes[last].process {
             let ret = ret_some_do!(move |_| answered.set(true));
             let command = ControlCommand::Change(request).encode();
             call!(
@@ -153,48 +155,48 @@
         }
         self.world.wake(last);
         self.revision += 1;
-        self.run_until(|hollow| hollow.all_have(hollow.revision));
-        self.world.now() - began
+        self.run_until(|cluster| cluster.all_have_revision(cluster.revision));
+        self.world.now() - started_at
     }
 
-    fn all_have(&self, revision: u64) -> bool {
-        let places = &self.world.places;
-        places.iter().all(|place| {
-            place
-                .node
+    fn all_have_revision(&self, revision: u64) -> bool {
+        let nodes = &self.world.nodes;
+        nodes.iter().all(|slot| {
+            slot.process
                 .as_ref()
                 .is_none_or(|node| node.state.borrow().configuration.revision() >= Some(revision))
         })
     }
 
     fn run_until(&mut self, condition: impl Fn(&Self) -> bool) {
-        let deadline = self.world.now() + LONGEST;
+        let deadline = self.world.now() + CONVERGENCE_TIMEOUT_MS;
         while !condition(self) && self.world.now() < deadline {
-            self.world.run_for(STEP);
+            self.world.run_for(POLL_INTERVAL_MS);
         }
     }
 
-    /// Time until all nodes serve at the newest revision and see each other.
-    fn time_until_well(&mut self) -> Millis {
-        let began = self.world.now();
-        self.run_until(|hollow| {
-            let count = hollow.world.places.len();
+    /// Waits until all nodes have the newest revision and see each other as usable; returns
+    /// the time that it took.
+    fn wait_until_converged(&mut self) -> Millis {
+        let started_at = self.world.now();
+        self.run_until(|cluster| {
+            let count = cluster.world.nodes.len();
             (0..count).all(|position| {
-                hollow.world.revision(position) >= Some(hollow.revision)
-                    && hollow.world.usable(position) == count
+                cluster.world.revision(position) >= Some(cluster.revision)
+                    && cluster.world.usable(position) == count
             })
         });
-        self.world.now() - began
+        self.world.now() - started_at
     }
 
     fn measure_traffic(&mut self) {
         self.world.run_for(3_000);
         self.world.network.borrow_mut().traffic.clear();
         let started = Instant::now();
-        self.world.run_for(MEASURED);
+        self.world.run_for(MEASUREMENT_PERIOD_MS);
         let cpu = started.elapsed();
-        let seconds = MEASURED as f64 / 1_000.0;
-        let nodes = self.world.places.len();
+        let seconds = MEASUREMENT_PERIOD_MS as f64 / 1_000.0;
+        let nodes = self.world.nodes.len();
         self.report.node_cpu_us_per_s = cpu.as_micros() as f64 / nodes as f64 / seconds;
         let leader = self.world.leader(GroupId::Control).unwrap_or(0);
         let rate = |name: &NodeName| {
@@ -204,9 +206,9 @@
         };
         let rates: Vec<RoleTraffic> = self
             .world
-            .places
+            .nodes
             .iter()
-            .map(|one| rate(&one.name))
+            .map(|node| rate(&node.name))
             .collect();
         self.report.leader = rates[leader];
         let voters: Vec<RoleTraffic> = (0..VOTERS)
@@ -223,9 +225,9 @@
     }
 
     fn measure_changes(&mut self) {
-        let mut times: Vec<Millis> = (0..CHANGES)
+        let mut times: Vec<Millis> = (0..MEASURED_CHANGES)
             .map(|_| {
-                self.world.run_for(CHANGE_PAUSE);
+                self.world.run_for(CHANGE_INTERVAL_MS);
                 self.change(small_change(self.revision))
             })
             .collect();
@@ -234,46 +236,55 @@
         self.report.in_force_worst_ms = times.last().copied().unwrap_or_default();
     }
 
-    fn measure_cuts(&mut self) {
-        let nodes = self.world.places.len();
+    fn measure_partitions(&mut self) {
+        let nodes = self.world.nodes.len();
         let tenth: Vec<usize> = (0..nodes).filter(|node| node % 10 == 9).collect();
-        self.report.after_tenth_ms = self.cut(&tenth).0;
+        self.report.after_tenth_ms = self.measure_partition(&tenth).0;
         let zone: Vec<usize> = (0..nodes).filter(|node| node % ZONES == 0).collect();
-        self.report.after_zone_ms = self.cut(&zone).0;
+        self.report.after_zone_ms = self.measure_partition(&zone).0;
         let region: Vec<usize> = (0..nodes)
             .filter(|node| (node % ZONES).is_multiple_of(REGIONS))
             .collect();
-        let (time, behind) = self.cut(&region);
+        let (time, missed_revisions) = self.measure_partition(&region);
         self.report.after_region_ms = time;
-        self.report.region_behind = behind;
+        self.report.region_behind = missed_revisions;
     }
 
-    /// Cuts nodes off from all others, with changes going on, and gives the
-    /// time until all are in step after it, and how many revisions the cut-off
-    /// ones were behind.
-    fn cut(&mut self, cut_off: &[usize]) -> (Millis, u64) {
-        let names: Vec<NodeName> = cut_off
+    /// Isolates nodes while changes go on. Returns the time until all have converged
+    /// after the partition, and the number of revisions that the isolated nodes missed.
+    fn measure_partition(&mut self, isolated: &[usize]) -> (Millis, u64) {
+        let names: Vec<NodeName> = isolated
             .iter()
-            .map(|position| self.world.places[*position].name.clone())
+            .map(|position| self.world.nodes[*position].name.clone())
             .collect();
-        self.world.network.borrow_mut().faults.cut_off.extend(names);
-        self.world.run_for(CUT);
-        let last = self.world.places.len() - 1;
-        let is_last_cut = cut_off.contains(&last);
+        self.world
+            .network
+            .borrow_mut()
+            .faults
+            .isolated_nodes
+            .extend(names);
+        self.world.run_for(PARTITION_DURATION_MS);
+        let last = self.world.nodes.len() - 1;
+        let is_last_isolated = isolated.contains(&last);
         let before = self.revision;
-        if !is_last_cut {
+        if !is_last_isolated {
             for _ in 0..3 {
-                self.change_for_reachable(cut_off);
+                self.change_for_reachable(isolated);
             }
         }
-        self.world.network.borrow_mut().faults.cut_off.clear();
-        (self.time_until_well(), self.revision - before)
+        self.world
+            .network
+            .borrow_mut()
+            .faults
+            .isolated_nodes
+            .clear();
+        (self.wait_until_converged(), self.revision - before)
     }
 
-    /// Proposes a change that can reach only part of the nodes.
-    fn change_for_reachable(&mut self, cut_off: &[usize]) {
-        let reachable: Vec<usize> = (0..self.world.places.len())
-            .filter(|position| !cut_off.contains(position))
+    /// Proposes a change through a node that is not isolated.
+    fn change_for_reachable(&mut self, isolated: &[usize]) {
+        let reachable: Vec<usize> = (0..self.world.nodes.len())
+            .filter(|position| !isolated.contains(position))
             .collect();
         let request = ChangeRequest {
             change_id: ChangeId(format!("c{}", self.revision)),
@@ -282,7 +293,7 @@
             document: small_change(self.revision),
         };
         let from = reachable[reachable.len() - 1];
-        if let Some(node) = &self.world.places[from].node {
+        if let Some(node) = &self.world.nodes[from].process {
             let command = ControlCommand::Change(request).encode();
             let ret = ret_some_do!(|_| {});
             call!(
@@ -292,30 +303,30 @@
         }
         self.world.wake(from);
         self.revision += 1;
-        let wanted = self.revision;
-        self.run_until(|hollow| hollow.world.revision(from) >= Some(wanted));
+        let expected_revision = self.revision;
+        self.run_until(|cluster| cluster.world.revision(from) >= Some(expected_revision));
     }
 
     fn measure_restarts(&mut self) {
-        for position in 0..self.world.places.len() {
+        for position in 0..self.world.nodes.len() {
             self.world.crash(position);
             self.world.run_for(50);
             self.world.start(position);
             self.world.run_for(50);
         }
-        self.report.after_rolling_ms = self.time_until_well();
-        for position in 0..self.world.places.len() {
+        self.report.after_rolling_ms = self.wait_until_converged();
+        for position in 0..self.world.nodes.len() {
             self.world.crash(position);
         }
         self.world.run_for(1_000);
-        for position in 0..self.world.places.len() {
+        for position in 0..self.world.nodes.len() {
             self.world.start(position);
         }
-        self.report.after_full_restart_ms = self.time_until_well();
+        self.report.after_full_restart_ms = self.wait_until_converged();
     }
 }
 
-fn role_traffic(traffic: Traffic, seconds: f64) -> RoleTraffic {
+fn role_traffic(traffic: NodeTraffic, seconds: f64) -> RoleTraffic {
     RoleTraffic {
         messages: (traffic.sent + traffic.received) as f64 / seconds,
         bytes: (traffic.sent_bytes + traffic.received_bytes) as f64 / seconds,
@@ -336,7 +347,7 @@
 }
 
 /// A configuration of the given size.
-fn document_of(size: ConfigurationSize) -> ConfigurationDocument {
+fn configuration_of_size(size: ConfigurationSize) -> ConfigurationDocument {
     let model = |number: usize| format!("model-{}", number % size.models.max(1));
     let models: Vec<_> = (0..size.models)
         .map(|number| json!({ "name": model(number), "replicas": 50 }))
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,14 +1,15 @@
-//! The daemon's own actors under virtual time, with an in-memory transport,
-//! simulated disks and seeded faults. One seed gives one run, always the same.
+//! Deterministic simulation of a cluster: the daemon's actors under virtual time, with
+//! an in-memory transport, simulated disks and seeded faults. Runs of one seed are
+//! identical.
 
-pub mod calls;
+pub mod backends;
+pub mod clients;
 pub mod disk;
 pub mod hollow;
 pub mod network;
 pub mod node;
 pub mod orders;
 pub mod scenario;
-pub mod traffic;
 pub mod world;
 
 pub use hollow::{run_hollow, HollowReport};
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,5 +1,5 @@
-//! The network in memory: messages are delayed, lost, held back and released
-//! late, by seed.
+//! In-memory network that delays, loses and holds back messages by a seeded random
+//! generator.
 
 use crate::world::FIRST_PORT;
 use rand::Rng;
@@ -14,58 +14,58 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::rc::Rc;
 
-/// A message under way: when it arrives, its order of sending, its receiver.
+/// Arrival time, number in order of sending, and receiver of a message.
 type Arrival = (Millis, u64, NodeName);
 
-/// Faults of the network, in force until changed.
+/// Network faults, which apply until they are changed.
 #[derive(Clone, Debug)]
 pub struct NetworkFaults {
     /// Share of messages that are lost.
-    pub loss: f64,
-    /// Longest delay of a message.
+    pub loss_rate: f64,
+    /// Longest random delay of a message, in milliseconds.
     pub max_delay: Millis,
-    /// Share of messages that are held back for seconds.
-    pub held: f64,
-    /// Nodes that nothing reaches and that reach nothing.
-    pub cut_off: BTreeSet<NodeName>,
-    /// Pairs of sender and receiver between which nothing passes.
-    pub cut_links: BTreeSet<(NodeName, NodeName)>,
+    /// Share of messages that are held back for up to [`MAX_HOLD_MS`].
+    pub hold_rate: f64,
+    /// Nodes that can neither send nor receive.
+    pub isolated_nodes: BTreeSet<NodeName>,
+    /// Pairs of sender and receiver whose messages are dropped.
+    pub blocked_links: BTreeSet<(NodeName, NodeName)>,
 }
 
 impl Default for NetworkFaults {
     fn default() -> Self {
         Self {
-            loss: 0.0,
+            loss_rate: 0.0,
             max_delay: 2,
-            held: 0.0,
-            cut_off: BTreeSet::new(),
-            cut_links: BTreeSet::new(),
+            hold_rate: 0.0,
+            isolated_nodes: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
         }
     }
 }
 
-/// Longest time for which a message is held back.
-const LONGEST_HOLD: Millis = 6_000;
+/// Longest time for which a message is held back, in milliseconds.
+const MAX_HOLD_MS: Millis = 6_000;
 
-/// Where the nodes are: what a message takes longer over a distance.
+/// Zones of the nodes, from which the delay over a distance follows.
 #[derive(Clone, Debug, Default)]
-pub struct Geography {
-    /// Zone of each node.
+pub struct NodeLocations {
+    /// Zone by node; without an entry, messages have no extra delay.
     pub zones: BTreeMap<NodeName, String>,
-    /// Where the zones lie.
+    /// Regions of the zones and their round-trip times.
     pub topology: Topology,
 }
 
-impl Geography {
+impl NodeLocations {
     fn distance(&self, from: &NodeName, to: &NodeName) -> Option<Distance> {
         let (from, to) = (self.zones.get(from)?, self.zones.get(to)?);
         Some(self.topology.distance(from, to))
     }
 }
 
-/// Traffic of one node.
+/// Numbers of messages and bytes of one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Traffic {
+pub struct NodeTraffic {
     /// Messages sent.
     pub sent: u64,
     /// Bytes sent.
@@ -76,51 +76,51 @@
     pub received_bytes: u64,
 }
 
-/// The network of one world.
+/// The network of one simulated cluster.
 pub struct Network {
     /// Faults in force.
     pub faults: NetworkFaults,
-    /// Traffic by node.
-    pub traffic: BTreeMap<NodeName, Traffic>,
-    /// Where the nodes are.
-    pub geography: Geography,
+    /// NodeTraffic by node.
+    pub traffic: BTreeMap<NodeName, NodeTraffic>,
+    /// Zones of the nodes.
+    pub locations: NodeLocations,
     /// Bytes sent to nodes of other regions.
-    pub bytes_between_regions: u64,
-    /// When the connection from one node to another is up.
+    pub cross_region_bytes: u64,
+    /// Time at which the connection from one node to another is established.
     connected_at: BTreeMap<(NodeName, NodeName), Millis>,
     now: Millis,
-    sent: u64,
+    last_number: u64,
     arrivals: BinaryHeap<Reverse<Arrival>>,
-    envelopes: BTreeMap<u64, (Envelope, usize)>,
+    in_flight: BTreeMap<u64, (Envelope, usize)>,
     random: ChaCha8Rng,
 }
 
-/// The network shared by a world's nodes.
+/// The network, shared by all nodes.
 pub type SharedNetwork = Rc<RefCell<Network>>;
 
 impl Network {
-    /// A network without faults.
+    /// Creates a network without faults.
     pub fn new(random: ChaCha8Rng) -> Self {
         Self {
             faults: NetworkFaults::default(),
             traffic: BTreeMap::new(),
-            geography: Geography::default(),
-            bytes_between_regions: 0,
+            locations: NodeLocations::default(),
+            cross_region_bytes: 0,
             connected_at: BTreeMap::new(),
             now: 0,
-            sent: 0,
+            last_number: 0,
             arrivals: BinaryHeap::new(),
-            envelopes: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             random,
         }
     }
 
-    /// Moves time on.
+    /// Sets the virtual time, in milliseconds.
     pub fn set_now(&mut self, now: Millis) {
         self.now = now;
     }
 
-    /// When the next message arrives.
+    /// Virtual time at which the next message arrives.
     pub fn next_arrival(&self) -> Option<Millis> {
         self.arrivals.peek().map(|Reverse((at, _, _))| *at)
     }
@@ -129,8 +129,8 @@
     pub fn receive(&mut self) -> Option<(NodeName, Envelope)> {
         while self.next_arrival()? <= self.now {
             let Reverse((_, number, to)) = self.arrivals.pop()?;
-            let (envelope, bytes) = self.envelopes.remove(&number)?;
-            if envelope.from != to && self.is_cut(&envelope.from, &to) {
+            let (envelope, bytes) = self.in_flight.remove(&number)?;
+            if envelope.from != to && self.is_blocked(&envelope.from, &to) {
                 continue;
             }
             if envelope.from != to {
@@ -143,14 +143,14 @@
         None
     }
 
-    fn is_cut(&self, from: &NodeName, to: &NodeName) -> bool {
+    fn is_blocked(&self, from: &NodeName, to: &NodeName) -> bool {
         let faults = &self.faults;
-        faults.cut_off.contains(from)
-            || faults.cut_off.contains(to)
-            || faults.cut_links.contains(&(from.clone(), to.clone()))
+        faults.isolated_nodes.contains(from)
+            || faults.isolated_nodes.contains(to)
+            || faults.blocked_links.contains(&(from.clone(), to.clone()))
     }
 
-    /// Takes a message on its way and tells its size in bytes.
+    /// Queues a message for delivery and returns its size in bytes.
     pub fn send(&mut self, to: NodeName, envelope: Envelope) -> usize {
         if envelope.from == to {
             self.enqueue(self.now, to, envelope, 0);
@@ -160,49 +160,54 @@
         let traffic = self.traffic.entry(envelope.from.clone()).or_default();
         traffic.sent += 1;
         traffic.sent_bytes += bytes as u64;
-        let distance = self.geography.distance(&envelope.from, &to);
+        let distance = self.locations.distance(&envelope.from, &to);
         if distance == Some(Distance::OtherRegion) {
-            self.bytes_between_regions += bytes as u64;
+            self.cross_region_bytes += bytes as u64;
         }
-        if self.is_cut(&envelope.from, &to) || self.random.gen_bool(self.faults.loss) {
+        if self.is_blocked(&envelope.from, &to) || self.random.gen_bool(self.faults.loss_rate) {
             return bytes;
         }
-        let delay = if self.random.gen_bool(self.faults.held) {
-            self.random.gen_range(0..LONGEST_HOLD)
+        let delay = if self.random.gen_bool(self.faults.hold_rate) {
+            self.random.gen_range(0..MAX_HOLD_MS)
         } else {
             self.random.gen_range(0..=self.faults.max_delay)
         };
-        let way = distance.map_or(0, |distance| self.one_way(distance));
-        let leaves_at = self.connected_at(&envelope.from, &to, way).max(self.now);
-        self.enqueue(leaves_at + delay + way, to, envelope, bytes);
+        let one_way_ms = distance.map_or(0, |distance| self.one_way_delay(distance));
+        let leaves_at = self
+            .connected_at(&envelope.from, &to, one_way_ms)
+            .max(self.now);
+        self.enqueue(leaves_at + delay + one_way_ms, to, envelope, bytes);
         bytes
     }
 
-    /// When the connection between two nodes is or will be up: the first message waits for two
-    /// round trips, of the connection and of its handshake.
-    fn connected_at(&mut self, from: &NodeName, to: &NodeName, way: Millis) -> Millis {
+    /// Time at which the connection between two nodes is established: the first message waits for
+    /// two round trips, those of the TCP connection and of its handshake.
+    fn connected_at(&mut self, from: &NodeName, to: &NodeName, one_way_ms: Millis) -> Millis {
         let pair = (from.clone(), to.clone());
-        *self.connected_at.entry(pair).or_insert(self.now + 4 * way)
+        *self
+            .connected_at
+            .entry(pair)
+            .or_insert(self.now + 4 * one_way_ms)
     }
 
-    /// The process of a node ended, and its connections with it.
+    /// Closes all connections of a node whose process has ended.
     pub fn disconnect(&mut self, node: &NodeName) {
         self.connected_at
             .retain(|(from, to), _| from != node && to != node);
     }
 
-    fn one_way(&self, distance: Distance) -> Millis {
-        (self.geography.topology.round_trip_ms(distance) / 2.0) as Millis
+    fn one_way_delay(&self, distance: Distance) -> Millis {
+        (self.locations.topology.round_trip_ms(distance) / 2.0) as Millis
     }
 
     fn enqueue(&mut self, at: Millis, to: NodeName, envelope: Envelope, bytes: usize) {
-        self.sent += 1;
-        self.arrivals.push(Reverse((at, self.sent, to)));
-        self.envelopes.insert(self.sent, (envelope, bytes));
+        self.last_number += 1;
+        self.arrivals.push(Reverse((at, self.last_number, to)));
+        self.in_flight.insert(self.last_number, (envelope, bytes));
     }
 }
 
-/// A node's way into the network.
+/// Peer transport of a node over the simulated network.
 pub struct SimulatedTransport(pub SharedNetwork);
 
 impl Transport for SimulatedTransport {
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -1,7 +1,7 @@
-//! One simulated node: the daemon's actors on a `Stakker` of its own, so that
-//! it can be frozen or crash alone.
+//! The process of one simulated node: the daemon's actors on a `Stakker` of their
+//! own, so that each process can be frozen or crash alone.
 
-use crate::calls::{CallDesk, SimulatedCalls};
+use crate::backends::{SimulatedBackends, SimulatedCalls};
 use crate::disk::{SharedDisk, SimulatedWriter};
 use crate::network::{SharedNetwork, SimulatedTransport};
 use silversail_consensus::{Millis, ReplicaId};
@@ -23,32 +23,32 @@
 use std::time::{Duration, Instant};
 
 /// The time of day at the start of virtual time, in milliseconds since the Unix epoch.
-const SIMULATED_DAY: u64 = 1_700_000_000_000;
+const START_TIME_OF_DAY_MS: u64 = 1_700_000_000_000;
 
-/// What a node is made of, kept over its restarts.
+/// Parts of a node that outlive a restart of its process.
 #[derive(Clone)]
 pub struct NodeParts {
-    /// Its settings.
+    /// Settings with which the process starts.
     pub settings: Arc<Settings>,
-    /// Its disks, by group; empty on nodes that do not vote.
+    /// Disks by replication group; empty on nodes that do not vote.
     pub disks: BTreeMap<GroupId, SharedDisk>,
-    /// The network.
+    /// Network to the other nodes.
     pub network: SharedNetwork,
-    /// Its calls.
-    pub desk: Rc<RefCell<CallDesk>>,
-    /// Whether it serves requests, or only keeps in step.
+    /// Simulated back ends that the node calls.
+    pub backends: Rc<RefCell<SimulatedBackends>>,
+    /// Whether the node only replicates control state and serves no requests.
     pub is_hollow: bool,
 }
 
-/// A running process.
-pub struct SimulatedNode {
-    /// The actors' runtime.
+/// A running process of a simulated node.
+pub struct NodeProcess {
+    /// Runtime of the actors.
     pub stakker: Stakker,
-    /// The actors.
+    /// Actors of the daemon.
     pub actors: NodeActors,
-    /// What it has in force.
+    /// State that the actors share.
     pub state: SharedNodeState,
-    /// Its time.
+    /// Clock of the process.
     pub clock: Clock,
 }
 
@@ -63,7 +63,7 @@
         let new_identity = ReplicaId(self.seed());
         let disk = self.parts.disks[&group].clone();
         let identity = *disk.borrow_mut().identity.get_or_insert(new_identity);
-        let stored = disk.borrow().stored();
+        let stored = disk.borrow().stored_state();
         Ok(ReplicaFiles {
             identity,
             stored,
@@ -77,7 +77,7 @@
     }
 
     fn calls(&self) -> Option<Box<dyn Calls>> {
-        let calls = SimulatedCalls(self.parts.desk.clone());
+        let calls = SimulatedCalls(self.parts.backends.clone());
         (!self.parts.is_hollow).then(|| Box::new(calls) as Box<dyn Calls>)
     }
 
@@ -86,7 +86,7 @@
     }
 }
 
-impl SimulatedNode {
+impl NodeProcess {
     /// Starts a process at `now`; `epoch` is the instant of time zero.
     pub fn start(parts: &NodeParts, epoch: Instant, now: Millis, seed: u64) -> Self {
         let start = epoch + Duration::from_millis(now);
@@ -107,7 +107,7 @@
             metrics.clone(),
         )
         .with_topology(topology.clone());
-        let clock = Clock::at(start, SIMULATED_DAY + now);
+        let clock = Clock::at(start, START_TIME_OF_DAY_MS + now);
         let directory = settings.directory(topology.clone(), now + 1, clock.millis(start));
         let context = ActorContext {
             settings: settings.clone(),
--- a/crates/simulation/src/orders.rs
+++ b/crates/simulation/src/orders.rs
@@ -1,5 +1,5 @@
-//! Operators who order rollouts and evacuations of a simulated cluster, and what must become of
-//! the orders that were acknowledged.
+//! Random operator orders of rollouts and evacuations in a simulated cluster, and the check that
+//! acknowledged orders are not lost.
 
 use crate::world::World;
 use rand::{Rng, SeedableRng};
@@ -16,70 +16,70 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest wait of an operator.
+/// Timeout of a proposal.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Share of the steps in which an operator orders something: about 50 orders a minute.
-const ORDERED: f64 = 0.06;
-/// Services that have rollouts.
+/// Probability that a step sends an order.
+const ORDER_PROBABILITY: f64 = 0.06;
+/// Number of services that have rollouts.
 const SERVICES: u32 = 3;
-/// Versions among which they move.
+/// Number of versions from which targets are drawn.
 const VERSIONS: u32 = 3;
-/// Durations of rollouts, in milliseconds: some end in the middle of the faults.
+/// Range of rollout durations, in milliseconds; some end while faults are injected.
 const DURATIONS: std::ops::Range<u64> = 1_000..20_000;
-/// Zones that are evacuated, each at most once and never taken back, so that each that was
-/// acknowledged must be evacuated at the end.
+/// Number of zones to evacuate. No evacuation is undone, so that each acknowledged one must be
+/// in force at the end.
 const ZONES: u32 = 8;
 
-/// A rollout that was acknowledged.
+/// A rollout order whose commit was acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Acknowledged {
+struct AcknowledgedRollout {
     number: RolloutNumber,
     order: RolloutOrder,
 }
 
-/// The orders of one run.
+/// The operator orders of one run.
 pub struct OrderLog {
-    /// Its own draws, so that the faults of a seed do not depend on the orders.
+    /// Separate generator, so that the faults of a seed do not depend on the orders.
     random: ChaCha8Rng,
-    rollouts: Rc<RefCell<Vec<Acknowledged>>>,
+    rollouts: Rc<RefCell<Vec<AcknowledgedRollout>>>,
     zones: Rc<RefCell<Vec<String>>>,
     next_zone: u32,
-    /// What each process had in force, by node: the state of the process and the rollouts.
-    seen: BTreeMap<usize, (SharedNodeState, Rollouts)>,
+    /// State and last observed rollouts of each process, by position of the node.
+    observed: BTreeMap<usize, (SharedNodeState, Rollouts)>,
     failures: Vec<String>,
 }
 
 impl OrderLog {
-    /// No orders yet.
+    /// An empty log whose orders are drawn from `seed`.
     pub fn new(seed: u64) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
             rollouts: Rc::default(),
             zones: Rc::default(),
             next_zone: 0,
-            seen: BTreeMap::new(),
+            observed: BTreeMap::new(),
             failures: Vec::new(),
         }
     }
 
-    /// Notes an acknowledgement that an operator got.
-    pub fn note_rollout(&mut self, number: RolloutNumber, order: RolloutOrder) {
-        let acknowledged = Acknowledged { number, order };
+    /// Records an acknowledged rollout order.
+    pub fn record_rollout(&mut self, number: RolloutNumber, order: RolloutOrder) {
+        let acknowledged = AcknowledgedRollout { number, order };
         self.rollouts.borrow_mut().push(acknowledged);
     }
 
-    /// How many orders were acknowledged.
+    /// Number of acknowledged orders of both kinds.
     pub fn acknowledged(&self) -> usize {
         self.rollouts.borrow().len() + self.zones.borrow().len()
     }
 
-    /// Now and then an operator orders something; what all nodes have in force is looked at.
+    /// Checks the state of all nodes and sends a random order with [`ORDER_PROBABILITY`].
     pub fn step(&mut self, world: &mut World) {
-        self.watch(world);
-        if !self.random.gen_bool(ORDERED) {
+        self.check_regressions(world);
+        if !self.random.gen_bool(ORDER_PROBABILITY) {
             return;
         }
-        let position = self.random.gen_range(0..world.places.len());
+        let position = self.random.gen_range(0..world.nodes.len());
         match self.random.gen_bool(0.7) {
             true => self.begin_rollout(world, position),
             false => self.evacuate(world, position),
@@ -92,18 +92,18 @@
             target_version: format!("v{}", self.random.gen_range(0..VERSIONS)),
             duration_ms: self.random.gen_range(DURATIONS),
         };
-        let Some(node) = &world.places[position].node else {
+        let Some(node) = &world.nodes[position].process else {
             return;
         };
-        let seen = {
+        let known_number = {
             let state = node.state.borrow();
             let rollouts = state.rollouts.as_ref();
-            let latest = rollouts.and_then(|one| one.latest_of_service(&order.service));
+            let latest = rollouts.and_then(|rollouts| rollouts.latest_of_service(&order.service));
             latest.map_or(0, |rollout| rollout.number)
         };
         let begin = RolloutCommand::Begin {
             order: order.clone(),
-            known_number: seen,
+            known_number,
         };
         let acknowledged = self.rollouts.clone();
         propose(
@@ -114,7 +114,7 @@
                 if let Some(RolloutReply::InForce { number }) = reply {
                     acknowledged
                         .borrow_mut()
-                        .push(Acknowledged { number, order });
+                        .push(AcknowledgedRollout { number, order });
                 }
             },
         );
@@ -124,16 +124,16 @@
         if self.next_zone == ZONES {
             return;
         }
-        let Some(node) = &world.places[position].node else {
+        let Some(node) = &world.nodes[position].process else {
             return;
         };
-        let seen = node.state.borrow().evacuations_revision();
+        let known_revision = node.state.borrow().evacuations_revision();
         let zone = format!("zone-{}", self.next_zone);
         self.next_zone += 1;
         let order = EvacuationOrder {
             zone: zone.clone(),
             evacuated: true,
-            known_revision: seen.unwrap_or_default(),
+            known_revision: known_revision.unwrap_or_default(),
         };
         let acknowledged = self.zones.clone();
         propose(
@@ -148,56 +148,61 @@
         );
     }
 
-    /// No process goes back: neither to an older revision nor from an end to a rollout in
-    /// progress.
-    fn watch(&mut self, world: &World) {
-        for (position, place) in world.places.iter().enumerate() {
-            let Some(node) = &place.node else {
+    /// Checks that no process returns to an older revision or changes the state of an ended
+    /// rollout.
+    fn check_regressions(&mut self, world: &World) {
+        for (position, slot) in world.nodes.iter().enumerate() {
+            let Some(node) = &slot.process else {
                 continue;
             };
             let state = node.state.borrow();
             let Some(rollouts) = state.rollouts.as_deref() else {
                 continue;
             };
-            let former = self.seen.get(&position);
+            let former = self.observed.get(&position);
             let former = former.filter(|(process, _)| Rc::ptr_eq(process, &node.state));
             if former.is_some_and(|(_, former)| former.revision() == rollouts.revision()) {
                 continue;
             }
-            if let Some(problem) = former.and_then(|(_, former)| goes_back(former, rollouts)) {
+            if let Some(problem) = former.and_then(|(_, former)| find_regression(former, rollouts))
+            {
                 let failure = format!("node {position}: {problem}");
                 self.failures.push(failure);
             }
-            self.seen
+            self.observed
                 .insert(position, (node.state.clone(), rollouts.clone()));
         }
     }
 
-    /// After recovery each acknowledged order is in force on every node; returns what is not.
+    /// Checks after recovery that every node has each acknowledged order; returns all failures.
     pub fn check(&mut self, world: &World) -> Vec<String> {
         let mut failures = std::mem::take(&mut self.failures);
         failures.extend(self.contradictions());
-        for (position, place) in world.places.iter().enumerate() {
-            let Some(node) = &place.node else {
-                failures.push(format!("node {position} does not run"));
+        for (position, slot) in world.nodes.iter().enumerate() {
+            let Some(node) = &slot.process else {
+                failures.push(format!("node {position} is not running"));
                 continue;
             };
             let state = node.state.borrow();
-            for one in self.rollouts.borrow().iter() {
-                let service = &one.order.service;
+            for acknowledged_rollout in self.rollouts.borrow().iter() {
+                let service = &acknowledged_rollout.order.service;
                 let rollouts = state.rollouts.as_ref();
-                let held = rollouts.and_then(|rollouts| rollouts.latest_of_service(service));
-                let is_kept = held.is_some_and(|held| {
-                    let is_later = held.number > one.number;
-                    is_later || (held.number == one.number && is_same(&held.order, &one.order))
+                let current = rollouts.and_then(|rollouts| rollouts.latest_of_service(service));
+                let is_preserved = current.is_some_and(|current| {
+                    let is_later = current.number > acknowledged_rollout.number;
+                    is_later
+                        || (current.number == acknowledged_rollout.number
+                            && is_same_order(&current.order, &acknowledged_rollout.order))
                 });
-                if !is_kept {
-                    failures.push(format!("node {position}: {one:?} was lost: {held:?}"));
+                if !is_preserved {
+                    failures.push(format!(
+                        "node {position}: {acknowledged_rollout:?} was lost: {current:?}"
+                    ));
                 }
             }
             for zone in self.zones.borrow().iter() {
-                let held = state.evacuations.as_ref();
-                if !held.is_some_and(|held| held.contains(zone)) {
+                let current = state.evacuations.as_ref();
+                if !current.is_some_and(|current| current.contains(zone)) {
                     failures.push(format!("node {position}: {zone} is not evacuated"));
                 }
             }
@@ -205,50 +210,60 @@
         failures
     }
 
-    /// One number stands for one order only.
+    /// Finds rollout numbers that were acknowledged for two different orders.
     fn contradictions(&self) -> Vec<String> {
         let mut by_number: BTreeMap<RolloutNumber, RolloutOrder> = BTreeMap::new();
         let mut failures = Vec::new();
-        for one in self.rollouts.borrow().iter() {
+        for acknowledged_rollout in self.rollouts.borrow().iter() {
             let first = by_number
-                .entry(one.number)
-                .or_insert_with(|| one.order.clone());
-            if !is_same(first, &one.order) {
-                failures.push(format!("rollout {}: {first:?}, then {one:?}", one.number));
+                .entry(acknowledged_rollout.number)
+                .or_insert_with(|| acknowledged_rollout.order.clone());
+            if !is_same_order(first, &acknowledged_rollout.order) {
+                failures.push(format!(
+                    "rollout {}: {first:?}, then {acknowledged_rollout:?}",
+                    acknowledged_rollout.number
+                ));
             }
         }
         failures
     }
 }
 
-/// Whether two orders ask for the same; a repeat may tell another duration.
-fn is_same(first: &RolloutOrder, second: &RolloutOrder) -> bool {
+/// Whether two orders have the same service and version; a repeat may have another duration.
+fn is_same_order(first: &RolloutOrder, second: &RolloutOrder) -> bool {
     first.service == second.service && first.target_version == second.target_version
 }
 
-fn goes_back(former: &Rollouts, now: &Rollouts) -> Option<String> {
+fn find_regression(former: &Rollouts, now: &Rollouts) -> Option<String> {
     if now.revision() < former.revision() {
-        return Some(format!("{} after {}", now.revision(), former.revision()));
+        return Some(format!(
+            "revision {} follows revision {}",
+            now.revision(),
+            former.revision()
+        ));
     }
     let mut ended = former.all().filter(|rollout| !rollout.is_in_progress());
-    let revived = ended.find(|rollout| {
+    let resumed = ended.find(|rollout| {
         let present = now.by_number(rollout.number);
         present.is_some_and(|present| present.state != rollout.state)
     })?;
-    Some(format!("rollout {} goes on after its end", revived.number))
+    Some(format!(
+        "rollout {} changed its state after its end",
+        resumed.number
+    ))
 }
 
 fn propose<R: serde::de::DeserializeOwned>(
     world: &mut World,
     position: usize,
     command: ControlCommand,
-    told: impl FnOnce(Option<R>) + 'static,
+    on_reply: impl FnOnce(Option<R>) + 'static,
 ) {
-    let Some(node) = &world.places[position].node else {
+    let Some(node) = &world.nodes[position].process else {
         return;
     };
     let ret = ret_some_do!(move |outcome: ProposalOutcome| {
-        told(match outcome {
+        on_reply(match outcome {
             ProposalOutcome::Applied(bytes) => postcard::from_bytes(&bytes).ok(),
             ProposalOutcome::Unavailable => None,
         });
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,9 +1,9 @@
-//! All simulated nodes and their time.
+//! A simulated cluster: its nodes, their network and virtual time.
 
-use crate::calls::CallDesk;
+use crate::backends::SimulatedBackends;
 use crate::disk::Disk;
-use crate::network::{Geography, Network, SharedNetwork};
-use crate::node::{NodeParts, SimulatedNode};
+use crate::network::{Network, NodeLocations, SharedNetwork};
+use crate::node::{NodeParts, NodeProcess};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
@@ -21,40 +21,40 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a simulated sync takes.
-const SYNC_TIME: Millis = 3;
-/// Where virtual time starts; above zero, so that clocks can be behind it.
-const START: Millis = 10_000;
+/// Duration of a simulated disk sync, in milliseconds.
+const SYNC_DURATION_MS: Millis = 3;
+/// Virtual time at the start, in milliseconds; above zero, so that a clock can be behind it.
+const START_TIME_MS: Millis = 10_000;
 
-/// One place in the world: a node that runs, is frozen, or is down.
-pub struct Place {
-    /// Its name.
+/// A node of the simulated cluster, whether its process runs, is frozen or is down.
+pub struct NodeSlot {
+    /// Name of the node.
     pub name: NodeName,
-    /// What it is made of.
+    /// Settings, disks and connections that outlive a restart.
     pub parts: NodeParts,
-    /// The process, where it runs.
-    pub node: Option<SimulatedNode>,
-    /// Until when it is frozen.
+    /// The process; none while it is down.
+    pub process: Option<NodeProcess>,
+    /// Virtual time at which a frozen process resumes.
     pub frozen_until: Option<Millis>,
     wake_at: Millis,
-    seen_revision: Option<u64>,
-    frozen_messages: VecDeque<silversail_peer::Envelope>,
+    last_revision: Option<u64>,
+    messages_while_frozen: VecDeque<silversail_peer::Envelope>,
 }
 
 /// A simulated cluster.
 pub struct World {
-    /// The nodes.
-    pub places: Vec<Place>,
-    /// The network.
+    /// All nodes, by position.
+    pub nodes: Vec<NodeSlot>,
+    /// Network between the nodes.
     pub network: SharedNetwork,
-    /// Source of chance for faults and traffic.
+    /// Random number generator of faults and client requests.
     pub random: ChaCha8Rng,
-    /// Calls that ran at simulated services.
+    /// Calls that simulated services have run.
     pub runs: Rc<RefCell<Vec<RunRecord>>>,
-    /// Revisions that nodes had in force, as they changed. A restarted process
-    /// counts as the same node.
+    /// Configuration revisions that nodes applied, in order of observation. A
+    /// restarted process counts as the same node.
     pub revisions: Vec<RevisionRecord>,
-    /// Breaks of what must hold at every moment.
+    /// Violations of invariants that are checked after each step.
     pub failures: Vec<String>,
     /// The one leader of each term of each group.
     leaders: BTreeMap<(GroupId, u64), usize>,
@@ -62,43 +62,43 @@
     now: Millis,
 }
 
-/// Size of a world.
+/// Size of a simulated cluster.
 #[derive(Clone, Copy, Debug)]
 pub struct WorldSize {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// How many of the first ones vote.
+    /// Number of voters, which are the first nodes.
     pub voters: usize,
-    /// Zones over which they are spread.
+    /// Number of zones over which the nodes are spread.
     pub zones: usize,
-    /// Whether nodes only keep in step and serve no requests.
+    /// Whether nodes only replicate control state and serve no requests.
     pub is_hollow: bool,
-    /// How nodes come to know each other.
-    pub knowledge: Knowledge,
+    /// How nodes find each other.
+    pub discovery: NodeDiscovery,
 }
 
-/// How the nodes of a world come to know each other.
+/// How the nodes of a simulated cluster find each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Knowledge {
-    /// The settings name all.
-    Settings,
-    /// Discovery from the addresses of these three nodes.
+pub enum NodeDiscovery {
+    /// The settings list all nodes.
+    StaticSettings,
+    /// Discovery starts from the addresses of the nodes at these positions.
     Contacts([usize; 3]),
 }
 
-/// How the zones of a world lie in regions.
+/// Distribution of the zones over regions.
 #[derive(Clone, Copy, Debug)]
-pub struct Regions {
-    /// Zones of each region.
-    pub zones_each: usize,
-    /// Whether the nodes' settings name them.
+pub struct RegionLayout {
+    /// Number of zones in each region.
+    pub zones_per_region: usize,
+    /// Whether the nodes' settings contain the regions.
     pub in_settings: bool,
 }
 
-impl Regions {
-    /// Zones with their regions.
+impl RegionLayout {
+    /// Region of each zone, by name of the zone.
     fn zones(self, zones: usize) -> BTreeMap<String, String> {
-        let region = |zone: usize| format!("r{}", zone / self.zones_each);
+        let region = |zone: usize| format!("r{}", zone / self.zones_per_region);
         (0..zones)
             .map(|zone| (format!("z{zone}"), region(zone)))
             .collect()
@@ -112,16 +112,16 @@
     }
 
     /// Starts all nodes in several regions, between which messages take longer.
-    pub fn over_regions(seed: u64, size: WorldSize, regions: Regions) -> Self {
+    pub fn with_regions(seed: u64, size: WorldSize, regions: RegionLayout) -> Self {
         Self::start_all(seed, size, Some(regions))
     }
 
-    fn start_all(seed: u64, size: WorldSize, regions: Option<Regions>) -> Self {
+    fn start_all(seed: u64, size: WorldSize, regions: Option<RegionLayout>) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let network_random = ChaCha8Rng::seed_from_u64(random.gen());
         let network = Rc::new(RefCell::new(Network::new(network_random)));
         let mut world = Self {
-            places: Vec::new(),
+            nodes: Vec::new(),
             network,
             random,
             runs: Rc::default(),
@@ -129,24 +129,24 @@
             failures: Vec::new(),
             leaders: BTreeMap::new(),
             epoch: Instant::now(),
-            now: START,
+            now: START_TIME_MS,
         };
         for position in 0..size.nodes {
-            let place = world.place(position, size, regions);
-            world.places.push(place);
+            let slot = world.create_slot(position, size, regions);
+            world.nodes.push(slot);
             world.start(position);
         }
         world
     }
 
-    /// Tells the network and the node where the node is.
-    fn locate(&mut self, settings: &mut Settings, size: WorldSize, regions: Regions) {
+    /// Records the node's zone in the network and, where asked for, in its settings.
+    fn locate(&mut self, settings: &mut Settings, size: WorldSize, regions: RegionLayout) {
         let zones = regions.zones(size.zones);
         let own = settings.own_node();
         let mut network = self.network.borrow_mut();
-        let geography: &mut Geography = &mut network.geography;
-        geography.zones.insert(own.name.clone(), own.zone.clone());
-        geography.topology = Topology::new(&own.zone, zones.clone(), RoundTrips::default())
+        let locations: &mut NodeLocations = &mut network.locations;
+        locations.zones.insert(own.name.clone(), own.zone.clone());
+        locations.topology = Topology::new(&own.zone, zones.clone(), RoundTrips::default())
             .expect("the own zone is among the zones");
         if regions.in_settings {
             let zones = zones.into_iter().map(|(zone, region)| (zone, Some(region)));
@@ -154,8 +154,13 @@
         }
     }
 
-    fn place(&mut self, position: usize, size: WorldSize, regions: Option<Regions>) -> Place {
-        let mut settings = settings_of(position, size);
+    fn create_slot(
+        &mut self,
+        position: usize,
+        size: WorldSize,
+        regions: Option<RegionLayout>,
+    ) -> NodeSlot {
+        let mut settings = settings_for_node(position, size);
         if let Some(regions) = regions {
             self.locate(&mut settings, size, regions);
         }
@@ -165,31 +170,31 @@
             let groups = std::iter::once(GroupId::Control)
                 .chain((0..settings.cluster.ledger_groups).map(GroupId::Ledger));
             for group in groups {
-                disks.insert(group, Rc::new(RefCell::new(Disk::new(SYNC_TIME))));
+                disks.insert(group, Rc::new(RefCell::new(Disk::new(SYNC_DURATION_MS))));
             }
         }
-        let desk = CallDesk {
+        let backends = SimulatedBackends {
             runs: self.runs.clone(),
-            ends: VecDeque::new(),
+            completions: VecDeque::new(),
             now: self.now,
-            refused: 0.0,
-            lost: 0.0,
+            rejection_rate: 0.0,
+            response_loss_rate: 0.0,
             random: ChaCha8Rng::seed_from_u64(self.random.gen()),
         };
-        Place {
+        NodeSlot {
             name: settings.node.clone(),
             parts: NodeParts {
                 settings,
                 disks,
                 network: self.network.clone(),
-                desk: Rc::new(RefCell::new(desk)),
+                backends: Rc::new(RefCell::new(backends)),
                 is_hollow: size.is_hollow,
             },
-            node: None,
+            process: None,
             frozen_until: None,
             wake_at: 0,
-            seen_revision: None,
-            frozen_messages: VecDeque::new(),
+            last_revision: None,
+            messages_while_frozen: VecDeque::new(),
         }
     }
 
@@ -203,50 +208,45 @@
         self.epoch + Duration::from_millis(self.now)
     }
 
-    /// Starts a process that is down.
+    /// Starts the process of a node; does nothing where it already runs.
     pub fn start(&mut self, position: usize) {
         let seed = self.random.gen();
-        let place = &mut self.places[position];
-        if place.node.is_none() {
-            place.node = Some(SimulatedNode::start(
-                &place.parts,
-                self.epoch,
-                self.now,
-                seed,
-            ));
-            place.wake_at = self.now;
+        let slot = &mut self.nodes[position];
+        if slot.process.is_none() {
+            slot.process = Some(NodeProcess::start(&slot.parts, self.epoch, self.now, seed));
+            slot.wake_at = self.now;
         }
     }
 
-    /// Crashes a process: unsynced writes and calls under way are lost to it.
+    /// Crashes a process, which loses its unsynced writes and calls in progress.
     pub fn crash(&mut self, position: usize) {
         let instant = self.instant();
-        let place = &mut self.places[position];
-        if let Some(node) = place.node.take() {
+        let slot = &mut self.nodes[position];
+        if let Some(node) = slot.process.take() {
             node.stop(instant);
         }
-        place.frozen_until = None;
-        place.frozen_messages.clear();
-        self.network.borrow_mut().disconnect(&place.name);
-        for disk in place.parts.disks.values() {
+        slot.frozen_until = None;
+        slot.messages_while_frozen.clear();
+        self.network.borrow_mut().disconnect(&slot.name);
+        for disk in slot.parts.disks.values() {
             disk.borrow_mut().crash();
         }
-        place.parts.desk.borrow_mut().ends.clear();
+        slot.parts.backends.borrow_mut().completions.clear();
     }
 
     /// Empties the disks of a process that is down.
     pub fn wipe(&mut self, position: usize) {
-        for disk in self.places[position].parts.disks.values() {
+        for disk in self.nodes[position].parts.disks.values() {
             disk.borrow_mut().wipe();
         }
     }
 
-    /// Freezes a process; its messages wait.
+    /// Freezes a process for `duration` milliseconds; messages to it are queued.
     pub fn freeze(&mut self, position: usize, duration: Millis) {
-        self.places[position].frozen_until = Some(self.now + duration);
+        self.nodes[position].frozen_until = Some(self.now + duration);
     }
 
-    /// Runs until `until`.
+    /// Runs until the virtual time `until`, in milliseconds.
     pub fn run_until(&mut self, until: Millis) {
         while self.now < until {
             let next = self.next_event().clamp(self.now + 1, until);
@@ -255,13 +255,13 @@
         }
     }
 
-    /// Runs for `duration`.
+    /// Runs for `duration` milliseconds of virtual time.
     pub fn run_for(&mut self, duration: Millis) {
         self.run_until(self.now + duration);
     }
 
-    /// Runs until `condition` holds; false when it does not within `timeout`.
-    pub fn run_while_not(
+    /// Runs until `condition` holds; false when it does not within `timeout` milliseconds.
+    pub fn run_until_condition(
         &mut self,
         timeout: Millis,
         mut condition: impl FnMut(&World) -> bool,
@@ -281,21 +281,21 @@
         if let Some(arrival) = self.network.borrow().next_arrival() {
             next = next.min(arrival);
         }
-        for place in &self.places {
-            if let Some(until) = place.frozen_until {
+        for slot in &self.nodes {
+            if let Some(until) = slot.frozen_until {
                 next = next.min(until);
                 continue;
             }
-            if place.node.is_none() {
+            if slot.process.is_none() {
                 continue;
             }
-            next = next.min(place.wake_at);
-            for disk in place.parts.disks.values() {
+            next = next.min(slot.wake_at);
+            for disk in slot.parts.disks.values() {
                 next = next.min(disk.borrow().next_sync().unwrap_or(Millis::MAX));
             }
-            let desk = place.parts.desk.borrow();
-            for end in &desk.ends {
-                next = next.min(end.at);
+            let backends = slot.parts.backends.borrow();
+            for completion in &backends.completions {
+                next = next.min(completion.at);
             }
         }
         next
@@ -310,86 +310,91 @@
             };
             self.receive(&to, envelope);
         }
-        for position in 0..self.places.len() {
-            self.run_place(position);
+        for position in 0..self.nodes.len() {
+            self.run_process(position);
         }
     }
 
     fn receive(&mut self, to: &NodeName, envelope: silversail_peer::Envelope) {
         let instant = self.instant();
-        let Some(place) = self.places.iter_mut().find(|place| place.name == *to) else {
+        let Some(slot) = self.nodes.iter_mut().find(|slot| slot.name == *to) else {
             return;
         };
-        if place.frozen_until.is_some() {
-            place.frozen_messages.push_back(envelope);
+        if slot.frozen_until.is_some() {
+            slot.messages_while_frozen.push_back(envelope);
             return;
         }
-        if let Some(node) = &mut place.node {
-            // Time moves on before the message is handled, as in the daemon.
+        if let Some(node) = &mut slot.process {
+            // Timers that are due fire before the message is handled, as in the daemon.
             node.stakker.run(instant, false);
             node.actors.deliver(envelope, instant);
-            place.wake_at = self.now;
+            slot.wake_at = self.now;
         }
     }
 
-    fn run_place(&mut self, position: usize) {
+    fn run_process(&mut self, position: usize) {
         let instant = self.instant();
         let now = self.now;
-        let place = &mut self.places[position];
-        if place.frozen_until.is_some_and(|until| until > now) {
+        let slot = &mut self.nodes[position];
+        if slot.frozen_until.is_some_and(|until| until > now) {
             return;
         }
-        let was_frozen = place.frozen_until.take().is_some();
-        let Some(node) = &mut place.node else {
+        let was_frozen = slot.frozen_until.take().is_some();
+        let Some(node) = &mut slot.process else {
             return;
         };
         if was_frozen {
             node.stakker.run(instant, false);
-            for envelope in std::mem::take(&mut place.frozen_messages) {
+            for envelope in std::mem::take(&mut slot.messages_while_frozen) {
                 node.actors.deliver(envelope, instant);
             }
-            place.wake_at = now;
+            slot.wake_at = now;
         }
-        for (group, disk) in &place.parts.disks {
+        for (group, disk) in &slot.parts.disks {
             let mut disk = disk.borrow_mut();
             disk.set_now(now);
             let synced = disk.finish_syncs();
             if synced > 0 {
                 node.actors.synced(*group, synced);
-                place.wake_at = now;
+                slot.wake_at = now;
             }
         }
-        place.parts.desk.borrow_mut().now = now;
-        let ended: Vec<_> = {
-            let mut desk = place.parts.desk.borrow_mut();
-            let all = std::mem::take(&mut desk.ends);
-            let (due, later): (Vec<_>, Vec<_>) = all.into_iter().partition(|end| end.at <= now);
-            desk.ends = later.into();
+        slot.parts.backends.borrow_mut().now = now;
+        let completed: Vec<_> = {
+            let mut backends = slot.parts.backends.borrow_mut();
+            let completions = std::mem::take(&mut backends.completions);
+            let (due, pending): (Vec<_>, Vec<_>) = completions
+                .into_iter()
+                .partition(|completion| completion.at <= now);
+            backends.completions = pending.into();
             due
         };
-        for end in ended {
+        for completion in completed {
             if let Some(requests) = &node.actors.requests {
                 let service = Duration::from_millis(10);
-                call!([requests], call_ended(end.attempt, service, end.result));
-                place.wake_at = now;
+                call!(
+                    [requests],
+                    call_ended(completion.attempt, service, completion.result)
+                );
+                slot.wake_at = now;
             }
         }
-        if place.wake_at > now {
+        if slot.wake_at > now {
             return;
         }
         node.stakker.run(instant, false);
         let wait = node.stakker.next_wait(instant);
-        place.wake_at = wait.map_or(Millis::MAX, |wait| {
+        slot.wake_at = wait.map_or(Millis::MAX, |wait| {
             now + (wait.as_millis() as Millis).max(1)
         });
         let revision = node.state.borrow().configuration.revision();
-        self.note_revision(position, revision);
+        self.record_revision(position, revision);
         self.check_leaders(position);
     }
 
-    /// A term has one leader at most.
+    /// Checks that each term of a group has at most one leader.
     fn check_leaders(&mut self, position: usize) {
-        let Some(node) = &self.places[position].node else {
+        let Some(node) = &self.nodes[position].process else {
             return;
         };
         for (group, status) in &node.actors.statuses {
@@ -403,48 +408,48 @@
                 .or_insert(position);
             if leader != position {
                 let term = status.term;
-                let message = format!("{group}: n{leader} and n{position} lead term {term}");
+                let message = format!("{group}: n{leader} and n{position} both lead term {term}");
                 self.failures.push(message);
             }
         }
     }
 
-    fn note_revision(&mut self, position: usize, revision: Option<u64>) {
+    fn record_revision(&mut self, position: usize, revision: Option<u64>) {
         let Some(revision) = revision else {
             return;
         };
-        let place = &mut self.places[position];
-        if place.seen_revision != Some(revision) {
-            place.seen_revision = Some(revision);
+        let slot = &mut self.nodes[position];
+        if slot.last_revision != Some(revision) {
+            slot.last_revision = Some(revision);
             self.revisions.push(RevisionRecord {
-                node: place.name.0.clone(),
+                node: slot.name.0.clone(),
                 revision,
             });
         }
     }
 
-    /// Wakes a process after something was handed to it from outside.
+    /// Schedules a process to run now, after a test or client has called one of its actors.
     pub fn wake(&mut self, position: usize) {
-        self.places[position].wake_at = self.now;
+        self.nodes[position].wake_at = self.now;
     }
 
-    /// Revision in force on a process, where it runs and is current.
+    /// Configuration revision of a process that runs and whose state is not stale.
     pub fn revision(&self, position: usize) -> Option<u64> {
-        let place = &self.places[position];
-        let node = place.node.as_ref()?;
+        let slot = &self.nodes[position];
+        let node = slot.process.as_ref()?;
         let now = node.clock.millis(self.instant());
-        let lease = place.parts.settings.timing.freshness_lease_ms;
+        let lease = slot.parts.settings.timing.freshness_lease_ms;
         let state = node.state.borrow();
         state
             .is_current(now, lease)
             .then(|| state.configuration.revision())?
     }
 
-    /// Position of the process that leads a group, where one does.
+    /// Position of a running node that leads a group.
     pub fn leader(&self, group: GroupId) -> Option<usize> {
-        self.places.iter().position(|place| {
-            place.frozen_until.is_none()
-                && place.node.as_ref().is_some_and(|node| {
+        self.nodes.iter().position(|slot| {
+            slot.frozen_until.is_none()
+                && slot.process.as_ref().is_some_and(|node| {
                     node.actors
                         .statuses
                         .get(&group)
@@ -453,10 +458,10 @@
         })
     }
 
-    /// How many usable nodes a process sees.
+    /// Number of usable nodes in the membership view of a process.
     pub fn usable(&self, position: usize) -> usize {
-        self.places[position]
-            .node
+        self.nodes[position]
+            .process
             .as_ref()
             .map_or(0, |node| node.state.borrow().view.usable_nodes().count())
     }
@@ -464,13 +469,13 @@
 
 impl Drop for World {
     fn drop(&mut self) {
-        for position in 0..self.places.len() {
+        for position in 0..self.nodes.len() {
             self.crash(position);
         }
     }
 }
 
-fn settings_of(position: usize, size: WorldSize) -> Settings {
+fn settings_for_node(position: usize, size: WorldSize) -> Settings {
     let nodes: Vec<_> = (0..size.nodes)
         .map(|node| {
             json!({
@@ -482,7 +487,7 @@
         })
         .collect();
     let voters: Vec<_> = (0..size.voters).map(|node| format!("n{node:03}")).collect();
-    if let Knowledge::Contacts(contacts) = size.knowledge {
+    if let NodeDiscovery::Contacts(contacts) = size.discovery {
         return discovering_settings(position, size, contacts, true);
     }
     let settings = json!({
@@ -496,8 +501,8 @@
     settings
 }
 
-/// Settings of a node that knows three contact addresses. `first_start` tells
-/// whether a cluster may be formed.
+/// Settings of a node that discovers others through three contact addresses.
+/// `first_start` allows it to form a new cluster.
 pub fn discovering_settings(
     position: usize,
     size: WorldSize,
@@ -528,7 +533,7 @@
     settings
 }
 
-/// Address of a simulated node.
+/// Peer address of the node at a position; its port encodes the position.
 pub fn peer_address(position: usize) -> String {
     format!("127.0.0.1:{}", FIRST_PORT + position)
 }
--- a/crates/simulation/tests/budget.rs
+++ b/crates/simulation/tests/control_budget.rs
@@ -1,5 +1,5 @@
-//! The control budget of a node: counts of messages and bytes under virtual
-//! time, so that a change that breaks the slope is seen.
+//! Guards against control traffic of a node that grows with the size of the cluster, by
+//! counting messages and bytes under virtual time.
 
 use silversail_simulation::hollow::ConfigurationSize;
 use silversail_simulation::run_hollow;
@@ -10,20 +10,23 @@
     pipelines: 5,
     models: 5,
 };
-/// Bytes a second that control may cost a node at the size to design for.
-const NODE_BYTES: f64 = 15_000.0;
+/// Limit of the control traffic of a node in a large cluster, in bytes per second.
+const MAX_NODE_BYTES_PER_SECOND: f64 = 15_000.0;
 
 #[test]
-fn control_costs_a_node_the_same_at_any_size() {
+fn control_traffic_of_a_node_does_not_grow_with_the_cluster() {
     let small = run_hollow(16, SIZE);
     let large = run_hollow(48, SIZE);
-    assert!(large.busiest_node.bytes < NODE_BYTES / 10.0, "{large:?}");
+    assert!(
+        large.busiest_node.bytes < MAX_NODE_BYTES_PER_SECOND / 10.0,
+        "{large:?}"
+    );
     assert!(
         large.node.bytes < small.node.bytes * 1.1,
         "{small:?} {large:?}"
     );
     assert!(large.node.messages < small.node.messages * 1.1);
-    // The leader's part grows by what a node adds, not by the number of pairs.
+    // The leader's traffic grows linearly with the nodes, not with the pairs of nodes.
     assert!(
         large.leader.bytes < small.leader.bytes * 3.0,
         "{small:?} {large:?}"
--- a/crates/simulation/tests/evacuations.rs
+++ b/crates/simulation/tests/evacuations.rs
@@ -1,5 +1,5 @@
-//! An acknowledged evacuation holds on every node: through leaders that die, nodes that are
-//! cut off and come back, and a restart of all.
+//! Guards against the loss of acknowledged evacuations through leader crashes, isolated nodes and
+//! full restarts.
 
 use rstest::rstest;
 use silversail_control::{ControlCommand, EvacuationOrder};
@@ -9,7 +9,7 @@
 use silversail_model::topology::RoundTrips;
 use silversail_model::{NodeName, ResultCode, Topology};
 use silversail_peer::GroupId;
-use silversail_simulation::world::{Knowledge, World, WorldSize};
+use silversail_simulation::world::{NodeDiscovery, World, WorldSize};
 use stakker::{actor, call, ret_nop, ret_some_do};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -21,30 +21,36 @@
     voters: 3,
     zones: 3,
     is_hollow: true,
-    knowledge: Knowledge::Contacts([0, 1, 5]),
+    discovery: NodeDiscovery::Contacts([0, 1, 5]),
 };
-/// Longest time from an order to its acknowledgement while a leader can be elected, in
+/// Longest time from an order to its acknowledgement, a leader election included, in
 /// milliseconds.
-const ACKNOWLEDGED_WITHIN: u64 = 4_000;
-/// Longest time from the acknowledgement until the order holds on every node that is not cut
-/// off, in milliseconds: a push, or a heartbeat after a push that was lost.
-const IN_FORCE_WITHIN: u64 = 1_500;
-
-/// Orders the evacuation of zone `z` at a node; tells whether it was acknowledged.
-fn order(world: &mut World, position: usize, evacuated: bool, seen: u64) -> Rc<Cell<bool>> {
+const ACKNOWLEDGEMENT_TIMEOUT_MS: u64 = 4_000;
+/// Longest time from the acknowledgement until every connected node has the order, in
+/// milliseconds. It covers a heartbeat after a lost push.
+const PROPAGATION_TIMEOUT_MS: u64 = 1_500;
+
+/// Proposes an evacuation order for zone `z` at a node. The returned flag is set by its
+/// acknowledgement.
+fn order(
+    world: &mut World,
+    position: usize,
+    evacuated: bool,
+    known_revision: u64,
+) -> Rc<Cell<bool>> {
     let zone = "z".to_owned();
     let order = EvacuationOrder {
         zone,
         evacuated,
-        known_revision: seen,
+        known_revision,
     };
     let command = ControlCommand::Evacuate(order).encode();
     let acknowledged = Rc::new(Cell::new(false));
-    let told = acknowledged.clone();
+    let recorded = acknowledged.clone();
     let ret = ret_some_do!(move |outcome: ProposalOutcome| {
-        told.set(matches!(outcome, ProposalOutcome::Applied(_)));
+        recorded.set(matches!(outcome, ProposalOutcome::Applied(_)));
     });
-    let node = world.places[position].node.as_ref().expect("runs");
+    let node = world.nodes[position].process.as_ref().expect("runs");
     call!(
         [node.actors.control_proposer],
         propose(command, Duration::from_secs(6), ret)
@@ -53,8 +59,8 @@
     acknowledged
 }
 
-fn wait_for(world: &mut World, acknowledged: &Cell<bool>, seed: u64) {
-    for _ in 0..ACKNOWLEDGED_WITHIN / 50 {
+fn wait_for_acknowledgement(world: &mut World, acknowledged: &Cell<bool>, seed: u64) {
+    for _ in 0..ACKNOWLEDGEMENT_TIMEOUT_MS / 50 {
         if acknowledged.get() {
             return;
         }
@@ -63,14 +69,19 @@
     panic!("no acknowledgement, seed {seed}");
 }
 
-/// Whether zone `z` is evacuated on a node; none before its first confirmed state.
+/// Whether a node has zone `z` as evacuated; none before its first confirmed state.
 fn is_evacuated(world: &World, position: usize) -> Option<bool> {
-    let node = world.places[position].node.as_ref().expect("runs");
+    let node = world.nodes[position].process.as_ref().expect("runs");
     let state = node.state.borrow();
     Some(state.evacuations.as_ref()?.contains("z"))
 }
 
-fn assert_everywhere(world: &World, nodes: impl Iterator<Item = usize>, expected: bool, seed: u64) {
+fn assert_evacuated_everywhere(
+    world: &World,
+    nodes: impl Iterator<Item = usize>,
+    expected: bool,
+    seed: u64,
+) {
     for node in nodes {
         let seen = is_evacuated(world, node);
         assert_eq!(seen, Some(expected), "node {node}, seed {seed}");
@@ -78,53 +89,52 @@
 }
 
 #[rstest]
-fn an_order_outlives_its_leader_and_holds_on_all_nodes(
+fn an_order_survives_a_leader_crash_and_reaches_all_nodes(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)] seed: u64,
 ) {
     let mut world = World::new(seed, SIZE);
     world.run_for(4_000);
     let leader = world.leader(GroupId::Control).expect("a leader");
-    let asked = (0..SIZE.nodes).find(|node| *node != leader).expect("one");
-    let acknowledged = order(&mut world, asked, true, 0);
+    let ordering_node = (0..SIZE.nodes).find(|node| *node != leader).expect("one");
+    let acknowledged = order(&mut world, ordering_node, true, 0);
     world.run_for(seed % 4);
     world.crash(leader);
-    wait_for(&mut world, &acknowledged, seed);
+    wait_for_acknowledgement(&mut world, &acknowledged, seed);
     world.start(leader);
-    world.run_for(IN_FORCE_WITHIN);
+    world.run_for(PROPAGATION_TIMEOUT_MS);
     let live = (0..SIZE.nodes).filter(|node| *node != leader);
-    assert_everywhere(&world, live, true, seed);
+    assert_evacuated_everywhere(&world, live, true, seed);
 }
 
-/// A node that is cut off goes on with what it holds; back in touch it takes what was ordered
-/// meanwhile.
+/// An isolated node keeps its last state and applies missed orders once it is reconnected.
 #[rstest]
-fn a_node_that_was_cut_off_takes_the_order_when_it_is_back(#[values(1, 2, 3, 4)] seed: u64) {
+fn an_isolated_node_applies_the_order_after_reconnection(#[values(1, 2, 3, 4)] seed: u64) {
     let mut world = World::new(seed, SIZE);
     world.run_for(4_000);
-    let names: Vec<NodeName> = world.places.iter().map(|one| one.name.clone()).collect();
-    let lost = SIZE.nodes - 1;
-    for other in names.iter().filter(|name| **name != names[lost]) {
+    let names: Vec<NodeName> = world.nodes.iter().map(|slot| slot.name.clone()).collect();
+    let isolated = SIZE.nodes - 1;
+    for other in names.iter().filter(|name| **name != names[isolated]) {
         let mut network = world.network.borrow_mut();
-        let links = &mut network.faults.cut_links;
-        links.insert((names[lost].clone(), other.clone()));
-        links.insert((other.clone(), names[lost].clone()));
+        let links = &mut network.faults.blocked_links;
+        links.insert((names[isolated].clone(), other.clone()));
+        links.insert((other.clone(), names[isolated].clone()));
     }
     let acknowledged = order(&mut world, 3, true, 0);
-    wait_for(&mut world, &acknowledged, seed);
-    world.run_for(IN_FORCE_WITHIN);
-    assert_eq!(is_evacuated(&world, lost), Some(false), "seed {seed}");
-    world.network.borrow_mut().faults.cut_links.clear();
-    world.run_for(2 * IN_FORCE_WITHIN);
-    assert_everywhere(&world, 0..SIZE.nodes, true, seed);
+    wait_for_acknowledgement(&mut world, &acknowledged, seed);
+    world.run_for(PROPAGATION_TIMEOUT_MS);
+    assert_eq!(is_evacuated(&world, isolated), Some(false), "seed {seed}");
+    world.network.borrow_mut().faults.blocked_links.clear();
+    world.run_for(2 * PROPAGATION_TIMEOUT_MS);
+    assert_evacuated_everywhere(&world, 0..SIZE.nodes, true, seed);
 }
 
-/// No process that starts again takes a state from before the acknowledged order.
+/// A restarted process must not load a state that precedes the acknowledged order.
 #[rstest]
-fn an_acknowledged_order_outlives_the_restart_of_all(#[values(1, 2, 3, 4)] seed: u64) {
+fn an_acknowledged_order_survives_a_full_restart(#[values(1, 2, 3, 4)] seed: u64) {
     let mut world = World::new(seed, SIZE);
     world.run_for(4_000);
     let acknowledged = order(&mut world, 4, true, 0);
-    wait_for(&mut world, &acknowledged, seed);
+    wait_for_acknowledgement(&mut world, &acknowledged, seed);
     for node in 0..SIZE.nodes {
         world.crash(node);
     }
@@ -138,16 +148,16 @@
             assert_ne!(seen, Some(false), "node {node}, seed {seed}");
         }
     }
-    assert_everywhere(&world, 0..SIZE.nodes, true, seed);
+    assert_evacuated_everywhere(&world, 0..SIZE.nodes, true, seed);
 }
 
-/// An operator's call at a node.
-struct Call {
+/// Operator request that stores its answer.
+struct RecordedCaller {
     is_waiting: bool,
     answer: Rc<RefCell<Option<Result<u64, ResultCode>>>>,
 }
 
-impl OrderCaller for Call {
+impl OrderCaller for RecordedCaller {
     fn is_waiting(&self) -> bool {
         self.is_waiting
     }
@@ -157,8 +167,9 @@
     }
 }
 
-/// Sends an order to a node's actor, as its surfaces do, and runs until it is answered.
-fn call_node(
+/// Sends an order to the evacuation actor of a node, as its operator API does, and returns the
+/// answer.
+fn order_at_node(
     world: &mut World,
     position: usize,
     zone: &str,
@@ -166,8 +177,8 @@
     is_waiting: bool,
 ) -> Option<Result<u64, ResultCode>> {
     let answer = Rc::new(RefCell::new(None));
-    let told = answer.clone();
-    let node = world.places[position].node.as_mut().expect("runs");
+    let recorded = answer.clone();
+    let node = world.nodes[position].process.as_mut().expect("runs");
     let regions = [("z".to_owned(), "r".to_owned())];
     let topology = Topology::new("z", regions.into(), RoundTrips::default());
     let setup = EvacuationSetup {
@@ -182,9 +193,9 @@
         zone: zone.to_owned(),
         evacuated,
     };
-    let caller = Box::new(Call {
+    let caller = Box::new(RecordedCaller {
         is_waiting,
-        answer: told,
+        answer: recorded,
     });
     call!([actor], order(order, caller));
     world.wake(position);
@@ -193,44 +204,45 @@
     answered
 }
 
-/// A node that knows an old state: what it proposes first is outdated.
-fn with_a_node_that_knows_nothing(seed: u64) -> (World, usize) {
+/// A cluster with an evacuated zone, and a node whose outdated state does not contain it.
+fn cluster_with_an_outdated_node(seed: u64) -> (World, usize) {
     let mut world = World::new(seed, SIZE);
     world.run_for(4_000);
     let acknowledged = order(&mut world, 3, true, 0);
-    wait_for(&mut world, &acknowledged, seed);
-    world.run_for(IN_FORCE_WITHIN);
+    wait_for_acknowledgement(&mut world, &acknowledged, seed);
+    world.run_for(PROPAGATION_TIMEOUT_MS);
     let position = SIZE.nodes - 1;
-    let node = world.places[position].node.as_ref().expect("runs");
+    let node = world.nodes[position].process.as_ref().expect("runs");
     node.state.borrow_mut().evacuations = None;
     (world, position)
 }
 
 #[test]
-fn an_order_at_a_node_with_an_old_state_is_proposed_again_while_its_operator_waits() {
-    let (mut world, position) = with_a_node_that_knows_nothing(5);
-    let answer = call_node(&mut world, position, "z", false, true);
+fn an_order_from_an_outdated_node_is_proposed_again_while_its_operator_waits() {
+    let (mut world, position) = cluster_with_an_outdated_node(5);
+    let answer = order_at_node(&mut world, position, "z", false, true);
     assert_eq!(answer, Some(Ok(2)));
-    world.run_for(IN_FORCE_WITHIN);
-    assert_everywhere(&world, 0..SIZE.nodes, false, 5);
+    world.run_for(PROPAGATION_TIMEOUT_MS);
+    assert_evacuated_everywhere(&world, 0..SIZE.nodes, false, 5);
 }
 
-/// The operator gave up here and went on elsewhere: the copy must not be the last word.
+/// An operator that disconnected may have retried at another node, whose order must not be
+/// overwritten.
 #[test]
-fn an_order_whose_operator_left_is_not_proposed_again() {
-    let (mut world, position) = with_a_node_that_knows_nothing(5);
-    let answer = call_node(&mut world, position, "z", false, false);
+fn an_order_of_a_disconnected_operator_is_not_proposed_again() {
+    let (mut world, position) = cluster_with_an_outdated_node(5);
+    let answer = order_at_node(&mut world, position, "z", false, false);
     assert_eq!(answer, Some(Err(ResultCode::NoLeader)));
-    world.run_for(IN_FORCE_WITHIN);
-    assert_everywhere(&world, 0..SIZE.nodes, true, 5);
+    world.run_for(PROPAGATION_TIMEOUT_MS);
+    assert_evacuated_everywhere(&world, 0..SIZE.nodes, true, 5);
 }
 
 #[rstest]
 #[case::unknown("hall", ResultCode::UnknownZone)]
 #[case::malformed("a zone", ResultCode::InvalidName)]
-fn a_bad_zone_is_refused_before_anything_is_proposed(#[case] zone: &str, #[case] code: ResultCode) {
+fn an_invalid_zone_is_rejected_without_a_proposal(#[case] zone: &str, #[case] code: ResultCode) {
     let mut world = World::new(5, SIZE);
     world.run_for(4_000);
-    let answer = call_node(&mut world, 4, zone, true, true);
+    let answer = order_at_node(&mut world, 4, zone, true, true);
     assert_eq!(answer, Some(Err(code)));
 }
--- a/crates/simulation/tests/formation.rs
+++ b/crates/simulation/tests/formation.rs
@@ -1,18 +1,17 @@
-//! Nodes that know three contact addresses form exactly one cluster, whatever the
-//! order of their starts, and come back into it with empty disks, at new places
-//! and for machines that are gone for good.
+//! Guards against split or missing cluster formation through three contact addresses, and
+//! against members that cannot be replaced after a disk or machine is lost.
 
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 use silversail_peer::GroupId;
-use silversail_simulation::world::{discovering_settings, Knowledge, World, WorldSize};
+use silversail_simulation::world::{discovering_settings, NodeDiscovery, World, WorldSize};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// All start within this time, in milliseconds.
-const STARTS_WITHIN: u64 = 300;
+/// Time within which all nodes start, in milliseconds.
+const MAX_START_SPREAD_MS: u64 = 300;
 
 fn size(nodes: usize, disks: usize, contacts: [usize; 3]) -> WorldSize {
     WorldSize {
@@ -20,27 +19,29 @@
         voters: disks,
         zones: 3,
         is_hollow: true,
-        knowledge: Knowledge::Contacts(contacts),
+        discovery: NodeDiscovery::Contacts(contacts),
     }
 }
 
-/// Starts a world in a random order; some may stay down.
-fn start_in_any_order(world: &mut World, down: &[usize], random: &mut ChaCha8Rng) {
-    let nodes = world.places.len();
+/// Restarts all nodes but those in `down`, in a random order.
+fn start_in_random_order(world: &mut World, down: &[usize], random: &mut ChaCha8Rng) {
+    let nodes = world.nodes.len();
     for position in 0..nodes {
         world.crash(position);
     }
-    let mut order: Vec<usize> = (0..nodes).filter(|one| !down.contains(one)).collect();
+    let mut order: Vec<usize> = (0..nodes)
+        .filter(|position| !down.contains(position))
+        .collect();
     order.shuffle(random);
     for position in order {
-        world.run_for(random.gen_range(0..=STARTS_WITHIN / nodes as u64));
+        world.run_for(random.gen_range(0..=MAX_START_SPREAD_MS / nodes as u64));
         world.start(position);
     }
 }
 
-/// Identities of the groups that were formed.
-fn voters_seen(world: &World) -> Vec<BTreeSet<String>> {
-    let nodes = world.places.iter().filter_map(|place| place.node.as_ref());
+/// Voters of the control group, as each member of a formed group reports them.
+fn reported_voters(world: &World) -> Vec<BTreeSet<String>> {
+    let nodes = world.nodes.iter().filter_map(|slot| slot.process.as_ref());
     nodes
         .filter_map(|node| {
             let status = node.actors.statuses.get(&GroupId::Control)?.borrow();
@@ -50,8 +51,8 @@
         .collect()
 }
 
-fn leaders(world: &World) -> usize {
-    let nodes = world.places.iter().filter_map(|place| place.node.as_ref());
+fn leader_count(world: &World) -> usize {
+    let nodes = world.nodes.iter().filter_map(|slot| slot.process.as_ref());
     nodes
         .filter(|node| {
             let status = node.actors.statuses.get(&GroupId::Control);
@@ -60,9 +61,9 @@
         .count()
 }
 
-fn assert_in_step(world: &World, down: &[usize], seed: u64) {
-    assert_eq!(leaders(world), 1, "seed {seed}");
-    for position in (0..world.places.len()).filter(|one| !down.contains(one)) {
+fn assert_converged(world: &World, down: &[usize], seed: u64) {
+    assert_eq!(leader_count(world), 1, "seed {seed}");
+    for position in (0..world.nodes.len()).filter(|position| !down.contains(position)) {
         assert_eq!(
             world.revision(position),
             Some(0),
@@ -77,19 +78,19 @@
 #[case(9, 3)]
 #[case(30, 5)]
 #[case(90, 8)]
-fn one_group_forms_in_any_order_of_starts(#[case] nodes: usize, #[case] disks: usize) {
+fn one_group_forms_whatever_the_start_order(#[case] nodes: usize, #[case] disks: usize) {
     let seeds = if nodes > 20 { 4 } else { 25 };
     for seed in 0..seeds {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut all: Vec<usize> = (0..nodes).collect();
         all.shuffle(&mut random);
-        // Contact addresses may be of nodes with or without a disk.
+        // A contact may be a node with or without a disk.
         let contacts = [all[0], all[1], all[2]];
         let mut world = World::new(seed, size(nodes, disks, contacts));
-        start_in_any_order(&mut world, &[], &mut random);
+        start_in_random_order(&mut world, &[], &mut random);
         world.run_for(6_000);
-        assert_in_step(&world, &[], seed);
-        let groups = voters_seen(&world);
+        assert_converged(&world, &[], seed);
+        let groups = reported_voters(&world);
         assert_eq!(groups.len(), disks, "seed {seed}");
         assert!(
             groups.iter().all(|voters| voters.len() == disks),
@@ -99,23 +100,23 @@
 }
 
 #[rstest]
-fn one_contact_address_may_be_of_a_node_that_is_down(#[values(0, 5)] down: usize) {
+fn a_cluster_forms_while_one_contact_is_down(#[values(0, 5)] down: usize) {
     for seed in 0..10 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let contacts = [down, 1, 6];
         let mut world = World::new(seed, size(10, 4, contacts));
-        start_in_any_order(&mut world, &[down], &mut random);
+        start_in_random_order(&mut world, &[down], &mut random);
         world.run_for(6_000);
-        assert_in_step(&world, &[down], seed);
-        // It comes later, and into the same cluster.
+        assert_converged(&world, &[down], seed);
+        // It starts later and joins the same cluster.
         world.start(down);
         world.run_for(4_000);
-        assert_in_step(&world, &[], seed);
+        assert_converged(&world, &[], seed);
     }
 }
 
 #[test]
-fn without_the_flag_of_a_first_start_no_group_forms() {
+fn no_group_forms_without_the_first_start_setting() {
     let contacts = [0, 1, 2];
     let size = size(6, 3, contacts);
     let mut world = World::new(1, size);
@@ -123,17 +124,17 @@
         world.crash(position);
         world.wipe(position);
         let settings = discovering_settings(position, size, contacts, false);
-        world.places[position].parts.settings = Arc::new(settings);
+        world.nodes[position].parts.settings = Arc::new(settings);
     }
     for position in 0..6 {
         world.start(position);
     }
     world.run_for(10_000);
-    assert_eq!(voters_seen(&world).len(), 0);
+    assert_eq!(reported_voters(&world).len(), 0);
 }
 
 #[test]
-fn an_emptied_disk_comes_back_as_a_new_member_of_the_same_group() {
+fn a_voter_with_a_wiped_disk_rejoins_the_same_group() {
     for seed in 0..10 {
         let contacts = [0, 1, 5];
         let mut world = World::new(seed, size(9, 3, contacts));
@@ -142,12 +143,12 @@
         world.crash(wiped);
         world.wipe(wiped);
         let settings = discovering_settings(wiped, size(9, 3, contacts), contacts, false);
-        world.places[wiped].parts.settings = Arc::new(settings);
+        world.nodes[wiped].parts.settings = Arc::new(settings);
         world.run_for(700);
         world.start(wiped);
         world.run_for(4_000);
-        assert_in_step(&world, &[], seed);
-        let groups = voters_seen(&world);
+        assert_converged(&world, &[], seed);
+        let groups = reported_voters(&world);
         assert!(
             groups.iter().all(|voters| voters.len() == 3),
             "seed {seed}: {groups:?}"
@@ -156,36 +157,36 @@
 }
 
 #[test]
-fn a_machine_gone_for_good_gives_its_place_to_its_successor() {
+fn a_new_node_replaces_a_failed_voter() {
     for seed in 0..10 {
         let contacts = [0, 1, 5];
-        // Node 3 has a disk and starts when node `gone` is gone.
+        // Node 3 has a disk and starts only after node `removed` has failed.
         let all = size(9, 4, contacts);
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut world = World::new(seed, all);
-        start_in_any_order(&mut world, &[3], &mut random);
+        start_in_random_order(&mut world, &[3], &mut random);
         world.run_for(5_000);
-        let gone = (seed % 3) as usize;
-        world.crash(gone);
+        let removed = (seed % 3) as usize;
+        world.crash(removed);
         world.run_for(1_000);
         let settings = discovering_settings(3, all, contacts, false);
-        world.places[3].parts.settings = Arc::new(settings);
+        world.nodes[3].parts.settings = Arc::new(settings);
         world.start(3);
         world.run_for(6_000);
-        assert_in_step(&world, &[gone], seed);
+        assert_converged(&world, &[removed], seed);
         let expected: BTreeSet<String> = (0..4)
-            .filter(|node| *node != gone)
+            .filter(|node| *node != removed)
             .map(|node| format!("n{node:03}"))
             .collect();
-        let groups = voters_seen(&world);
+        let groups = reported_voters(&world);
         assert!(
             groups.iter().all(|voters| *voters == expected),
             "seed {seed}: {groups:?}"
         );
-        // The repaired group bears the next loss.
-        let next = (gone + 1) % 3;
+        // The repaired group survives the failure of another voter.
+        let next = (removed + 1) % 3;
         world.crash(next);
         world.run_for(5_000);
-        assert_eq!(leaders(&world), 1, "seed {seed}");
+        assert_eq!(leader_count(&world), 1, "seed {seed}");
     }
 }
--- a/crates/simulation/tests/relays.rs
+++ b/crates/simulation/tests/relays.rs
@@ -1,11 +1,11 @@
-//! A node keeps in step when its relay is cut off from the other voters but not
-//! from the node.
+//! Guards against stale nodes whose relay still answers them but has lost its connection to
+//! the other voters.
 
 use rstest::rstest;
 use silversail_control::{ChangeRequest, ControlCommand};
 use silversail_model::{ConfigurationDocument, NodeName};
 use silversail_peer::GroupId;
-use silversail_simulation::world::{Knowledge, World, WorldSize};
+use silversail_simulation::world::{NodeDiscovery, World, WorldSize};
 use stakker::{call, ret_nop};
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
     voters: 3,
     zones: 3,
     is_hollow: true,
-    knowledge: Knowledge::Settings,
+    discovery: NodeDiscovery::StaticSettings,
 };
 
-fn change(world: &mut World, position: usize) {
+fn propose_change(world: &mut World, position: usize) {
     let request = ChangeRequest {
         change_id: "c1".into(),
         base_revision: 0,
@@ -25,7 +25,7 @@
         document: ConfigurationDocument::default(),
     };
     let command = ControlCommand::Change(request).encode();
-    let node = world.places[position].node.as_ref().expect("runs");
+    let node = world.nodes[position].process.as_ref().expect("runs");
     call!(
         [node.actors.control_proposer],
         propose(command, Duration::from_secs(3), ret_nop!())
@@ -33,33 +33,33 @@
     world.wake(position);
 }
 
-/// Cuts `behind` off from the other voters, then changes the configuration. The
-/// nodes that do not vote all reach every voter.
-fn change_behind_a_cut(seed: u64, behind: usize) {
+/// Disconnects the relay `disconnected` from the other voters and changes the configuration.
+/// The nodes that do not vote keep their connections to every voter.
+fn check_disconnected_relay(seed: u64, disconnected: usize) {
     let mut world = World::new(seed, SIZE);
     world.run_for(4_000);
     let leader = world.leader(GroupId::Control).expect("a leader");
-    if leader == behind {
+    if leader == disconnected {
         return;
     }
-    // Started now, each node takes the relay of its zone; at the first start all
-    // end up with the leader, which is the first to be confirmed.
+    // After a restart each node uses the relay of its zone; at the first start all use the
+    // leader, which is confirmed first.
     for node in SIZE.voters..SIZE.nodes {
         world.crash(node);
         world.start(node);
     }
-    // Long enough that no former relay pushes to them any more.
+    // Former relays have stopped their pushes after this time.
     world.run_for(7_000);
-    let names: Vec<NodeName> = world.places.iter().map(|one| one.name.clone()).collect();
-    for other in (0..SIZE.voters).filter(|other| *other != behind) {
+    let names: Vec<NodeName> = world.nodes.iter().map(|slot| slot.name.clone()).collect();
+    for other in (0..SIZE.voters).filter(|other| *other != disconnected) {
         let mut network = world.network.borrow_mut();
-        let links = &mut network.faults.cut_links;
-        links.insert((names[behind].clone(), names[other].clone()));
-        links.insert((names[other].clone(), names[behind].clone()));
+        let links = &mut network.faults.blocked_links;
+        links.insert((names[disconnected].clone(), names[other].clone()));
+        links.insert((names[other].clone(), names[disconnected].clone()));
     }
-    // The relay still answers from what it applied before the cut.
+    // The relay still answers with the state from before the disconnection.
     world.run_for(500);
-    change(&mut world, leader);
+    propose_change(&mut world, leader);
     world.run_for(2_000);
     for node in SIZE.voters..SIZE.nodes {
         assert_eq!(world.revision(node), Some(1), "node {node}, seed {seed}");
@@ -67,9 +67,9 @@
 }
 
 #[rstest]
-fn nodes_leave_a_relay_that_is_cut_off_from_the_other_voters(
+fn nodes_leave_a_relay_that_is_disconnected_from_the_other_voters(
     #[values(1, 2, 3, 4, 5)] seed: u64,
-    #[values(0, 1, 2)] behind: usize,
+    #[values(0, 1, 2)] disconnected: usize,
 ) {
-    change_behind_a_cut(seed, behind);
+    check_disconnected_relay(seed, disconnected);
 }
--- a/crates/simulation/tests/rollouts/harness.rs
+++ b/crates/simulation/tests/rollouts/harness.rs
@@ -1,7 +1,7 @@
-//! A cluster whose nodes serve a small made-up traffic by what they hold of rollouts, as the data
-//! path does: they send to the candidate only with a permit and within the directive.
+//! A simulated cluster whose nodes serve simulated requests by their rollout state: like the data
+//! path they send to the candidate only with a permit and within the directive.
 
-use crate::traffic::{count, evidence_of, goes_to_candidate, is_loaded};
+use crate::traffic::{evidence_of, goes_to_candidate, is_loaded, record_response};
 use silversail_control::{ControlCommand, PublishedTraffic};
 use silversail_daemon::metrics::Metrics;
 use silversail_daemon::replica::ProposalOutcome;
@@ -11,7 +11,7 @@
 use silversail_model::{NodeName, TrafficConfiguration};
 use silversail_peer::{BackendListEntry, GroupId};
 use silversail_rollout::{Evidence, Rollout, RolloutNumber, RolloutOrder, RolloutState};
-use silversail_simulation::world::{Knowledge, World, WorldSize};
+use silversail_simulation::world::{NodeDiscovery, World, WorldSize};
 use stakker::{actor, call, ret_nop, ret_some_do, ActorOwn};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -23,42 +23,42 @@
     voters: 3,
     zones: 3,
     is_hollow: true,
-    knowledge: Knowledge::Contacts([0, 1, 5]),
+    discovery: NodeDiscovery::Contacts([0, 1, 5]),
 };
-/// Longest time from an order to its acknowledgement while a leader can be elected, in
+/// Longest time from an order to its acknowledgement, a leader election included, in
 /// milliseconds.
-pub const ACKNOWLEDGED_WITHIN: u64 = 5_000;
-/// The service of most tests; there are `s0` to `s7`.
+pub const ACKNOWLEDGEMENT_TIMEOUT_MS: u64 = 5_000;
+/// Service of most tests, one of `s0` to `s7`.
 pub const SERVICE: &str = "s0";
 /// Duration of the orders, in milliseconds.
 pub const DURATION_MS: u64 = 12_000;
 const SERVICES: usize = 8;
 
-/// Between two turns of the made-up traffic, in milliseconds.
-const TURN_MS: u64 = 50;
-/// Between two reads of the list of back ends, in milliseconds.
-const LIST_READ_EVERY_MS: u64 = 500;
-/// Requests of a node in a turn.
-const REQUESTS_PER_TURN: u64 = 2;
+/// Interval between two rounds of simulated requests, in milliseconds.
+const ROUND_MS: u64 = 50;
+/// Interval between two reads of the backend list, in milliseconds.
+const LIST_READ_INTERVAL_MS: u64 = 500;
+/// Number of requests of a node in each round.
+const REQUESTS_PER_ROUND: u64 = 2;
 
-/// How good the candidate is.
+/// Quality of the candidate version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Candidate {
+pub enum CandidateQuality {
     /// As good as the baseline.
     Good,
-    /// Half of its answers fail.
+    /// Half of its responses fail.
     Bad,
-    /// 60 in 100 of its answers fail while it has more than a third of the requests.
+    /// 60 in 100 of its responses fail while it has more than a third of the requests.
     BadUnderLoad,
 }
 
-/// What an operator's call came to.
+/// Outcome of an operator request; none until it is answered.
 pub type Answer = Rc<RefCell<Option<RolloutOutcome>>>;
 
-/// An operator who waits.
-struct Call(Answer);
+/// Operator request that waits for its answer.
+struct RecordedCaller(Answer);
 
-impl RolloutCaller for Call {
+impl RolloutCaller for RecordedCaller {
     fn is_waiting(&self) -> bool {
         true
     }
@@ -69,30 +69,30 @@
 }
 
 pub struct Cluster {
-    // Before the world, as actors must end before the runtime of their node.
+    // Declared before the world, as actors must be dropped before the runtime of their node.
     actors: Vec<ActorOwn<RolloutActor>>,
     pub world: World,
     pub seed: u64,
-    pub candidate: Candidate,
-    /// Whether the list names no back ends of the old version.
+    pub candidate: CandidateQuality,
+    /// Whether the backend list has no back ends of the baseline version.
     pub is_candidate_alone: bool,
-    /// Requests sent to the candidate: when, and by which node.
-    pub exposed: Vec<(u64, usize)>,
-    /// When answers of the candidate failed.
-    pub bad_answers: Vec<u64>,
+    /// Virtual time and sending node of each request to the candidate.
+    pub candidate_requests: Vec<(u64, usize)>,
+    /// Virtual time of each failed response of the candidate.
+    pub candidate_failures: Vec<u64>,
 }
 
 impl Cluster {
     /// A formed cluster with eight services, and back ends of versions `v1` and `v2`.
-    pub fn start(seed: u64, candidate: Candidate) -> Self {
+    pub fn start(seed: u64, candidate: CandidateQuality) -> Self {
         let mut cluster = Self {
             actors: Vec::new(),
             world: World::new(seed, SIZE),
             seed,
             candidate,
             is_candidate_alone: false,
-            exposed: Vec::new(),
-            bad_answers: Vec::new(),
+            candidate_requests: Vec::new(),
+            candidate_failures: Vec::new(),
         };
         cluster.world.run_for(4_000);
         cluster.publish();
@@ -125,11 +125,11 @@
         let published = PublishedTraffic { document, traffic };
         let command = ControlCommand::Publish(published).encode();
         let is_done = Rc::new(Cell::new(false));
-        let told = is_done.clone();
+        let is_recorded = is_done.clone();
         let ret = ret_some_do!(move |outcome: ProposalOutcome| {
-            told.set(matches!(outcome, ProposalOutcome::Applied(_)));
+            is_recorded.set(matches!(outcome, ProposalOutcome::Applied(_)));
         });
-        let node = self.world.places[0].node.as_ref().expect("runs");
+        let node = self.world.nodes[0].process.as_ref().expect("runs");
         let proposer = &node.actors.control_proposer;
         call!([proposer], propose(command, Duration::from_secs(6), ret));
         self.world.wake(0);
@@ -137,47 +137,47 @@
         assert!(is_done.get(), "no configuration, seed {}", self.seed);
     }
 
-    /// Runs for a while, with traffic and reads of the list.
+    /// Runs for `duration` milliseconds, with simulated requests and reads of the list.
     pub fn run_for(&mut self, duration: u64) {
         let end = self.world.now() + duration;
         while self.world.now() < end {
             let now = self.world.now();
-            let next = (now / TURN_MS + 1) * TURN_MS;
+            let next = (now / ROUND_MS + 1) * ROUND_MS;
             self.world.run_until(next.min(end));
             if self.world.now() == next {
-                self.turn(next);
+                self.run_round(next);
             }
         }
     }
 
-    /// Runs until a condition holds; false when it does not in time.
-    pub fn run_until(&mut self, timeout: u64, mut holds: impl FnMut(&Cluster) -> bool) -> bool {
+    /// Runs until `condition` holds; false when it does not within `timeout` milliseconds.
+    pub fn run_until(&mut self, timeout: u64, mut condition: impl FnMut(&Cluster) -> bool) -> bool {
         let end = self.world.now() + timeout;
         while self.world.now() < end {
-            if holds(self) {
+            if condition(self) {
                 return true;
             }
             self.run_for(5);
         }
-        holds(self)
+        condition(self)
     }
 
-    fn turn(&mut self, now: u64) {
+    fn run_round(&mut self, now: u64) {
         for position in 0..SIZE.nodes {
             self.serve(position, now);
         }
         let leader = self.leader();
-        if let (Some(leader), true) = (leader, now.is_multiple_of(LIST_READ_EVERY_MS)) {
-            let node = self.world.places[leader].node.as_ref().expect("runs");
-            node.actors.list_read(self.listing());
+        if let (Some(leader), true) = (leader, now.is_multiple_of(LIST_READ_INTERVAL_MS)) {
+            let node = self.world.nodes[leader].process.as_ref().expect("runs");
+            node.actors.list_read(self.backend_list());
             self.world.wake(leader);
         }
     }
 
     fn serve(&mut self, position: usize, now: u64) {
         let instant = self.world.instant();
-        let place = &self.world.places[position];
-        let (Some(node), None) = (&place.node, place.frozen_until) else {
+        let slot = &self.world.nodes[position];
+        let (Some(node), None) = (&slot.process, slot.frozen_until) else {
             return;
         };
         let mut state = node.state.borrow_mut();
@@ -188,7 +188,7 @@
         };
         let is_current = |evidence: &Evidence| {
             let mut rollouts = rollouts.iter();
-            rollouts.any(|one| one.number == evidence.rollout && one.is_in_progress())
+            rollouts.any(|rollout| rollout.number == evidence.rollout && rollout.is_in_progress())
         };
         state.rollout_evidence.retain(is_current);
         for rollout in &rollouts {
@@ -197,14 +197,14 @@
             };
             let evidence = evidence_of(&mut state, rollout.number);
             evidence.step = directive.step;
-            for _ in 0..REQUESTS_PER_TURN {
+            for _ in 0..REQUESTS_PER_ROUND {
                 let to_candidate = is_permitted && goes_to_candidate(evidence, directive);
                 if to_candidate {
-                    self.exposed.push((now, position));
+                    self.candidate_requests.push((now, position));
                 }
                 let is_loaded = is_loaded(directive);
-                if !count(evidence, to_candidate, self.candidate, is_loaded) {
-                    self.bad_answers.push(now);
+                if !record_response(evidence, to_candidate, self.candidate, is_loaded) {
+                    self.candidate_failures.push(now);
                 }
             }
         }
@@ -214,22 +214,25 @@
         self.world.leader(GroupId::Control)
     }
 
-    /// The leader's position; there must be one.
-    pub fn present_leader(&self) -> usize {
+    /// Position of the leader.
+    ///
+    /// # Panics
+    /// When there is no leader.
+    pub fn expect_leader(&self) -> usize {
         self.leader().expect("a leader")
     }
 
-    /// Another node than the leader, that does not vote.
+    /// A node that does not vote.
     pub fn other_node(&self) -> usize {
         SIZE.voters + (self.seed as usize % (SIZE.nodes - SIZE.voters))
     }
 
-    /// Orders a rollout at a node, as its surfaces do.
+    /// Orders a rollout at a node, as its operator API does.
     pub fn order(&mut self, position: usize, service: &str, version: &str) -> Answer {
-        self.order_in(position, service, version, DURATION_MS)
+        self.order_with_duration(position, service, version, DURATION_MS)
     }
 
-    pub fn order_in(
+    pub fn order_with_duration(
         &mut self,
         position: usize,
         service: &str,
@@ -246,7 +249,7 @@
         })
     }
 
-    /// Takes a rollout back at a node.
+    /// Aborts a rollout at a node.
     pub fn abort(&mut self, position: usize, service: &str) -> Answer {
         let service = service.to_owned();
         self.call(position, |actor, caller| {
@@ -257,10 +260,10 @@
     fn call(
         &mut self,
         position: usize,
-        send: impl FnOnce(&ActorOwn<RolloutActor>, Box<Call>),
+        send: impl FnOnce(&ActorOwn<RolloutActor>, Box<RecordedCaller>),
     ) -> Answer {
         let answer = Answer::default();
-        let node = self.world.places[position].node.as_mut().expect("runs");
+        let node = self.world.nodes[position].process.as_mut().expect("runs");
         let setup = RolloutSetup {
             state: node.state.clone(),
             proposer: (*node.actors.control_proposer).clone(),
@@ -270,44 +273,44 @@
         };
         let stakker = &mut node.stakker;
         let actor = actor!(stakker, RolloutActor::init(setup), ret_nop!());
-        send(&actor, Box::new(Call(answer.clone())));
+        send(&actor, Box::new(RecordedCaller(answer.clone())));
         self.actors.push(actor);
         self.world.wake(position);
         answer
     }
 
-    /// Waits for an acknowledgement and tells the rollout's number.
-    pub fn acknowledged(&mut self, answer: &Answer) -> RolloutNumber {
-        self.run_until(ACKNOWLEDGED_WITHIN, |_| answer.borrow().is_some());
+    /// Waits for the acknowledgement of an order; returns the number of the rollout.
+    pub fn wait_for_acknowledgement(&mut self, answer: &Answer) -> RolloutNumber {
+        self.run_until(ACKNOWLEDGEMENT_TIMEOUT_MS, |_| answer.borrow().is_some());
         match answer.borrow().as_ref() {
             Some(Ok(number)) => *number,
             other => panic!(
-                "{other:?} in place of an acknowledgement, seed {}",
+                "{other:?} instead of an acknowledgement, seed {}",
                 self.seed
             ),
         }
     }
 
-    /// Sends an order to node after node, each for a second, until it is acknowledged, as
-    /// operators do.
+    /// Sends an order to one node after another, with a timeout of a second, until it is
+    /// acknowledged.
     pub fn order_until_acknowledged(&mut self, service: &str, version: &str) -> RolloutNumber {
         let first = self.other_node();
-        for attempt in 0..ACKNOWLEDGED_WITHIN / 1_000 {
+        for attempt in 0..ACKNOWLEDGEMENT_TIMEOUT_MS / 1_000 {
             let position = (first + attempt as usize) % SIZE.nodes;
-            if self.world.places[position].node.is_none() {
+            if self.world.nodes[position].process.is_none() {
                 continue;
             }
             let answer = self.order(position, service, version);
             if self.run_until(1_000, |_| matches!(&*answer.borrow(), Some(Ok(_)))) {
-                return self.acknowledged(&answer);
+                return self.wait_for_acknowledgement(&answer);
             }
         }
         panic!("no acknowledgement, seed {}", self.seed);
     }
 
-    /// What a running node holds of a service's rollout.
-    pub fn held(&self, position: usize, service: &str) -> Option<Rollout> {
-        let node = self.world.places[position].node.as_ref()?;
+    /// Latest rollout of a service in the state of a running node.
+    pub fn rollout_at(&self, position: usize, service: &str) -> Option<Rollout> {
+        let node = self.world.nodes[position].process.as_ref()?;
         let state = node.state.borrow();
         state.rollouts.as_ref()?.latest_of_service(service).cloned()
     }
@@ -315,23 +318,27 @@
     /// Whether a running node may send to candidates.
     pub fn is_permitted(&self, position: usize) -> bool {
         let instant = self.world.instant();
-        let node = self.world.places[position].node.as_ref().expect("runs");
+        let node = self.world.nodes[position].process.as_ref().expect("runs");
         let now = node.clock.millis(instant);
         node.state.borrow().has_rollout_permit(now)
     }
 
     /// Whether a service's latest rollout has a state on all running nodes.
-    pub fn is_everywhere(&self, service: &str, is_wanted: impl Fn(&RolloutState) -> bool) -> bool {
-        let running = (0..SIZE.nodes).filter(|node| self.world.places[*node].node.is_some());
+    pub fn is_everywhere(
+        &self,
+        service: &str,
+        is_expected: impl Fn(&RolloutState) -> bool,
+    ) -> bool {
+        let running = (0..SIZE.nodes).filter(|node| self.world.nodes[*node].process.is_some());
         running
-            .filter(|node| self.world.places[*node].frozen_until.is_none())
+            .filter(|node| self.world.nodes[*node].frozen_until.is_none())
             .all(|node| {
-                self.held(node, service)
-                    .is_some_and(|one| is_wanted(&one.state))
+                self.rollout_at(node, service)
+                    .is_some_and(|rollout| is_expected(&rollout.state))
             })
     }
 
-    fn listing(&self) -> Vec<BackendListEntry> {
+    fn backend_list(&self) -> Vec<BackendListEntry> {
         let versions: &[&str] = match self.is_candidate_alone {
             true => &["v2"],
             false => &["v1", "v2"],
@@ -359,13 +366,13 @@
             .collect()
     }
 
-    /// Cuts a node off from all others, or ends that.
-    pub fn cut(&mut self, position: usize, is_cut: bool) {
-        let name: NodeName = self.world.places[position].name.clone();
-        let cut_off = &mut self.world.network.borrow_mut().faults.cut_off;
-        match is_cut {
-            true => cut_off.insert(name),
-            false => cut_off.remove(&name),
+    /// Isolates a node from all others, or ends its isolation.
+    pub fn set_isolated(&mut self, position: usize, is_isolated: bool) {
+        let name: NodeName = self.world.nodes[position].name.clone();
+        let isolated_nodes = &mut self.world.network.borrow_mut().faults.isolated_nodes;
+        match is_isolated {
+            true => isolated_nodes.insert(name),
+            false => isolated_nodes.remove(&name),
         };
     }
 }
--- a/crates/simulation/tests/rollouts/main.rs
+++ b/crates/simulation/tests/rollouts/main.rs
@@ -1,7 +1,7 @@
-//! Rollouts under failure: orders that are acknowledged hold, ends reach every node, and a node
-//! that can't confirm what it holds sends nothing to a candidate.
+//! Rollouts under faults: guards against lost orders, rollouts that do not end on every node, and
+//! nodes that send to a candidate without a valid permit.
 
-mod bounds;
+mod deadlines;
 mod failures;
 mod harness;
 mod orders;
