--- a/crates/storage/src/errors.rs
+++ b/crates/storage/src/errors.rs
@@ -2,33 +2,34 @@
 
 use std::path::PathBuf;
 
-/// Why stored state can't be read or written.
+/// Error of reading or writing stored state.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
-    /// An operation on a file failed.
+    /// A file operation failed.
     #[error("{operation} {path}: {source}")]
     Io {
-        /// What was tried.
+        /// Operation that failed.
         operation: &'static str,
-        /// Which file.
+        /// File or folder of the operation.
         path: PathBuf,
-        /// The system's answer.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A record is damaged and valid records follow it, so it was synced once.
+    /// Synced data is damaged: a record that valid records follow, or a file that was
+    /// written as a whole.
     #[error("{path} is damaged at byte {offset}: {detail}")]
     Corrupt {
-        /// Which file.
+        /// Damaged file.
         path: PathBuf,
-        /// Where.
+        /// Offset of the damage, in bytes.
         offset: u64,
-        /// What is wrong.
+        /// Description of the damage.
         detail: String,
     },
-    /// Another process holds the folder.
+    /// Another process has locked the folder.
     #[error("{path} is in use by another process")]
     Locked {
-        /// The lock file.
+        /// Path of the lock file.
         path: PathBuf,
     },
 }
--- a/crates/storage/src/file.rs
+++ b/crates/storage/src/file.rs
@@ -1,19 +1,19 @@
-//! Replacing a file so that either the old or the new content survives.
+//! Atomic replacement of files, with folder syncs.
 
 use crate::errors::StorageError;
 use std::fs::{self, File};
 use std::io::Write;
 use std::path::Path;
 
-/// Makes the folder's entries durable.
+/// Syncs the entries of a folder.
 pub fn sync_folder(folder: &Path) -> Result<(), StorageError> {
     File::open(folder)
         .and_then(|handle| handle.sync_all())
         .map_err(StorageError::io("sync folder", folder))
 }
 
-/// Writes `content` to `name` in `folder` by a temporary file and a rename;
-/// synced when it returns.
+/// Atomically replaces the file `name` in `folder` through a temporary file and a
+/// rename. The new content is durable when this returns.
 pub fn replace_file(folder: &Path, name: &str, content: &[u8]) -> Result<(), StorageError> {
     let temporary = folder.join(format!("{name}.new"));
     let path = folder.join(name);
@@ -26,7 +26,7 @@
     sync_folder(folder)
 }
 
-/// Reads a file; none when it does not exist.
+/// Reads a whole file; none when it does not exist.
 pub fn read_file(path: &Path) -> Result<Option<Vec<u8>>, StorageError> {
     match fs::read(path) {
         Ok(content) => Ok(Some(content)),
--- a/crates/storage/src/folder_lock.rs
+++ b/crates/storage/src/folder_lock.rs
@@ -1,17 +1,17 @@
-//! Keeps a second process out of a data folder.
+//! Exclusive lock of a data folder.
 
 use crate::errors::StorageError;
 use std::fs::{File, OpenOptions, TryLockError};
 use std::path::Path;
 
-/// Holds the folder until dropped or until the process ends.
+/// Lock of a data folder. It is released when it is dropped or the process ends.
 pub struct FolderLock {
     _file: File,
 }
 
 impl FolderLock {
-    /// Creates the folder if missing and takes its lock, or says that another
-    /// process holds it.
+    /// Creates the folder if it is missing and locks it. Returns
+    /// [`StorageError::Locked`] if another process has the lock.
     pub fn acquire(folder: &Path) -> Result<Self, StorageError> {
         std::fs::create_dir_all(folder).map_err(StorageError::io("create folder", folder))?;
         let path = folder.join("lock");
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,9 +1,9 @@
-//! The stored state of one replica: its identity, a snapshot and a write-ahead
-//! log in one folder. What a call reports as written is synced.
+//! Stored state of one replica: its identity, a snapshot and a write-ahead log in
+//! one folder. A write is synced before it is reported.
 //!
-//! Files: `identity` (the replica's identity, written once), `snapshot` (the
-//! newest snapshot) and `log` (records after it). Each record carries checksums
-//! of its header and of its content.
+//! The files are `identity` (the identity of the replica, written once), `snapshot`
+//! (the newest snapshot) and `log` (the records after it). Each record has checksums
+//! of its header and its content.
 
 pub mod errors;
 pub mod file;
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -1,25 +1,25 @@
-//! The framing of records: a header of lengths and checksums, then the content.
+//! Record framing: a header with length and checksums, followed by the content.
 
 use serde::{Deserialize, Serialize};
 use silversail_consensus::{Entry, HardState};
 
-/// Bytes of a record's header: content length, content checksum, checksum of
-/// these two; each 4 bytes, little endian.
+/// Size of a record header in bytes: content length, content checksum and the
+/// checksum of these two, each 4 bytes in little-endian order.
 pub const HEADER_BYTES: usize = 12;
 
-/// One record of the log file.
+/// A record of the log file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// Term and vote.
+    /// Current term and vote, which replace the earlier ones.
     HardState(HardState),
-    /// An entry; it replaces the one at its index and all that follow.
+    /// Log entry, which replaces the entry at its index and all later ones.
     Entry(Entry),
 }
 
-/// Why no record could be read at a position.
+/// Reason for which no record can be read at a position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// The bytes end before the record does.
+    /// The data ends within the record.
     Incomplete,
     /// A checksum does not match.
     Damaged,
@@ -36,11 +36,16 @@
     buffer.extend_from_slice(content);
 }
 
-/// Reads the frame at the start of `bytes`: its content.
+/// Returns the content of the frame at the start of `bytes`.
 pub fn read_frame(bytes: &[u8]) -> Result<&[u8], FrameError> {
     let header = bytes.get(..HEADER_BYTES).ok_or(FrameError::Incomplete)?;
-    let field = |at: usize| {
-        u32::from_le_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]])
+    let field = |offset: usize| {
+        u32::from_le_bytes([
+            header[offset],
+            header[offset + 1],
+            header[offset + 2],
+            header[offset + 3],
+        ])
     };
     if crc32fast::hash(&header[..8]) != field(8) {
         return Err(FrameError::Damaged);
@@ -53,8 +58,8 @@
     Ok(content)
 }
 
-/// Whether any valid frame starts in `bytes`. Used to tell a torn tail, which
-/// nothing follows, from damage to what was synced.
+/// Whether a valid frame starts anywhere in `bytes`. A torn tail has no valid frame
+/// after it, unlike damaged data that was synced.
 pub fn contains_frame(bytes: &[u8]) -> bool {
     (0..bytes.len())
         .any(|start| read_frame(&bytes[start..]).is_ok_and(|content| !content.is_empty()))
--- a/crates/storage/src/replica_store.rs
+++ b/crates/storage/src/replica_store.rs
@@ -1,4 +1,4 @@
-//! The files of one replica.
+//! Files of one replica.
 
 use crate::errors::StorageError;
 use crate::file::{read_file, replace_file};
@@ -13,20 +13,19 @@
 const SNAPSHOT_FILE: &str = "snapshot";
 const LOG_FILE: &str = "log";
 
-/// What was found in a replica's folder.
+/// Result of opening the folder of a replica.
 pub struct OpenedReplica {
-    /// The store, ready for writes.
+    /// Store, which is ready for writes.
     pub store: ReplicaStore,
-    /// Identity of the replica; drawn by the caller's `new_identity` when the
-    /// folder was empty.
+    /// Identity of the replica; created with `new_identity` if the folder was empty.
     pub identity: ReplicaId,
-    /// The stored state; none until the group has formed or been joined.
+    /// Stored state; none until the replica has formed or joined a group.
     pub state: Option<StoredState>,
-    /// Bytes of a torn tail that were cut off the log.
+    /// Size of the torn tail that was truncated from the log, in bytes.
     pub torn_bytes: u64,
 }
 
-/// The open files of one replica.
+/// Open files of one replica.
 pub struct ReplicaStore {
     folder: PathBuf,
     log: File,
@@ -34,8 +33,8 @@
 }
 
 impl ReplicaStore {
-    /// Opens or creates the folder of a replica. The identity is synced before
-    /// this returns, so that it is never announced and then forgotten.
+    /// Opens or creates the folder of a replica. The identity is synced before this
+    /// returns, so that the replica cannot lose an identity that it has announced.
     pub fn open(
         folder: &Path,
         new_identity: impl FnOnce() -> ReplicaId,
@@ -44,21 +43,21 @@
         if let Some(parent) = folder.parent() {
             crate::file::sync_folder(parent)?;
         }
-        let stored_identity: Option<ReplicaId> = read_framed(&folder.join(IDENTITY_FILE))?;
+        let stored_identity: Option<ReplicaId> = read_frame_file(&folder.join(IDENTITY_FILE))?;
         let identity = match stored_identity {
             Some(identity) => identity,
             None => {
                 let identity = new_identity();
-                replace_file(folder, IDENTITY_FILE, &framed(&identity))?;
+                replace_file(folder, IDENTITY_FILE, &encode_frame(&identity))?;
                 identity
             }
         };
-        let snapshot: Option<Snapshot> = read_framed(&folder.join(SNAPSHOT_FILE))?;
+        let snapshot: Option<Snapshot> = read_frame_file(&folder.join(SNAPSHOT_FILE))?;
         let (mut store, hard_state, entries, torn_bytes) = Self::open_log(folder)?;
         let state = match snapshot {
-            Some(snapshot) => Some(Self::assemble(folder, snapshot, hard_state, entries)?),
+            Some(snapshot) => Some(Self::build_state(folder, snapshot, hard_state, entries)?),
             None => {
-                // Without a snapshot the group never formed here.
+                // Without a snapshot the replica has never been a member of a group.
                 store.rewrite_log(&HardState::default(), &[])?;
                 None
             }
@@ -71,22 +70,28 @@
         })
     }
 
-    fn assemble(
+    fn build_state(
         folder: &Path,
         snapshot: Snapshot,
         hard_state: HardState,
         entries: Vec<Entry>,
     ) -> Result<StoredState, StorageError> {
-        let covered = snapshot.meta.index;
+        let snapshot_index = snapshot.meta.index;
         let entries: Vec<Entry> = entries
             .into_iter()
-            .filter(|entry| entry.index > covered)
+            .filter(|entry| entry.index > snapshot_index)
             .collect();
-        if let Some(first) = entries.first().filter(|first| first.index != covered + 1) {
+        if let Some(first) = entries
+            .first()
+            .filter(|first| first.index != snapshot_index + 1)
+        {
             return Err(StorageError::Corrupt {
                 path: folder.join(LOG_FILE),
                 offset: 0,
-                detail: format!("entry {} follows snapshot {covered}", first.index),
+                detail: format!(
+                    "log starts at entry {} but the snapshot ends at entry {snapshot_index}",
+                    first.index
+                ),
             });
         }
         Ok(StoredState {
@@ -99,46 +104,47 @@
     fn open_log(folder: &Path) -> Result<(Self, HardState, Vec<Entry>, u64), StorageError> {
         let path = folder.join(LOG_FILE);
         let bytes = read_file(&path)?.unwrap_or_default();
-        let (records, valid) = read_records(&path, &bytes)?;
+        let (records, valid_bytes) = read_records(&path, &bytes)?;
         let mut log = OpenOptions::new()
             .create(true)
             .truncate(false)
             .write(true)
             .open(&path)
             .map_err(StorageError::io("open", &path))?;
-        let torn_bytes = bytes.len() as u64 - valid;
+        let torn_bytes = bytes.len() as u64 - valid_bytes;
         if torn_bytes > 0 {
-            log.set_len(valid).map_err(StorageError::io("cut", &path))?;
+            log.set_len(valid_bytes)
+                .map_err(StorageError::io("cut", &path))?;
             log.sync_all().map_err(StorageError::io("sync", &path))?;
         }
-        log.seek(SeekFrom::Start(valid))
+        log.seek(SeekFrom::Start(valid_bytes))
             .map_err(StorageError::io("seek", &path))?;
         crate::file::sync_folder(folder)?;
         let (hard_state, entries) = replay(records);
         let store = Self {
             folder: folder.to_owned(),
             log,
-            log_bytes: valid,
+            log_bytes: valid_bytes,
         };
         Ok((store, hard_state, entries, torn_bytes))
     }
 
-    /// Writes and syncs one batch or several in their order.
+    /// Writes and syncs batches in order, with a single sync where possible.
     pub fn write(&mut self, batches: &[WriteBatch]) -> Result<(), StorageError> {
         let mut buffer = Vec::new();
         for batch in batches {
             if let Some(snapshot) = &batch.snapshot {
-                // The snapshot replaces the log, earlier batches included.
+                // The snapshot replaces the log, including earlier batches.
                 buffer.clear();
                 self.write_snapshot(snapshot)?;
                 self.rewrite_log(&batch.hard_state.unwrap_or_default(), &batch.entries)?;
                 continue;
             }
             if let Some(hard_state) = batch.hard_state {
-                push_record(&mut buffer, &Record::HardState(hard_state));
+                append_record(&mut buffer, &Record::HardState(hard_state));
             }
             for entry in &batch.entries {
-                push_record(&mut buffer, &Record::Entry(entry.clone()));
+                append_record(&mut buffer, &Record::Entry(entry.clone()));
             }
         }
         if buffer.is_empty() {
@@ -159,22 +165,22 @@
         Ok(())
     }
 
-    /// Stores a snapshot. Until the log is rewritten, entries that the snapshot
-    /// covers are passed over at the next start.
+    /// Stores a snapshot. Entries of the log that it covers are ignored when the folder
+    /// is opened.
     pub fn write_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), StorageError> {
-        replace_file(&self.folder, SNAPSHOT_FILE, &framed(snapshot))
+        replace_file(&self.folder, SNAPSHOT_FILE, &encode_frame(snapshot))
     }
 
-    /// Replaces the log by `entries`, which follow the stored snapshot.
+    /// Replaces the log with `entries`, which follow the stored snapshot.
     pub fn rewrite_log(
         &mut self,
         hard_state: &HardState,
         entries: &[Entry],
     ) -> Result<(), StorageError> {
         let mut buffer = Vec::new();
-        push_record(&mut buffer, &Record::HardState(*hard_state));
+        append_record(&mut buffer, &Record::HardState(*hard_state));
         for entry in entries {
-            push_record(&mut buffer, &Record::Entry(entry.clone()));
+            append_record(&mut buffer, &Record::Entry(entry.clone()));
         }
         replace_file(&self.folder, LOG_FILE, &buffer)?;
         let path = self.folder.join(LOG_FILE);
@@ -195,39 +201,40 @@
     }
 }
 
-fn encode<T: Serialize>(value: &T) -> Vec<u8> {
+fn encode_value<T: Serialize>(value: &T) -> Vec<u8> {
     postcard::to_stdvec(value).expect("encoding into memory does not fail")
 }
 
-fn framed<T: Serialize>(value: &T) -> Vec<u8> {
+fn encode_frame<T: Serialize>(value: &T) -> Vec<u8> {
     let mut buffer = Vec::new();
-    write_frame(&mut buffer, &encode(value));
+    write_frame(&mut buffer, &encode_value(value));
     buffer
 }
 
-fn push_record(buffer: &mut Vec<u8>, record: &Record) {
-    write_frame(buffer, &encode(record));
+fn append_record(buffer: &mut Vec<u8>, record: &Record) {
+    write_frame(buffer, &encode_value(record));
 }
 
-/// Reads a file of one frame; it was renamed into place whole, so any damage
-/// is corruption.
-fn read_framed<T: DeserializeOwned>(path: &Path) -> Result<Option<T>, StorageError> {
+/// Reads a file with a single frame. It was written atomically, so that any damage is
+/// corruption.
+fn read_frame_file<T: DeserializeOwned>(path: &Path) -> Result<Option<T>, StorageError> {
     let Some(bytes) = read_file(path)? else {
         return Ok(None);
     };
-    let corrupt = |detail: String| StorageError::Corrupt {
+    let corruption = |detail: String| StorageError::Corrupt {
         path: path.to_owned(),
         offset: 0,
         detail,
     };
-    let content = read_frame(&bytes).map_err(|error| corrupt(format!("{error:?}")))?;
-    let value = postcard::from_bytes(content).map_err(|error| corrupt(error.to_string()))?;
+    let content = read_frame(&bytes).map_err(|error| corruption(format!("{error:?}")))?;
+    let value = postcard::from_bytes(content).map_err(|error| corruption(error.to_string()))?;
     Ok(Some(value))
 }
 
-/// Reads records up to the end or a torn tail; gives the length of what is valid.
+/// Reads records up to the end or a torn tail; returns them with the length of the
+/// valid part, in bytes.
 fn read_records(path: &Path, bytes: &[u8]) -> Result<(Vec<Record>, u64), StorageError> {
-    let corrupt = |offset: usize, detail: String| StorageError::Corrupt {
+    let corruption = |offset: usize, detail: String| StorageError::Corrupt {
         path: path.to_owned(),
         offset: offset as u64,
         detail,
@@ -238,18 +245,18 @@
         match read_frame(&bytes[offset..]) {
             Ok(content) => {
                 let record = postcard::from_bytes(content)
-                    .map_err(|error| corrupt(offset, error.to_string()))?;
+                    .map_err(|error| corruption(offset, error.to_string()))?;
                 records.push(record);
                 offset += HEADER_BYTES + content.len();
             }
             Err(error) => {
                 if contains_frame(&bytes[offset + 1..]) {
-                    return Err(corrupt(
+                    return Err(corruption(
                         offset,
-                        format!("{error:?} record before valid ones"),
+                        format!("{error:?} record is followed by valid records"),
                     ));
                 }
-                log::warn!(event = "torn_tail_cut", bytes = bytes.len() - offset; "torn tail cut off the log");
+                log::warn!(event = "torn_tail_cut", bytes = bytes.len() - offset; "truncated the torn tail of the log");
                 break;
             }
         }
@@ -264,8 +271,8 @@
         match record {
             Record::HardState(state) => hard_state = state,
             Record::Entry(entry) => {
-                let keep = entries.partition_point(|kept| kept.index < entry.index);
-                entries.truncate(keep);
+                let kept_count = entries.partition_point(|existing| existing.index < entry.index);
+                entries.truncate(kept_count);
                 entries.push(entry);
             }
         }
--- a/crates/storage/src/write_queue.rs
+++ b/crates/storage/src/write_queue.rs
@@ -1,5 +1,5 @@
-//! A thread that writes and syncs, so that the caller never waits for a disk.
-//! Batches that queue up while a sync runs share the next one.
+//! Writes and syncs on a separate thread, so that callers do not block on the disk.
+//! Batches that are queued during a sync share the next one.
 
 use crate::errors::StorageError;
 use crate::replica_store::ReplicaStore;
@@ -7,7 +7,7 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread;
 
-/// A job of the writing thread.
+/// A job of the storage thread.
 enum Job {
     Write(WriteBatch),
     Compact {
@@ -17,22 +17,22 @@
     },
 }
 
-/// What the writing thread tells.
+/// Notification of the storage thread.
 pub enum WriteNotice {
-    /// So many of the oldest unreported writes are synced.
+    /// This number of the oldest unreported writes is synced.
     Synced(usize),
-    /// A write failed; nothing after it is written. The replica must stop, as
-    /// the state of the file is not known.
+    /// A write has failed, and later ones are dropped. The replica must stop, as the
+    /// content of the file is unknown.
     Failed(StorageError),
 }
 
-/// Hands writes to the thread of one replica.
+/// Queue to the storage thread of one replica.
 pub struct WriteQueue {
     jobs: Sender<Job>,
 }
 
 impl WriteQueue {
-    /// Starts the thread; `notify` is called from it.
+    /// Starts the storage thread, which calls `notify`.
     pub fn start(
         store: ReplicaStore,
         notify: impl Fn(WriteNotice) + Send + 'static,
@@ -44,14 +44,14 @@
         Ok(Self { jobs })
     }
 
-    /// Queues a batch; empty ones are reported in order too.
+    /// Queues a batch. Empty batches are reported in order too.
     pub fn write(&self, batch: WriteBatch) {
-        // After a failed write the thread is gone and the process is stopping.
+        // Sending fails only after a failed write, when the process is stopping.
         let _ = self.jobs.send(Job::Write(batch));
     }
 
-    /// Queues a snapshot and the log that remains after it. All writes queued
-    /// before are contained in these.
+    /// Queues a snapshot and the log entries after it, which include the effect of all
+    /// writes that were queued before.
     pub fn compact(&self, snapshot: Snapshot, hard_state: HardState, entries: Vec<Entry>) {
         let _ = self.jobs.send(Job::Compact {
             snapshot,
