--- a/crates/testbed/examples/burst.rs
+++ b/crates/testbed/examples/burst.rs
@@ -1,7 +1,7 @@
-//! Compares ways of routing on a burst at an event's start, with real
-//! processes: `cargo run --release -p silversail-testbed --example burst --
-//! FLEET [SCENARIO]`, where FLEET is a folder of `examples/` and SCENARIO is
-//! `burst`, `slow-stage` or `flood`; all three if none is named.
+//! Compares routing policies under a burst of load, with real processes:
+//! `cargo run --release -p silversail-testbed --example burst -- FLEET [SCENARIO]`,
+//! where FLEET is a folder of `examples/` and SCENARIO is `burst`, `slow-stage` or
+//! `flood`. Without SCENARIO all three are run.
 
 use serde_json::{json, Value};
 use silversail_testbed::cluster::{program_beside_example, read_yaml};
@@ -13,9 +13,9 @@
 
 const NODES: usize = 10;
 const VOTERS: usize = 3;
-/// Factor on the service time of the slowed stage.
+/// Factor by which the service time of the slowed stage is multiplied.
 const SLOWDOWN: f64 = 5.0;
-/// Arrivals of the flooding tenant, relative to all others together.
+/// Share of the flooding tenant, relative to all other tenants together.
 const FLOOD_SHARE: f64 = 4.0;
 
 struct Variant {
@@ -80,10 +80,10 @@
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let fleet = Path::new("examples").join(arguments.first().map_or("car-park", String::as_str));
-    let only = arguments.get(2).cloned().unwrap_or_default();
+    let name_filter = arguments.get(2).cloned().unwrap_or_default();
     let all = ["burst", "slow-stage", "flood"];
     let scenarios: Vec<&str> = match arguments.get(1) {
-        Some(one) => vec![one],
+        Some(name) => vec![name],
         None => all.to_vec(),
     };
     println!("| fleet | scenario | routing | attainment | worst tenant | refused | late | completed answers p50/p95 ms | engine ms per answer in time | all stages' ms per answer in time |");
@@ -91,14 +91,14 @@
     for scenario in scenarios {
         for variant in variants()
             .into_iter()
-            .filter(|one| one.name.contains(&only))
+            .filter(|variant| variant.name.contains(&name_filter))
         {
-            run_one(&fleet, scenario, &variant);
+            run_variant(&fleet, scenario, &variant);
         }
     }
 }
 
-fn run_one(fleet: &Path, scenario: &str, variant: &Variant) {
+fn run_variant(fleet: &Path, scenario: &str, variant: &Variant) {
     let emulator_config: EmulatorConfig =
         read_yaml(&fleet.join("backends.yaml")).expect("the file is valid");
     let document: Value = read_yaml(&fleet.join("pipelines.yaml")).expect("the file is valid");
@@ -169,7 +169,7 @@
     eprintln!("{:?} {:?}", report.by_reason, report.attainment_by_tenant);
 }
 
-/// The first tenant sends several times what all others send together.
+/// Raises the share of the first tenant to a multiple of all others together.
 fn flood(plan: &mut LoadPlan) {
     let others: f64 = plan.tenants.iter().skip(1).map(|tenant| tenant.share).sum();
     if let Some(TenantLoad { share, .. }) = plan.tenants.first_mut() {
--- a/crates/testbed/examples/cost.rs
+++ b/crates/testbed/examples/cost.rs
@@ -1,6 +1,6 @@
-//! Measures what real processes cost, as input of `silversail plan`: control at
-//! 3, 5 and 10 nodes, time until changes are in force, the ledger, and the data
-//! path: `cargo run --release -p silversail-testbed --example cost`.
+//! Measures the resource use of real processes as input of `silversail plan`: control
+//! at 3, 5 and 10 nodes, propagation of changes, the ledger and the data path:
+//! `cargo run --release -p silversail-testbed --example cost`.
 
 use serde_json::{json, Value};
 use silversail_testbed::cluster::{metric_sum, program_beside_example};
@@ -11,20 +11,22 @@
 
 use std::time::{Duration, Instant};
 
-const IDLE: Duration = Duration::from_secs(10);
-/// Clock ticks a second in which the system counts processor time.
+/// Time over which the use of idle processes is measured.
+const IDLE_PERIOD: Duration = Duration::from_secs(10);
+/// Clock ticks per second of the processor time in `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
-const CHANGES: usize = 40;
+/// Number of changes whose propagation is measured.
+const MEASURED_CHANGES: usize = 40;
 
 fn main() {
     println!("processes:");
     for nodes in [3, 5, 10] {
-        control(nodes);
+        measure_control(nodes);
     }
-    data_path();
+    measure_data_path();
 }
 
-/// Processor seconds and resident megabytes of a process.
+/// Processor time in seconds and resident memory in megabytes of a process.
 fn usage(process: u32) -> (f64, f64) {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
     let after_name = stat.rsplit(')').next().unwrap_or_default();
@@ -37,7 +39,7 @@
     let resident = status
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))
-        .and_then(|rest| rest.split_whitespace().next()?.parse::<f64>().ok())
+        .and_then(|value| value.split_whitespace().next()?.parse::<f64>().ok())
         .unwrap_or(0.0);
     (ticks / TICKS_PER_SECOND, resident / 1_024.0)
 }
@@ -54,11 +56,11 @@
     cluster
 }
 
-fn quiet() -> Value {
+fn quiet_settings() -> Value {
     json!({ "log": { "level": "warn" } })
 }
 
-/// The size to design for, but for engines, of which there are none to poll.
+/// A large configuration without engines, as there are none to poll.
 fn large_document() -> Value {
     let tenants: Vec<Value> = (0..2_000)
         .map(|number| json!({ "name": format!("tenant-{number}"), "labels": { "tier": "a" } }))
@@ -77,8 +79,8 @@
     cluster.metric_sum(position, "silversail_peer_received_bytes_total", "")
 }
 
-fn control(nodes: usize) {
-    let cluster = cluster(nodes, quiet());
+fn measure_control(nodes: usize) {
+    let cluster = cluster(nodes, quiet_settings());
     let (status, answer) = cluster
         .change(0, "large", 0, large_document())
         .expect("an answer");
@@ -92,11 +94,11 @@
             (usage(process).0, received_bytes(&cluster, position))
         })
         .collect();
-    std::thread::sleep(IDLE);
+    std::thread::sleep(IDLE_PERIOD);
     let rate = |position: usize| {
         let process = cluster.process_id(position).unwrap_or(0);
         let (cpu, resident) = usage(process);
-        let seconds = IDLE.as_secs_f64();
+        let seconds = IDLE_PERIOD.as_secs_f64();
         let bytes = received_bytes(&cluster, position) - before[position].1;
         (
             (cpu - before[position].0) / seconds,
@@ -129,26 +131,26 @@
             mean(&positions, |rate| rate.2)
         );
     }
-    let mut times: Vec<u128> = (0..CHANGES)
-        .map(|number| in_force(&cluster, number as u64 + 1))
+    let mut times: Vec<u128> = (0..MEASURED_CHANGES)
+        .map(|number| propagation_ms(&cluster, number as u64 + 1))
         .collect();
     times.sort_unstable();
     println!("  in_force_median_ms: {}", times[times.len() / 2]);
     println!("  in_force_worst_ms: {}", times[times.len() - 1]);
 }
 
-/// Time from sending a change until every process says it is in force.
-fn in_force(cluster: &Cluster, base: u64) -> u128 {
+/// Time in milliseconds from sending a change until every process has applied it.
+fn propagation_ms(cluster: &Cluster, base: u64) -> u128 {
     let started = Instant::now();
     let document = json!({ "tenants": [{ "name": format!("of-{base}") }] });
     let change = cluster.change(0, &format!("c{base}"), base, document);
     assert!(change.is_some_and(|(status, _)| status == 200));
     let nodes = cluster.nodes.len();
-    let has = |position| {
+    let is_applied = |position| {
         let text = cluster.metrics(position).unwrap_or_default();
         metric_sum(&text, "silversail_configuration_revision", "") >= (base + 1) as f64
     };
-    while !(0..nodes).all(has) {
+    while !(0..nodes).all(is_applied) {
         std::thread::sleep(Duration::from_millis(2));
     }
     started.elapsed().as_millis()
@@ -213,7 +215,7 @@
     }
 }
 
-/// Processor microseconds of one process for each request, under load on it.
+/// Processor time of one process per completed request, in microseconds.
 fn cost_of(cluster: &Cluster, position: usize, plan: &LoadPlan) -> f64 {
     let process = cluster.process_id(position).unwrap_or(0);
     let address = cluster.nodes[position].callers;
@@ -222,13 +224,13 @@
     (usage(process).0 - before) * 1e6 / completed.max(1) as f64
 }
 
-/// Runs a plan and gives the number of whole answers.
+/// Runs a plan; returns the number of completed requests.
 fn run_to(plan: &LoadPlan, address: SocketAddr) -> usize {
     let report = run(plan, vec![address]);
     let completed = report
         .records
         .iter()
-        .filter(|one| one.code == Some(1000))
+        .filter(|record| record.code == Some(1000))
         .count();
     eprintln!(
         "{}: {} of {} completed, {:?}",
@@ -237,11 +239,11 @@
     completed
 }
 
-fn data_path() {
+fn measure_data_path() {
     let emulator = emulator();
-    // One process, so that it is its own only entry point and its own quorum.
+    // A single process is the only entry point and its own quorum.
     let mut options = ClusterOptions::new(1, 1);
-    options.settings = quiet();
+    options.settings = quiet_settings();
     let cluster = Cluster::start(
         &program_beside_example("silversaild").expect("a path"),
         &options,
@@ -255,10 +257,10 @@
     assert!(cluster.wait_for_revision(1));
     std::thread::sleep(Duration::from_secs(1));
     let look = cost_of(&cluster, 0, &plan("look", 150.0, false, false));
-    let before = ledger_log(&cluster);
-    // Few enough that no snapshot replaces the log on the way.
+    let before = ledger_log_size(&cluster);
+    // Few enough commits that no snapshot truncates the log meanwhile.
     let keyed = cost_of(&cluster, 0, &plan("open", 100.0, false, true));
-    let after = ledger_log(&cluster);
+    let after = ledger_log_size(&cluster);
     let commit_bytes = (after.0 - before.0) / (after.1 - before.1).max(1.0);
     let short = cost_of(&cluster, 0, &plan("short", 40.0, true, false));
     let long = cost_of(&cluster, 0, &plan("long", 40.0, true, false));
@@ -270,7 +272,8 @@
     println!("  ledger_commit_bytes: {commit_bytes:.0}");
 }
 
-fn ledger_log(cluster: &Cluster) -> (f64, f64) {
+/// Size of the ledger log in bytes, and its number of commits.
+fn ledger_log_size(cluster: &Cluster) -> (f64, f64) {
     let path = cluster.nodes[0].data_folder.join("ledger-0/log");
     let bytes = std::fs::metadata(path).map_or(0, |file| file.len()) as f64;
     let status = cluster.status(0).unwrap_or_default();
--- a/crates/testbed/examples/fleets.rs
+++ b/crates/testbed/examples/fleets.rs
@@ -1,7 +1,7 @@
-//! Both users' fleets with real processes, without and with faults: a burst at
-//! the start, then a kill, a cut or a freeze each 20 s; what the checker says:
-//! `cargo run --release -p silversail-testbed --example fleets -- [SECONDS]`,
-//! seconds of each of the four runs.
+//! Runs the load of each example fleet on real processes, without and with injected
+//! faults, and prints the results and the violations that the checker finds:
+//! `cargo run --release -p silversail-testbed --example fleets -- [SECONDS]`, where
+//! SECONDS is the duration of each of the four runs.
 
 use serde_json::{json, Value};
 use silversail_testbed::cluster::{program_beside_example, read_yaml};
@@ -18,10 +18,12 @@
 
 const NODES: usize = 9;
 const VOTERS: usize = 5;
-const FAULT_EVERY: Duration = Duration::from_secs(20);
-const FAULT_LASTS: Duration = Duration::from_secs(6);
-/// Pipelines whose last stages are services with a run log.
-const LOGGED: [&str; 2] = ["barrier-open", "subset"];
+/// Time between the end of a fault and the next one.
+const FAULT_INTERVAL: Duration = Duration::from_secs(20);
+/// Duration of a fault.
+const FAULT_DURATION: Duration = Duration::from_secs(6);
+/// Pipelines whose last stage is a service with a run log.
+const LOGGED_PIPELINES: [&str; 2] = ["barrier-open", "subset"];
 
 fn main() {
     let seconds: u64 = std::env::args()
@@ -60,34 +62,34 @@
     assert_eq!(status, 200, "{answer}");
     assert!(cluster.wait_for_revision(1) && cluster.wait_for_usable(NODES));
     let addresses = cluster.nodes.iter().map(|node| node.callers).collect();
-    let done = AtomicBool::new(false);
+    let is_finished = AtomicBool::new(false);
     let report = thread::scope(|scope| {
         let load = scope.spawn(|| run(&plan, addresses));
-        let done = &done;
+        let is_finished = &is_finished;
         if faults {
             let cluster = &mut cluster;
-            scope.spawn(move || disturb(cluster, done));
+            scope.spawn(move || inject_faults(cluster, is_finished));
         }
         let report = load.join().expect("joined");
-        done.store(true, Ordering::Relaxed);
+        is_finished.store(true, Ordering::Relaxed);
         report
     });
     print_row(fleet, faults, &report, &emulator);
 }
 
-/// A fault each 20 s: a kill, a silent cut, a freeze, of one process after
-/// another.
-fn disturb(cluster: &mut Cluster, done: &AtomicBool) {
+/// Injects a fault into one process after another until the load has ended: a kill, a
+/// network isolation or a freeze.
+fn inject_faults(cluster: &mut Cluster, is_finished: &AtomicBool) {
     let mut step = 0;
-    while wait(FAULT_EVERY, done) {
-        // Steps of 2 over 9 processes reach all, voters and others in turn.
+    while wait(FAULT_INTERVAL, is_finished) {
+        // Steps of 2 over 9 processes reach all of them, voters and others.
         let position = (step * 2) % NODES;
         match step % 3 {
             0 => cluster.kill(position),
             1 => cluster.set_all_links(position, LinkFault::black_hole()),
             _ => cluster.freeze(position),
         }
-        thread::sleep(FAULT_LASTS);
+        thread::sleep(FAULT_DURATION);
         match step % 3 {
             0 => cluster.spawn(position).expect("started"),
             1 => cluster.set_all_links(position, LinkFault::default()),
@@ -97,11 +99,11 @@
     }
 }
 
-/// Waits; false when the load has ended.
-fn wait(time: Duration, done: &AtomicBool) -> bool {
+/// Waits for `time`; false when the load ends before.
+fn wait(time: Duration, is_finished: &AtomicBool) -> bool {
     let started = Instant::now();
     while started.elapsed() < time {
-        if done.load(Ordering::Relaxed) {
+        if is_finished.load(Ordering::Relaxed) {
             return false;
         }
         thread::sleep(Duration::from_millis(100));
@@ -111,7 +113,7 @@
 
 fn print_row(fleet: &str, faults: bool, report: &LoadReport, emulator: &Emulator) {
     let runs = emulator.run_log.records();
-    let is_logged = |call: &&CallRecord| LOGGED.contains(&call.pipeline.as_str());
+    let is_logged = |call: &&CallRecord| LOGGED_PIPELINES.contains(&call.pipeline.as_str());
     let logged: Vec<CallRecord> = report.records.iter().filter(is_logged).cloned().collect();
     let others: Vec<CallRecord> = report
         .records
@@ -123,9 +125,9 @@
     violations.extend(check(&others, &[]));
     let lost = violations
         .iter()
-        .filter(|one| matches!(one, Violation::Lost { .. }))
+        .filter(|violation| matches!(violation, Violation::Lost { .. }))
         .count();
-    violations.retain(|one| !matches!(one, Violation::Lost { .. }));
+    violations.retain(|violation| !matches!(violation, Violation::Lost { .. }));
     let worst = report
         .attainment_by_tenant
         .values()
@@ -143,8 +145,8 @@
         .map(|(reason, count)| format!("{reason} {count}"))
         .collect();
     println!(
-        "| {fleet} | {} | {} | {:.4} | {worst:.3} | {} | {} | {} of what must hold; {lost} calls without any answer |",
-        if faults { "kill, cut or freeze each 20 s" } else { "none" },
+        "| {fleet} | {} | {} | {:.4} | {worst:.3} | {} | {} | {} violations; {lost} calls without an answer |",
+        if faults { "kill, isolation or freeze each 20 s" } else { "none" },
         report.sent,
         report.attainment,
         reasons.join(", "),
--- a/crates/testbed/examples/idle_connections.rs
+++ b/crates/testbed/examples/idle_connections.rs
@@ -1,5 +1,5 @@
-//! Whether a new request is answered while idle connections are open, by
-//! `tiny_http` and by the callers' server:
+//! Compares how `tiny_http` and the HTTP server for callers answer a new request while
+//! idle connections are open:
 //! `cargo run --release -p silversail-testbed --example idle_connections`.
 
 use silversail_http::{
@@ -10,8 +10,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Number of requests for each number of idle connections.
 const TRIALS: usize = 15;
-const PATIENCE: Duration = Duration::from_secs(3);
+/// Timeout of a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 struct Hello;
 
@@ -66,7 +68,7 @@
         assert_eq!(connections.len(), idle);
         let started = Instant::now();
         let answer = ureq::get(&format!("http://{address}/"))
-            .timeout(PATIENCE)
+            .timeout(REQUEST_TIMEOUT)
             .call();
         match answer {
             Ok(_) => slowest = slowest.max(started.elapsed()),
--- a/crates/testbed/src/caller.rs
+++ b/crates/testbed/src/caller.rs
@@ -1,6 +1,5 @@
-//! A caller as the users have them: it asks for entry points, keeps the answer
-//! for its lifetime, connects to one of them, and resends to another when no
-//! answer comes.
+//! Reference client: it resolves entry points, caches them for their lifetime, and
+//! resends a call to another entry point when it gets no answer.
 
 use crate::history::CallRecord;
 use serde_json::{json, Value};
@@ -9,29 +8,29 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// One call.
+/// Parameters of one call.
 #[derive(Clone, Debug)]
 pub struct CallOptions {
-    /// Pipeline.
+    /// Name of the pipeline.
     pub pipeline: String,
-    /// Tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Identity; carried in the input, and as `Idempotency-Key` if `keyed`.
+    /// Identity of the call; sent in the input, and as `Idempotency-Key` if `keyed`.
     pub key: String,
-    /// Further text of the input.
+    /// Additional text of the input.
     pub text: String,
-    /// Deadline asked for.
+    /// Deadline that the call requests.
     pub deadline: Duration,
     /// Whether the answer is streamed.
     pub stream: bool,
     /// Whether the key is sent as `Idempotency-Key`.
     pub keyed: bool,
-    /// Token of a refusal that the caller saw.
+    /// Retry token of an earlier rejection of this call.
     pub retry_token: Option<String>,
 }
 
 impl CallOptions {
-    /// A whole answer within a second.
+    /// A call with a key and a deadline of a second, without streaming.
     pub fn new(pipeline: &str, tenant: &str, key: &str) -> Self {
         Self {
             pipeline: pipeline.to_owned(),
@@ -46,39 +45,39 @@
     }
 }
 
-/// What came back from one address.
+/// Response of one entry point.
 #[derive(Clone, Debug, Default)]
 pub struct Reply {
     /// HTTP status; none when there was no response.
     pub status: Option<u16>,
-    /// The last body or event.
+    /// Body of the response, or data of the last event of a stream.
     pub body: Value,
-    /// Tokens of a stream.
+    /// Texts of the tokens of a stream.
     pub tokens: Vec<String>,
     /// Whether a stream ended cleanly without a completion event.
     pub ended_early: bool,
     /// Whether the connection was refused, so that nothing was sent.
     pub refused_connection: bool,
-    /// From sending to the first token.
+    /// Time from sending to the first token.
     pub first_token: Option<Duration>,
-    /// Gaps between tokens.
+    /// Time between consecutive tokens.
     pub gaps: Vec<Duration>,
-    /// From sending to the end.
+    /// Time from sending to the end of the response.
     pub elapsed: Duration,
 }
 
 impl Reply {
-    /// The outcome told.
+    /// Outcome in the body.
     pub fn outcome(&self) -> Option<&str> {
         self.body["outcome"].as_str()
     }
 
-    /// The numbered code told.
+    /// Numbered result code in the body.
     pub fn code(&self) -> Option<u64> {
         self.body["code"].as_u64()
     }
 
-    /// As a record for the checker.
+    /// Converts the reply to a record for the checker.
     pub fn record(&self, options: &CallOptions) -> CallRecord {
         CallRecord {
             key: options.key.clone(),
@@ -97,27 +96,27 @@
     valid_until: Instant,
 }
 
-/// A caller.
+/// Client that caches entry points and resends calls.
 pub struct Caller {
     agent: ureq::Agent,
-    first_addresses: Vec<SocketAddr>,
+    seed_addresses: Vec<SocketAddr>,
     entry_points: Mutex<EntryPoints>,
 }
 
-/// Time beyond a call's deadline that a caller waits for the answer.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// Time for which a caller waits for an answer beyond the deadline of its call.
+const ANSWER_GRACE: Duration = Duration::from_millis(500);
 const ENTRY_POINT_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Caller {
-    /// A caller that knows `first_addresses` from its own settings.
-    pub fn new(first_addresses: Vec<SocketAddr>) -> Self {
+    /// Creates a caller that resolves entry points at `seed_addresses`.
+    pub fn new(seed_addresses: Vec<SocketAddr>) -> Self {
         Self {
             agent: ureq::AgentBuilder::new()
                 .max_idle_connections_per_host(64)
                 .timeout_connect(Duration::from_millis(500))
                 .redirects(0)
                 .build(),
-            first_addresses,
+            seed_addresses,
             entry_points: Mutex::new(EntryPoints {
                 addresses: Vec::new(),
                 valid_until: Instant::now(),
@@ -125,22 +124,22 @@
         }
     }
 
-    /// Addresses to use now, asked for anew when the last answer has ended.
+    /// Current entry points; they are resolved again once their lifetime has ended.
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        let mut kept = self.entry_points.lock().expect("not poisoned");
-        if Instant::now() >= kept.valid_until {
-            for address in &self.first_addresses {
-                if let Some(fresh) = self.ask(*address) {
-                    *kept = fresh;
+        let mut cached = self.entry_points.lock().expect("not poisoned");
+        if Instant::now() >= cached.valid_until {
+            for address in &self.seed_addresses {
+                if let Some(resolved) = self.resolve(*address) {
+                    *cached = resolved;
                     break;
                 }
             }
         }
-        kept.addresses.clone()
+        cached.addresses.clone()
     }
 
-    fn ask(&self, address: SocketAddr) -> Option<EntryPoints> {
-        let asked = Instant::now();
+    fn resolve(&self, address: SocketAddr) -> Option<EntryPoints> {
+        let requested_at = Instant::now();
         let response = self
             .agent
             .get(&format!("http://{address}/v1/entry-points"))
@@ -151,12 +150,12 @@
         let addresses: Vec<SocketAddr> = body["entry_points"]
             .as_array()?
             .iter()
-            .filter_map(|one| one["address"].as_str()?.parse().ok())
+            .filter_map(|entry_point| entry_point["address"].as_str()?.parse().ok())
             .collect();
         let lifetime = Duration::from_millis(body["valid_for_ms"].as_u64()?);
         Some(EntryPoints {
             addresses,
-            valid_until: asked + lifetime,
+            valid_until: requested_at + lifetime,
         })
     }
 
@@ -176,7 +175,7 @@
         let mut request = self
             .agent
             .post(&url)
-            .timeout(options.deadline + PATIENCE)
+            .timeout(options.deadline + ANSWER_GRACE)
             .set("content-type", "application/json");
         if options.keyed {
             request = request.set("idempotency-key", &options.key);
@@ -195,8 +194,8 @@
         reply
     }
 
-    /// Sends a call to one of the entry points, chosen by `seed`, and resends
-    /// it to others while no answer comes, `attempts` times in all.
+    /// Sends a call to an entry point selected by `seed` and resends it to the next
+    /// ones until it is answered, with at most `attempts` attempts.
     pub fn call(&self, options: &CallOptions, seed: usize, attempts: usize) -> Reply {
         let mut last = Reply::default();
         for attempt in 0..attempts {
@@ -240,7 +239,7 @@
     let mut completed = false;
     for line in BufReader::new(response.into_reader()).lines() {
         let Ok(line) = line else {
-            // The cut is seen as one.
+            // The connection was lost; `ended_early` stays false.
             return reply;
         };
         if let Some(name) = line.strip_prefix("event: ") {
--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -1,65 +1,65 @@
-//! Checks histories against what must always hold.
+//! Checks recorded histories for violations of the guarantees to callers.
 
 use crate::history::{CallRecord, RevisionRecord, RunRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Something that must never happen.
+/// A violated guarantee.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// A stage of a key ran more than once.
+    /// A stage of one call was executed more than once.
     Doubled {
-        /// The key.
+        /// Identity of the call.
         key: String,
-        /// How many times.
+        /// Number of executions.
         runs: usize,
     },
-    /// A key ran though a caller was told that it did not and will not.
+    /// A call was executed although its answer says that it was not and will not be.
     UntrueNotRun {
-        /// The key.
+        /// Identity of the call.
         key: String,
     },
-    /// A caller got an answer of a call that no service ran.
+    /// A call was answered as completed although no service executed it.
     Invented {
-        /// The key.
+        /// Identity of the call.
         key: String,
     },
-    /// An answer does not name its own request.
+    /// An output belongs to another request.
     Crossed {
-        /// The key.
+        /// Identity of the call.
         key: String,
     },
-    /// A stream ended as if whole, without its completion event.
+    /// A stream ended cleanly without its completion event.
     CutShort {
-        /// The key.
+        /// Identity of the call.
         key: String,
     },
-    /// Two answers to one key differ.
+    /// Two answers to one call differ.
     Changed {
-        /// The key.
+        /// Identity of the call.
         key: String,
     },
-    /// A call that ran and had time to answer got none at all.
+    /// A call got no answer at any attempt.
     Lost {
-        /// The key.
+        /// Identity of the call.
         key: String,
     },
-    /// A node went back to an older revision.
+    /// A node returned to an older revision.
     Reverted {
-        /// The node.
+        /// Name of the node.
         node: String,
-        /// The newer revision, seen first.
+        /// Newer revision, which was observed first.
         from: u64,
-        /// The older one, seen later.
+        /// Older revision, which was observed later.
         to: u64,
     },
 }
 
-/// What is checked. `runs` is the log of services whose calls may not be
-/// repeated; `calls` are calls of pipelines that end in such a service, or,
-/// where `runs` is empty, of any.
+/// Finds all violations. `runs` has the executions of services whose calls must not
+/// be repeated; `calls` are calls of pipelines that end in such a service, or of any
+/// pipeline if `runs` is empty.
 pub fn check(calls: &[CallRecord], runs: &[RunRecord]) -> Vec<Violation> {
     let mut violations = BTreeSet::new();
-    // Runs by key and stage: each stage of a request runs once.
+    // Counted by key and stage, as each stage of a call must be executed once.
     let mut stage_runs: BTreeMap<(&str, &str), usize> = BTreeMap::new();
     for run in runs {
         if let Some(key) = run.key() {
@@ -100,16 +100,16 @@
     violations: &mut BTreeSet<Violation>,
 ) {
     let key = || key.to_owned();
-    let told = |outcome: &str| {
+    let has_outcome = |outcome: &str| {
         records
             .iter()
             .any(|record| record.outcome.as_deref() == Some(outcome))
     };
     let retried = records.iter().any(|record| record.retried_after_refusal);
-    if told("not_run") && run_count > 0 && !retried {
+    if has_outcome("not_run") && run_count > 0 && !retried {
         violations.insert(Violation::UntrueNotRun { key: key() });
     }
-    if told("completed") && run_count == 0 && has_run_log {
+    if has_outcome("completed") && run_count == 0 && has_run_log {
         violations.insert(Violation::Invented { key: key() });
     }
     if records.iter().any(|record| record.ended_early) {
@@ -122,10 +122,11 @@
         .iter()
         .filter_map(|record| record.output.as_ref().map(ToString::to_string))
         .collect();
-    let own = format!("\"{}\"", key());
-    let escaped = format!("\\\"{}\\\"", key());
-    let names_itself = |output: &String| output.contains(&own) || output.contains(&escaped);
-    if !outputs.iter().all(names_itself) {
+    let quoted_key = format!("\"{}\"", key());
+    let escaped_key = format!("\\\"{}\\\"", key());
+    let contains_key =
+        |output: &String| output.contains(&quoted_key) || output.contains(&escaped_key);
+    if !outputs.iter().all(contains_key) {
         violations.insert(Violation::Crossed { key: key() });
     }
     if outputs.windows(2).any(|pair| pair[0] != pair[1]) {
@@ -133,21 +134,21 @@
     }
 }
 
-/// Checks that no node's revision ever went back. Observations are in the
-/// order in which they were made.
+/// Finds nodes that returned to an older revision. Observations must be in the order
+/// in which they were made.
 pub fn check_revisions(observations: &[RevisionRecord]) -> Vec<Violation> {
     let mut newest: BTreeMap<&str, u64> = BTreeMap::new();
     let mut violations = Vec::new();
-    for seen in observations {
-        let known = newest.entry(&seen.node).or_default();
-        if seen.revision < *known {
+    for observation in observations {
+        let newest_revision = newest.entry(&observation.node).or_default();
+        if observation.revision < *newest_revision {
             violations.push(Violation::Reverted {
-                node: seen.node.clone(),
-                from: *known,
-                to: seen.revision,
+                node: observation.node.clone(),
+                from: *newest_revision,
+                to: observation.revision,
             });
         }
-        *known = (*known).max(seen.revision);
+        *newest_revision = (*newest_revision).max(observation.revision);
     }
     violations
 }
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -1,5 +1,5 @@
-//! A cluster of real `silversaild` processes, each with its data folder and
-//! settings file, linked through fault proxies where asked for.
+//! A cluster of real `silversaild` processes, each with its own data folder and
+//! settings file, optionally connected through fault-injecting proxies.
 
 use crate::proxy::{FaultProxy, LinkFault};
 use nix::sys::signal::{kill, Signal};
@@ -17,23 +17,23 @@
 use tempfile::TempDir;
 use tokio::runtime::Runtime;
 
-/// How a cluster is made.
+/// Options of a test cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterOptions {
-    /// Processes.
+    /// Number of processes.
     pub nodes: usize,
-    /// How many of the first ones vote.
+    /// Number of voters, which are the first processes.
     pub voters: usize,
-    /// Whether links between processes go through fault proxies.
+    /// Whether peer connections go through fault proxies.
     pub proxied: bool,
-    /// Address of the platform's list.
+    /// Address of the platform's machine list.
     pub platform: Option<SocketAddr>,
-    /// Further settings, by section, such as `timing` or `routing`.
+    /// Additional settings by section, such as `timing` or `routing`.
     pub settings: Value,
 }
 
 impl ClusterOptions {
-    /// `nodes` processes of which `voters` vote.
+    /// Options for `nodes` processes, of which the first `voters` vote.
     pub fn new(nodes: usize, voters: usize) -> Self {
         Self {
             nodes,
@@ -45,24 +45,24 @@
     }
 }
 
-/// One process.
+/// One process of a cluster.
 pub struct ClusterNode {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Address for callers.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Address for operators.
+    /// Listen address for operators.
     pub operators: SocketAddr,
-    /// Its data folder.
+    /// Data folder of the process.
     pub data_folder: PathBuf,
     settings: PathBuf,
     log: PathBuf,
     child: Option<Child>,
 }
 
-/// A cluster; dropped, all its processes are killed.
+/// A running cluster. Dropping it kills all processes.
 pub struct Cluster {
-    /// The processes.
+    /// All processes, by position.
     pub nodes: Vec<ClusterNode>,
     binary: PathBuf,
     folder: Option<TempDir>,
@@ -70,28 +70,27 @@
     _runtime: Option<Runtime>,
 }
 
-/// Longest wait for a process to answer after its start.
+/// Timeout of waits for the state of processes, such as their start.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Longest wait for an operator's request.
+/// Timeout of an operator request.
 const OPERATOR_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Ports that are given out. They lie below the range from which systems
-/// usually take the ports of outgoing connections, one of which could else
-/// occupy the port of a process that is down for a moment.
+/// Range of listen ports. It is below the usual range of ephemeral ports, so that
+/// no outgoing connection takes the port of a process that restarts.
 const PORTS: std::ops::Range<u16> = 22_000..32_000;
-/// Ports between the first ones of two test programs.
+/// Distance between the first ports of two test programs.
 const PORTS_PER_PROGRAM: u32 = 200;
 
-static PORTS_GIVEN: AtomicU32 = AtomicU32::new(0);
+static ALLOCATED_PORTS: AtomicU32 = AtomicU32::new(0);
 
-/// An address on which nothing listens at present, never given out before by
-/// this program.
+/// A loopback address on which nothing listens and that this program has not used
+/// before.
 pub fn free_address() -> io::Result<SocketAddr> {
     let first = std::process::id().wrapping_mul(PORTS_PER_PROGRAM);
     for _ in PORTS {
-        let given = first.wrapping_add(PORTS_GIVEN.fetch_add(1, Ordering::Relaxed));
-        let port = PORTS.start + (given % u32::from(PORTS.end - PORTS.start)) as u16;
+        let offset = first.wrapping_add(ALLOCATED_PORTS.fetch_add(1, Ordering::Relaxed));
+        let port = PORTS.start + (offset % u32::from(PORTS.end - PORTS.start)) as u16;
         let address = SocketAddr::from(([127, 0, 0, 1], port));
         if TcpListener::bind(address).is_ok() {
             return Ok(address);
@@ -100,14 +99,14 @@
     Err(io::ErrorKind::AddrNotAvailable.into())
 }
 
-/// Path of a program built beside the running example.
+/// Path of a program in the same target folder as the running example.
 pub fn program_beside_example(name: &str) -> io::Result<PathBuf> {
     let example = std::env::current_exe()?;
     let folder = example.parent().and_then(Path::parent);
     Ok(folder.unwrap_or(Path::new(".")).join(name))
 }
 
-/// Reads a YAML file.
+/// Parses a YAML file; an invalid file is reported as an I/O error.
 pub fn read_yaml<T: DeserializeOwned>(path: &Path) -> io::Result<T> {
     let text = std::fs::read_to_string(path)?;
     serde_yaml_ng::from_str(&text).map_err(io::Error::other)
@@ -128,7 +127,7 @@
 }
 
 impl Cluster {
-    /// Writes settings and starts all processes of the program at `binary`.
+    /// Writes the settings files and starts all processes of the program at `binary`.
     pub fn start(binary: &Path, options: &ClusterOptions) -> io::Result<Self> {
         let mut cluster = Self::prepare(binary, options)?;
         for position in 0..options.nodes {
@@ -170,7 +169,7 @@
                         .map_or(peers[to], FaultProxy::address)
                 })
                 .collect();
-            let settings = settings_of(
+            let settings = settings_for_node(
                 position,
                 options,
                 &peer_addresses,
@@ -203,7 +202,7 @@
         })
     }
 
-    /// Starts a process that is not running.
+    /// Starts the process at a position, which must not be running.
     pub fn spawn(&mut self, position: usize) -> io::Result<()> {
         let node = &mut self.nodes[position];
         let log = File::options().create(true).append(true).open(&node.log)?;
@@ -224,7 +223,7 @@
         }
     }
 
-    /// Kills a process without warning.
+    /// Kills a process with `SIGKILL` and waits for its end.
     pub fn kill(&mut self, position: usize) {
         if let Some(mut child) = self.nodes[position].child.take() {
             let _ = child.kill();
@@ -232,22 +231,22 @@
         }
     }
 
-    /// Asks a process to stop as planned.
+    /// Requests a graceful stop with `SIGTERM`.
     pub fn terminate(&self, position: usize) {
         self.signal(position, Signal::SIGTERM);
     }
 
-    /// Freezes a process.
+    /// Freezes a process with `SIGSTOP`.
     pub fn freeze(&self, position: usize) {
         self.signal(position, Signal::SIGSTOP);
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a frozen process with `SIGCONT`.
     pub fn resume(&self, position: usize) {
         self.signal(position, Signal::SIGCONT);
     }
 
-    /// Waits for a process to exit by itself.
+    /// Waits for a process to exit; none when it does not within `timeout`.
     pub fn wait_for_exit(&mut self, position: usize, timeout: Duration) -> Option<ExitStatus> {
         let mut child = self.nodes[position].child.take()?;
         let mut status = None;
@@ -261,35 +260,34 @@
         status
     }
 
-    /// Empties the data folder of a process that is not running.
+    /// Deletes the data folder of a process that is not running.
     pub fn wipe(&self, position: usize) -> io::Result<()> {
         std::fs::remove_dir_all(&self.nodes[position].data_folder)
     }
 
-    /// Whether the process was started and not taken down by this cluster.
+    /// Whether the process was started and neither killed nor waited for.
     pub fn is_running(&self, position: usize) -> bool {
         self.nodes[position].child.is_some()
     }
 
-    /// Resident memory of a process in kilobytes, and its processor time in
-    /// clock ticks, as the system tells.
+    /// Operating system identifier of a process; none while it is down.
     pub fn process_id(&self, position: usize) -> Option<u32> {
         self.nodes[position].child.as_ref().map(Child::id)
     }
 
-    /// What a process logged.
+    /// Contents of the log file of a process.
     pub fn log_text(&self, position: usize) -> String {
         std::fs::read_to_string(&self.nodes[position].log).unwrap_or_default()
     }
 
-    /// Changes the link over which `from` sends to `to`.
+    /// Sets the fault of the connection over which `from` sends to `to`.
     pub fn set_link(&self, from: usize, to: usize, fault: LinkFault) {
         if let Some(link) = self.links.get(&(from, to)) {
             link.set(fault);
         }
     }
 
-    /// Changes all links from and to a process.
+    /// Sets the fault of all connections from and to a process.
     pub fn set_all_links(&self, position: usize, fault: LinkFault) {
         for ((from, to), link) in &self.links {
             if *from == position || *to == position {
@@ -298,7 +296,7 @@
         }
     }
 
-    /// Status of a process, where it answers.
+    /// Status of a process; none when it does not answer.
     pub fn status(&self, position: usize) -> Option<Value> {
         let url = format!("http://{}/v1/status", self.nodes[position].operators);
         let response = ureq::get(&url)
@@ -308,7 +306,7 @@
         serde_json::from_reader(response.into_reader()).ok()
     }
 
-    /// Metrics of a process, as text.
+    /// Metrics of a process in the text format; none when it does not answer.
     pub fn metrics(&self, position: usize) -> Option<String> {
         let url = format!("http://{}/metrics", self.nodes[position].operators);
         let response = ureq::get(&url)
@@ -318,13 +316,13 @@
         response.into_string().ok()
     }
 
-    /// Sum of a metric over all its labels that contain `label`.
+    /// Sum of the samples of a metric whose labels contain `label`.
     pub fn metric_sum(&self, position: usize, name: &str, label: &str) -> f64 {
         let text = self.metrics(position).unwrap_or_default();
         metric_sum(&text, name, label)
     }
 
-    /// Revision in force on a process that is serving.
+    /// Configuration revision of a process that is serving.
     pub fn revision(&self, position: usize) -> Option<u64> {
         let status = self.status(position)?;
         status["serving"]
@@ -332,7 +330,7 @@
             .then(|| status["revision"].as_u64())?
     }
 
-    /// Position of the process that leads a group, by its own word.
+    /// Position of the process that reports itself as leader of a group.
     pub fn leader(&self, group: &str) -> Option<usize> {
         (0..self.nodes.len()).find(|position| {
             self.is_running(*position)
@@ -368,7 +366,7 @@
         })
     }
 
-    /// Sends a change to a process: status and body of its answer.
+    /// Sends a configuration change to a process; returns status and body of the answer.
     pub fn change(
         &self,
         position: usize,
@@ -398,7 +396,7 @@
         Some((status, body))
     }
 
-    /// Waits until every running process has `revision` or a later one in force.
+    /// Waits until every running process has applied `revision` or a later one.
     pub fn wait_for_revision(&self, revision: u64) -> bool {
         wait_until(START_TIMEOUT, || {
             (0..self.nodes.len())
@@ -414,7 +412,7 @@
             self.kill(position);
         }
         if std::thread::panicking() {
-            // The logs tell why a test failed.
+            // The logs may explain why a test failed.
             if let Some(folder) = self.folder.take() {
                 eprintln!("logs kept in {}", folder.keep().display());
             }
@@ -422,8 +420,8 @@
     }
 }
 
-/// Sum of a metric over all its labels that contain `label`, in a text of
-/// metrics.
+/// Sum of the samples of a metric whose labels contain `label`, in metrics in the
+/// text format.
 pub fn metric_sum(text: &str, name: &str, label: &str) -> f64 {
     text.lines()
         .filter(|line| line.starts_with(name) && line.contains(label))
@@ -436,7 +434,7 @@
     (0..count).map(|_| free_address()).collect()
 }
 
-fn settings_of(
+fn settings_for_node(
     position: usize,
     options: &ClusterOptions,
     peer_addresses: &[SocketAddr],
@@ -468,8 +466,10 @@
     if let Some(platform) = options.platform {
         settings["platform"] = json!(platform.to_string());
     }
-    if let (Some(settings), Value::Object(more)) = (settings.as_object_mut(), &options.settings) {
-        settings.extend(more.clone());
+    if let (Some(settings), Value::Object(additional)) =
+        (settings.as_object_mut(), &options.settings)
+    {
+        settings.extend(additional.clone());
     }
     settings
 }
--- a/crates/testbed/src/emulate/config.rs
+++ b/crates/testbed/src/emulate/config.rs
@@ -1,66 +1,66 @@
-//! What is emulated.
+//! Configuration of the emulated back ends.
 
 use super::behavior::BehaviorConfig;
 use super::weights::WeightStoreConfig;
 use serde::Deserialize;
 use std::path::PathBuf;
 
-/// A file of emulated back ends.
+/// Root of the configuration file.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EmulatorConfig {
-    /// Seed of service times.
+    /// Seed of the jitter of service times.
     #[serde(default)]
     pub seed: u64,
-    /// File to which services append each call that they run, as JSON lines.
+    /// File to which services append each executed call as a JSON line.
     #[serde(default)]
     pub run_log: Option<PathBuf>,
-    /// Model engines.
+    /// Engines with continuous batching.
     #[serde(default)]
     pub engines: Vec<EngineConfig>,
-    /// Members of pools, and plain services.
+    /// Pool members and plain services.
     #[serde(default)]
     pub services: Vec<ServiceConfig>,
-    /// The weight store, for managed engines.
+    /// Weight store from which managed engines load models.
     #[serde(default)]
     pub weight_store: Option<WeightStoreConfig>,
-    /// The platform's list.
+    /// The platform's machine list.
     #[serde(default)]
     pub platform: Option<PlatformConfig>,
 }
 
-/// An engine with continuous batching.
+/// Configuration of an engine with continuous batching.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineConfig {
-    /// Name.
+    /// Name of the back end.
     pub name: String,
-    /// Address to listen on.
+    /// Listen address.
     pub address: String,
-    /// Sequences that run side by side.
+    /// Largest number of sequences in a batch.
     #[serde(default = "default_engine_slots")]
     pub slots: usize,
-    /// Time of a step of one sequence, in milliseconds; a full batch takes half
-    /// as long again.
+    /// Duration of a step with one sequence, in milliseconds; a step of a full batch
+    /// takes half as long again.
     #[serde(default = "default_step_ms")]
     pub step_ms: f64,
-    /// Prompt tokens that one step takes in.
+    /// Number of prompt tokens that one step prefills.
     #[serde(default = "default_prompt_tokens")]
     pub prompt_tokens_per_step: u32,
-    /// Tokens of prompts that the prefix cache holds.
+    /// Capacity of the prefix cache, in tokens.
     #[serde(default = "default_cache_tokens")]
     pub cache_tokens: u32,
-    /// Whether the engine starts without models and takes orders to load them;
-    /// else it serves any model.
+    /// Whether the engine starts without models and loads them by order; otherwise it
+    /// serves any model.
     #[serde(default)]
     pub managed: bool,
-    /// Whether it refuses orders with an older fence.
+    /// Whether the engine rejects orders with an older fencing token.
     #[serde(default)]
     pub checks_fence: bool,
-    /// How old a load report is, in milliseconds.
+    /// Age of a load report, in milliseconds.
     #[serde(default = "default_load_lag_ms")]
     pub load_lag_ms: u64,
-    /// What it says of itself over time.
+    /// Scripted behavior over time.
     #[serde(default, rename = "conduct")]
     pub behavior: BehaviorConfig,
 }
@@ -81,26 +81,26 @@
     200
 }
 
-/// A member of a pool, or a plain service.
+/// Configuration of a pool member or a plain service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceConfig {
-    /// Name.
+    /// Name of the back end.
     pub name: String,
-    /// Address to listen on.
+    /// Listen address.
     pub address: String,
-    /// Calls that run side by side; more wait.
+    /// Largest number of concurrent calls; further ones wait.
     #[serde(default = "default_service_slots")]
     pub slots: usize,
-    /// Time of a call, in milliseconds.
+    /// Mean duration of a call, in milliseconds.
     pub service_ms: f64,
-    /// Share by which the time varies.
+    /// Largest relative deviation from `service_ms`.
     #[serde(default)]
     pub jitter: f64,
-    /// Whether calls go to the run log.
+    /// Whether executed calls are recorded in the run log.
     #[serde(default)]
     pub logged: bool,
-    /// What it says of itself over time.
+    /// Scripted behavior over time.
     #[serde(default, rename = "conduct")]
     pub behavior: BehaviorConfig,
 }
@@ -109,17 +109,17 @@
     8
 }
 
-/// The platform's list of machines.
+/// Configuration of the platform's machine list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformConfig {
-    /// Address to listen on.
+    /// Listen address.
     pub address: String,
-    /// Addresses of the machines' back ends.
+    /// Addresses of the back ends on the machines.
     #[serde(default)]
     pub machines: Vec<String>,
-    /// Lag of each reader's view, in milliseconds, by position of the reader's
-    /// last digit; readers without one see the list at once.
+    /// Delay of the list for each reader, in milliseconds, indexed by the last digit of
+    /// the reader's name; other readers get the current list.
     #[serde(default)]
     pub lags_ms: Vec<u64>,
 }
--- a/crates/testbed/src/emulate/faults.rs
+++ b/crates/testbed/src/emulate/faults.rs
@@ -1,27 +1,27 @@
-//! Faults of an emulated back end, changed while it runs.
+//! Faults that can be injected into a running emulated back end.
 
 use super::behavior::{BackendBehavior, BehaviorConfig};
 use silversail_http::ResponseHead;
 use std::sync::Mutex;
 
-/// How calls are answered.
+/// Fault in the response to calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FaultMode {
-    /// As they should be.
+    /// Calls are answered correctly.
     #[default]
     None,
-    /// With an error, without running.
+    /// Calls are rejected without execution.
     Reject,
-    /// With status 500, after running.
+    /// Status 500 after the execution of a service call; engines reject with it.
     Error,
-    /// With something that is no JSON, after running.
+    /// A body that is not JSON, after the execution.
     MalformedBody,
-    /// With another attempt's identifier, after running.
+    /// The identifier of another attempt, after the execution.
     WrongAttempt,
-    /// Never, after running.
+    /// No end of the response after the execution.
     Hang,
-    /// The connection is cut, after running (services) or once in the middle
-    /// of each stream (engines).
+    /// The connection is closed within the response, after the execution (services)
+    /// or once in each stream (engines).
     CloseConnection,
 }
 
@@ -32,7 +32,7 @@
     behavior: BackendBehavior,
 }
 
-/// Faults of one back end.
+/// Injected faults of one back end.
 #[derive(Debug)]
 pub struct Faults(Mutex<State>);
 
@@ -47,38 +47,42 @@
 }
 
 impl Faults {
-    /// How calls are answered now.
+    /// Current fault mode.
     pub fn mode(&self) -> FaultMode {
         self.0.lock().expect("not poisoned").mode
     }
 
-    /// Changes how calls are answered.
+    /// Sets the fault mode of later responses.
     pub fn set_mode(&self, mode: FaultMode) {
         self.0.lock().expect("not poisoned").mode = mode;
     }
 
-    /// Changes what it says of itself, from now on.
+    /// Replaces the scripted behavior and starts its clock.
     pub fn set_behavior(&self, behavior: BehaviorConfig) {
         self.0.lock().expect("not poisoned").behavior = BackendBehavior::start(behavior);
     }
 
-    /// The answer to a call that is turned away; none where it is taken.
+    /// Response head for a call that is rejected; none for one that is accepted.
     pub fn reject_call(&self) -> Option<ResponseHead> {
         self.0.lock().expect("not poisoned").behavior.reject_call()
     }
 
-    /// The head of an answer, with what is said in all of them.
+    /// Response head with the current announcements of the back end.
     pub fn head(&self, status: u16, content_type: &'static str) -> ResponseHead {
         let head = ResponseHead::new(status, content_type);
-        self.0.lock().expect("not poisoned").behavior.marked(head)
+        self.0
+            .lock()
+            .expect("not poisoned")
+            .behavior
+            .with_announcements(head)
     }
 
-    /// Factor on service times.
+    /// Factor by which service times are multiplied.
     pub fn slowdown(&self) -> f64 {
         self.0.lock().expect("not poisoned").slowdown
     }
 
-    /// Changes the factor on service times.
+    /// Sets the factor by which service times are multiplied.
     pub fn set_slowdown(&self, factor: f64) {
         self.0.lock().expect("not poisoned").slowdown = factor;
     }
--- a/crates/testbed/src/emulate/mod.rs
+++ b/crates/testbed/src/emulate/mod.rs
@@ -1,5 +1,5 @@
-//! Emulated back ends in one process: engines, pools, plain services and the
-//! platform's list, each behind its own address.
+//! Emulated back ends in one process: engines, pool members, plain services and
+//! the platform's machine list, each on its own listen address.
 
 pub mod behavior;
 pub mod config;
@@ -22,26 +22,26 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::runtime::Runtime;
-use weights::{ModelHolder, WeightStore};
+use weights::{EngineModels, WeightStore};
 
-/// Running emulated back ends; dropped, they stop.
+/// Running emulated back ends. Dropping it stops them.
 pub struct Emulator {
-    /// Addresses by name.
+    /// Listen addresses by name of the back end.
     pub addresses: BTreeMap<String, SocketAddr>,
-    /// Faults by name.
+    /// Injected faults by name of the back end.
     pub faults: BTreeMap<String, Arc<Faults>>,
-    /// Calls that services ran.
+    /// Calls that services have executed.
     pub run_log: Arc<RunLog>,
-    /// The platform's list.
+    /// The platform's machine list, where one is configured.
     pub platform: Option<PlatformHandle>,
-    /// Orders that engines got.
+    /// Model orders that engines have received.
     pub orders: Arc<OrderLog>,
     servers: Vec<HttpServer>,
     runtime: Option<Runtime>,
 }
 
 impl Emulator {
-    /// Starts everything that `config` names.
+    /// Starts all back ends of a configuration.
     pub fn start(config: &EmulatorConfig) -> io::Result<Self> {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(4)
@@ -66,8 +66,8 @@
         for engine in &config.engines {
             let faults = emulator.add_faults(&engine.name);
             let models = engine.managed.then(|| {
-                let log = emulator.orders.clone();
-                ModelHolder::new(&engine.name, engine.checks_fence, store.clone(), log)
+                let order_log = emulator.orders.clone();
+                EngineModels::new(&engine.name, engine.checks_fence, store.clone(), order_log)
             });
             faults.set_behavior(engine.behavior.clone());
             let handler =
@@ -77,11 +77,11 @@
         for service in &config.services {
             let faults = emulator.add_faults(&service.name);
             faults.set_behavior(service.behavior.clone());
-            let log = emulator.run_log.clone();
+            let run_log = emulator.run_log.clone();
             let handler = service::ServiceHandler::new(
                 service.clone(),
                 faults,
-                log,
+                run_log,
                 runtime.handle().clone(),
                 config.seed,
             );
@@ -113,10 +113,10 @@
         Ok(())
     }
 
-    /// Faults of a back end.
+    /// Injected faults of a back end.
     ///
     /// # Panics
-    /// When there is no such back end.
+    /// When no back end has this name.
     pub fn faults(&self, name: &str) -> &Faults {
         &self.faults[name]
     }
--- a/crates/testbed/src/emulate/platform.rs
+++ b/crates/testbed/src/emulate/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of machines, which each reader sees with its own lag.
+//! The platform's machine list, which each reader gets with its own delay.
 
 use super::config::PlatformConfig;
 use serde_json::json;
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const JSON: &str = "application/json";
+const JSON_CONTENT_TYPE: &str = "application/json";
 
 struct Version {
     since: Instant,
@@ -20,12 +20,12 @@
     versions: Vec<Version>,
 }
 
-/// The list; clones share it.
+/// Handle of the machine list; clones share its state.
 #[derive(Clone)]
 pub struct PlatformHandle(Arc<Mutex<State>>);
 
 impl PlatformHandle {
-    /// A list on which all machines are live.
+    /// Creates a list of live machines.
     pub fn new(config: PlatformConfig) -> Self {
         let first = Version {
             since: Instant::now(),
@@ -45,40 +45,40 @@
         state.machines.push(address.to_owned());
     }
 
-    /// Marks a machine as leaving, or as live again; readers see it after
-    /// their lag.
+    /// Marks a machine as leaving or as live; each reader gets the change after its
+    /// delay.
     pub fn set_leaving(&self, address: &str, leaving: bool) {
         let mut state = self.0.lock().expect("not poisoned");
-        let mut marks = state
+        let mut leaving_machines = state
             .versions
             .last()
             .map(|version| version.leaving.clone())
             .unwrap_or_default();
         if leaving {
-            marks.insert(address.to_owned());
+            leaving_machines.insert(address.to_owned());
         } else {
-            marks.remove(address);
+            leaving_machines.remove(address);
         }
         state.versions.push(Version {
             since: Instant::now(),
-            leaving: marks,
+            leaving: leaving_machines,
         });
     }
 
     fn list_for(&self, reader: &str) -> serde_json::Value {
         let state = self.0.lock().expect("not poisoned");
-        let lag = reader
+        let delay = reader
             .chars()
             .last()
             .and_then(|digit| digit.to_digit(10))
             .and_then(|position| state.config.lags_ms.get(position as usize))
-            .map_or(Duration::ZERO, |lag| Duration::from_millis(*lag));
-        let seen = state
+            .map_or(Duration::ZERO, |delay_ms| Duration::from_millis(*delay_ms));
+        let visible_version = state
             .versions
             .iter()
-            .rposition(|version| version.since.elapsed() >= lag)
+            .rposition(|version| version.since.elapsed() >= delay)
             .unwrap_or(0);
-        let leaving = &state.versions[seen].leaving;
+        let leaving = &state.versions[visible_version].leaving;
         let machines: Vec<_> = state
             .machines
             .iter()
@@ -91,7 +91,7 @@
                 json!({ "address": address, "state": state })
             })
             .collect();
-        json!({ "version": seen + 1, "machines": machines })
+        json!({ "version": visible_version + 1, "machines": machines })
     }
 }
 
@@ -99,11 +99,11 @@
     fn handle(&self, request: Request, responder: Responder) -> Box<dyn FnOnce() + Send> {
         let reader = request.query.strip_prefix("reader=").unwrap_or_default();
         let body = self.list_for(reader).to_string();
-        responder.respond(ResponseHead::new(200, JSON), body.into_bytes());
+        responder.respond(ResponseHead::new(200, JSON_CONTENT_TYPE), body.into_bytes());
         Box::new(|| {})
     }
 
     fn reject(&self, _reason: RejectReason, _head: &Request) -> (ResponseHead, Vec<u8>) {
-        (ResponseHead::new(503, JSON), Vec::new())
+        (ResponseHead::new(503, JSON_CONTENT_TYPE), Vec::new())
     }
 }
--- a/crates/testbed/src/emulate/run_log.rs
+++ b/crates/testbed/src/emulate/run_log.rs
@@ -1,4 +1,4 @@
-//! The services' own log of the calls that they ran.
+//! Log of the calls that emulated services have executed.
 
 use crate::history::RunRecord;
 use std::fs::{File, OpenOptions};
@@ -6,14 +6,14 @@
 use std::path::Path;
 use std::sync::Mutex;
 
-/// Every call that a service ran, noted when it began to run.
+/// Log of all executed calls, each recorded before its execution.
 pub struct RunLog {
     records: Mutex<Vec<RunRecord>>,
     file: Option<Mutex<File>>,
 }
 
 impl RunLog {
-    /// A log in memory, and in a file where one is named.
+    /// Creates a log in memory, which is also appended to the file at `path`.
     pub fn open(path: Option<&Path>) -> io::Result<Self> {
         let file = match path {
             Some(path) => Some(Mutex::new(
@@ -27,8 +27,8 @@
         })
     }
 
-    /// Notes a call.
-    pub fn add(&self, record: RunRecord) {
+    /// Records a call.
+    pub fn record(&self, record: RunRecord) {
         if let Some(file) = &self.file {
             let mut line = serde_json::to_vec(&record).expect("the record encodes");
             line.push(b'\n');
@@ -38,7 +38,7 @@
         self.records.lock().expect("not poisoned").push(record);
     }
 
-    /// All calls so far.
+    /// All calls recorded so far.
     pub fn records(&self) -> Vec<RunRecord> {
         self.records.lock().expect("not poisoned").clone()
     }
--- a/crates/testbed/src/emulate/service.rs
+++ b/crates/testbed/src/emulate/service.rs
@@ -1,4 +1,4 @@
-//! Pools and plain services.
+//! Emulated pool members and plain services.
 
 use super::config::ServiceConfig;
 use super::faults::{FaultMode, Faults};
@@ -14,7 +14,7 @@
 use tokio::runtime::Handle;
 use tokio::sync::Semaphore;
 
-const JSON: &str = "application/json";
+const JSON_CONTENT_TYPE: &str = "application/json";
 
 #[derive(Deserialize)]
 struct CallBody {
@@ -23,38 +23,38 @@
     input: Value,
 }
 
-struct Shared {
+struct ServiceState {
     config: ServiceConfig,
     faults: Arc<Faults>,
-    log: Arc<RunLog>,
+    run_log: Arc<RunLog>,
     slots: Semaphore,
     random: Mutex<ChaCha8Rng>,
 }
 
-/// Answers calls of one pool member or service.
+/// HTTP handler of one pool member or service.
 pub struct ServiceHandler {
-    shared: Arc<Shared>,
+    state: Arc<ServiceState>,
     runtime: Handle,
 }
 
 impl ServiceHandler {
-    /// A service by its configuration.
+    /// Creates the handler of a service.
     pub fn new(
         config: ServiceConfig,
         faults: Arc<Faults>,
-        log: Arc<RunLog>,
+        run_log: Arc<RunLog>,
         runtime: Handle,
         seed: u64,
     ) -> Self {
-        let shared = Shared {
+        let state = ServiceState {
             slots: Semaphore::new(config.slots),
             config,
             faults,
-            log,
+            run_log,
             random: Mutex::new(ChaCha8Rng::seed_from_u64(seed)),
         };
         Self {
-            shared: Arc::new(shared),
+            state: Arc::new(state),
             runtime,
         }
     }
@@ -62,43 +62,46 @@
 
 impl Handler for ServiceHandler {
     fn handle(&self, request: Request, responder: Responder) -> Box<dyn FnOnce() + Send> {
-        let shared = self.shared.clone();
+        let state = self.state.clone();
         self.runtime.spawn(async move {
-            shared.call(request, responder).await;
+            state.call(request, responder).await;
         });
-        // A call that began runs to its end, whoever waits for it.
+        // A disconnected caller does not cancel the call.
         Box::new(|| {})
     }
 
     fn reject(&self, _reason: RejectReason, _head: &Request) -> (ResponseHead, Vec<u8>) {
         (
-            self.shared.faults.head(503, JSON),
+            self.state.faults.head(503, JSON_CONTENT_TYPE),
             b"{\"not_run\":true}".to_vec(),
         )
     }
 }
 
-impl Shared {
+impl ServiceState {
     async fn call(&self, request: Request, responder: Responder) {
         let Ok(body) = serde_json::from_slice::<CallBody>(&request.body) else {
-            responder.respond(self.faults.head(400, JSON), b"{}".to_vec());
+            responder.respond(self.faults.head(400, JSON_CONTENT_TYPE), b"{}".to_vec());
             return;
         };
         if let Some(head) = self.faults.reject_call() {
-            let refusal = json!({ "not_run": true }).to_string();
-            responder.respond(head, refusal.into_bytes());
+            let rejection = json!({ "not_run": true }).to_string();
+            responder.respond(head, rejection.into_bytes());
             return;
         }
         if self.faults.mode() == FaultMode::Reject {
-            let refusal = json!({ "not_run": true }).to_string();
-            responder.respond(self.faults.head(503, JSON), refusal.into_bytes());
+            let rejection = json!({ "not_run": true }).to_string();
+            responder.respond(
+                self.faults.head(503, JSON_CONTENT_TYPE),
+                rejection.into_bytes(),
+            );
             return;
         }
         let Ok(_slot) = self.slots.acquire().await else {
             return;
         };
         if self.config.logged {
-            self.log.add(RunRecord {
+            self.run_log.record(RunRecord {
                 service: self.config.name.clone(),
                 stage: body.stage.clone(),
                 attempt: body.attempt.clone(),
@@ -127,11 +130,11 @@
             FaultMode::None | FaultMode::Reject => body.attempt,
             FaultMode::WrongAttempt => format!("other-{}", body.attempt),
             FaultMode::Error => {
-                responder.respond(self.faults.head(500, JSON), b"{}".to_vec());
+                responder.respond(self.faults.head(500, JSON_CONTENT_TYPE), b"{}".to_vec());
                 return;
             }
             FaultMode::MalformedBody => {
-                responder.respond(self.faults.head(200, JSON), b"<html>".to_vec());
+                responder.respond(self.faults.head(200, JSON_CONTENT_TYPE), b"<html>".to_vec());
                 return;
             }
             FaultMode::Hang => {
@@ -139,8 +142,8 @@
                 return;
             }
             FaultMode::CloseConnection => {
-                // The connection breaks inside the body.
-                responder.head(self.faults.head(200, JSON));
+                // The connection is closed within the body.
+                responder.head(self.faults.head(200, JSON_CONTENT_TYPE));
                 responder.chunk(b"{\"attempt\":".to_vec());
                 tokio::time::sleep(Duration::from_millis(5)).await;
                 return;
@@ -151,6 +154,9 @@
             "output": { "by": self.config.name, "stage": body.stage, "input": body.input },
             "cost_ms": service_ms,
         });
-        responder.respond(self.faults.head(200, JSON), answer.to_string().into_bytes());
+        responder.respond(
+            self.faults.head(200, JSON_CONTENT_TYPE),
+            answer.to_string().into_bytes(),
+        );
     }
 }
--- a/crates/testbed/src/emulate/weights.rs
+++ b/crates/testbed/src/emulate/weights.rs
@@ -1,29 +1,29 @@
-//! The weight store, with one rate for all readers, and the models that an
-//! engine holds, which orders change.
+//! The weight store, which all engines share, and the models that an engine has
+//! loaded by order.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The weight store's configuration.
+/// Configuration of the weight store.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightStoreConfig {
-    /// Megabytes a second over all readers.
+    /// Throughput over all readers, in megabytes per second.
     pub mb_per_s: f64,
-    /// Sizes of models in megabytes.
+    /// Size of each model, in megabytes.
     pub models: BTreeMap<String, f64>,
 }
 
-/// Gives out weights one reader after another.
+/// Weight store that serves one reader after another.
 pub struct WeightStore {
     config: WeightStoreConfig,
     busy_until: Mutex<Instant>,
 }
 
 impl WeightStore {
-    /// An idle store.
+    /// Creates a store without reads in progress.
     pub fn new(config: WeightStoreConfig) -> Self {
         Self {
             config,
@@ -31,40 +31,39 @@
         }
     }
 
-    /// How long a read of `model` that begins now takes, those before it
-    /// included; none when there is no such model.
+    /// Reserves a read of `model` and returns its duration, including queued reads before
+    /// it; none for an unknown model.
     fn read(&self, model: &str) -> Option<Duration> {
         let size = self.config.models.get(model)?;
         let transfer = Duration::from_secs_f64(size / self.config.mb_per_s);
         let now = Instant::now();
         let mut busy_until = self.busy_until.lock().expect("not poisoned");
-        let waits = busy_until.saturating_duration_since(now);
-        *busy_until = now + waits + transfer;
-        Some(waits + transfer)
+        let queue_time = busy_until.saturating_duration_since(now);
+        *busy_until = now + queue_time + transfer;
+        Some(queue_time + transfer)
     }
 }
 
-/// An order as an engine got it.
+/// Record of a model order at an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct OrderRecord {
-    /// The engine.
+    /// Name of the engine.
     pub engine: String,
-    /// Larger part of the fence.
+    /// Leadership term of the fencing token, which is compared first.
     pub term: u64,
-    /// Smaller part of the fence.
+    /// Sequence number of the fencing token within its term.
     pub sequence: u64,
     /// `load` or `unload`.
     pub action: String,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// Whether the engine took it.
+    /// Whether the engine accepted the order.
     pub accepted: bool,
-    /// How long the load would take, those before it at the store included, in
-    /// milliseconds.
+    /// Duration of the load, including queued reads at the store, in milliseconds.
     pub load_ms: u64,
 }
 
-/// The body of an order.
+/// Request body of a model order.
 #[derive(Deserialize)]
 pub(crate) struct OrderBody {
     term: u64,
@@ -73,35 +72,35 @@
     model: String,
 }
 
-/// All orders that engines got, in their order.
+/// Model orders of all engines, in order of arrival.
 #[derive(Default)]
 pub struct OrderLog(Mutex<Vec<OrderRecord>>);
 
 impl OrderLog {
-    /// The orders so far.
+    /// All orders recorded so far.
     pub fn records(&self) -> Vec<OrderRecord> {
         self.0.lock().expect("not poisoned").clone()
     }
 }
 
-/// The models of one engine.
-pub struct ModelHolder {
+/// Models that one engine has loaded.
+pub struct EngineModels {
     engine: String,
     checks_fence: bool,
     store: Option<Arc<WeightStore>>,
     log: Arc<OrderLog>,
-    state: Mutex<HolderState>,
+    state: Mutex<ModelState>,
 }
 
 #[derive(Default)]
-struct HolderState {
-    held: BTreeSet<String>,
+struct ModelState {
+    loaded: BTreeSet<String>,
     loading: BTreeMap<String, Instant>,
     newest_fence: (u64, u64),
 }
 
-impl ModelHolder {
-    /// An engine that holds nothing.
+impl EngineModels {
+    /// Creates the state of an engine without loaded models.
     pub fn new(
         engine: &str,
         checks_fence: bool,
@@ -117,26 +116,26 @@
         }
     }
 
-    /// The models that are held now.
-    pub fn held(&self) -> Vec<String> {
+    /// Names of the models that are loaded now.
+    pub fn loaded(&self) -> Vec<String> {
         let mut state = self.state.lock().expect("not poisoned");
         let now = Instant::now();
-        let loaded: Vec<String> = state
+        let finished: Vec<String> = state
             .loading
             .iter()
-            .filter(|(_, until)| **until <= now)
+            .filter(|(_, loaded_at)| **loaded_at <= now)
             .map(|(model, _)| model.clone())
             .collect();
-        for model in loaded {
+        for model in finished {
             state.loading.remove(&model);
-            state.held.insert(model);
+            state.loaded.insert(model);
         }
-        state.held.iter().cloned().collect()
+        state.loaded.iter().cloned().collect()
     }
 
-    /// Takes an order; the HTTP status that answers it.
+    /// Processes an order; returns the HTTP status of the response.
     pub(crate) fn order(&self, body: &OrderBody) -> u16 {
-        self.held();
+        self.loaded();
         let mut state = self.state.lock().expect("not poisoned");
         let fence = (body.term, body.sequence);
         let is_stale = self.checks_fence && fence <= state.newest_fence;
@@ -145,7 +144,7 @@
         if !is_stale {
             state.newest_fence = state.newest_fence.max(fence);
             if body.action == "unload" {
-                state.held.remove(&body.model);
+                state.loaded.remove(&body.model);
                 state.loading.remove(&body.model);
             } else {
                 match self
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -1,56 +1,56 @@
-//! What callers and services saw, as the checker reads it.
+//! Records of calls and executions, which the checker reads.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// One answer, or the lack of one, to one call.
+/// Result of one call, with or without an answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallRecord {
-    /// The call's identity, also carried in its input as `key`.
+    /// Identity of the call, which its input contains as `key`.
     pub key: String,
-    /// The pipeline.
+    /// Name of the called pipeline.
     #[serde(default)]
     pub pipeline: String,
-    /// The outcome that the caller was told; none where no whole answer came.
+    /// Outcome in the answer; none without a complete answer.
     pub outcome: Option<String>,
-    /// The numbered code.
+    /// Numbered result code of the answer.
     pub code: Option<u16>,
-    /// The answer's output, where there is one.
+    /// Output in the answer.
     pub output: Option<Value>,
     /// Whether a stream ended without its completion event and without an error.
     #[serde(default)]
     pub ended_early: bool,
-    /// Whether the call was sent with the token of an earlier refusal.
+    /// Whether the call was sent with the retry token of an earlier rejection.
     #[serde(default)]
     pub retried_after_refusal: bool,
 }
 
-/// One call that a service ran.
+/// One execution of a call by a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The stage.
+    /// Name of the stage.
     #[serde(default)]
     pub stage: String,
-    /// The attempt.
+    /// Identifier of the attempt.
     pub attempt: String,
-    /// The request's input.
+    /// Input of the request.
     pub input: Value,
 }
 
 impl RunRecord {
-    /// The key in the input.
+    /// Identity of the call, from its input.
     pub fn key(&self) -> Option<&str> {
         self.input.get("key")?.as_str()
     }
 }
 
-/// A revision that a node said it had in force.
+/// A configuration revision that a node reported.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RevisionRecord {
-    /// The node.
+    /// Name of the node.
     pub node: String,
-    /// The revision.
+    /// Reported revision.
     pub revision: u64,
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,6 +1,5 @@
-//! What tests and the command line need around the daemon: emulated back ends,
-//! a fault-injecting proxy, a cluster of real processes, callers under load,
-//! and the checker of their histories.
+//! Test tools around the daemon: emulated back ends, a fault-injecting proxy, a
+//! cluster of real processes, a load generator, and a checker of recorded histories.
 
 pub mod caller;
 pub mod checker;
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,5 +1,5 @@
-//! Open-loop load: arrivals that do not wait for answers, with a burst at an
-//! event's start, and the report of what callers got.
+//! Open-loop load generator with Poisson arrivals and an optional burst, and the
+//! report of its results.
 
 use crate::caller::{CallOptions, Caller, Reply};
 use crate::history::CallRecord;
@@ -13,36 +13,36 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A tenant's part of the load.
+/// Share of a tenant in the load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantLoad {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Its pipeline.
+    /// Pipeline that the tenant calls.
     pub pipeline: String,
-    /// Its share of the arrivals, relative to the others.
+    /// Weight of the tenant in the arrivals, relative to the others.
     pub share: f64,
 }
 
-/// What is sent.
+/// Plan of a load test.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadPlan {
-    /// Seed of arrivals.
+    /// Seed of the arrival times and tenants.
     #[serde(default)]
     pub seed: u64,
-    /// Requests a second, before and after the burst.
+    /// Requests per second outside the burst.
     pub base_rate: f64,
-    /// How long, in milliseconds; at most ten minutes.
+    /// Duration in milliseconds; at most ten minutes.
     pub duration_ms: u64,
-    /// When the burst starts, in milliseconds.
+    /// Start of the burst, in milliseconds.
     #[serde(default)]
     pub burst_at_ms: u64,
-    /// How long the burst lasts, in milliseconds.
+    /// Duration of the burst, in milliseconds.
     #[serde(default)]
     pub burst_ms: u64,
-    /// Requests a second in the burst.
+    /// Requests per second in the burst.
     #[serde(default)]
     pub burst_rate: f64,
     /// Deadline of each request, in milliseconds.
@@ -53,13 +53,13 @@
     /// Whether requests carry an `Idempotency-Key`.
     #[serde(default)]
     pub keyed: bool,
-    /// Characters of input beyond the key.
+    /// Number of characters of input in addition to the key.
     #[serde(default)]
     pub text_chars: usize,
-    /// Times that a call is sent at most, to different entry points.
+    /// Largest number of attempts of a call, at different entry points.
     #[serde(default = "one_attempt")]
     pub attempts: usize,
-    /// Who sends.
+    /// Tenants that send, with their shares.
     pub tenants: Vec<TenantLoad>,
 }
 
@@ -67,34 +67,35 @@
     1
 }
 
-/// Most requests of one plan.
+/// Largest number of requests of one plan.
 pub const MAX_REQUESTS: usize = 200_000;
-/// Most requests under way; more are counted as not sent.
+/// Largest number of concurrent requests; further ones are counted as not sent.
 const MAX_IN_FLIGHT: usize = 3_000;
+/// Stack size of a request thread, in bytes.
 const STACK_BYTES: usize = 192 << 10;
 
-/// What callers got.
+/// Results of a load test.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LoadReport {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: usize,
-    /// Whole answers within their deadline.
+    /// Number of complete answers within the deadline.
     pub in_time: usize,
-    /// Share of requests whose whole answer came within its deadline.
+    /// Share of requests with a complete answer within the deadline.
     pub attainment: f64,
-    /// The same by tenant.
+    /// Attainment of each tenant.
     pub attainment_by_tenant: BTreeMap<String, f64>,
-    /// Answers by reason.
+    /// Number of answers by reason.
     pub by_reason: BTreeMap<String, usize>,
-    /// Times of whole answers, in milliseconds: median, 95 and 99 in 100.
+    /// Response times of complete answers, in milliseconds: p50, p95 and p99.
     pub answer_ms: [u64; 3],
-    /// Times to the first token, in milliseconds: median, 95 and 99 in 100.
+    /// Times to the first token, in milliseconds: p50, p95 and p99.
     pub first_token_ms: [u64; 3],
-    /// Gaps between tokens, in milliseconds: median, 95 and 99 in 100.
+    /// Times between tokens, in milliseconds: p50, p95 and p99.
     pub token_gap_ms: [u64; 3],
-    /// Back-end milliseconds of completed requests, by stage kind.
+    /// Cost of completed requests at back ends by kind of stage, in milliseconds.
     pub cost_ms_by_stage: BTreeMap<String, f64>,
-    /// What callers saw, for the checker.
+    /// Record of each call, for the checker.
     #[serde(skip)]
     pub records: Vec<CallRecord>,
 }
@@ -105,7 +106,7 @@
     seed: usize,
 }
 
-/// Runs a plan against the entry points that `addresses` tell of.
+/// Runs a plan against the entry points that are resolved at `addresses`.
 pub fn run(plan: &LoadPlan, addresses: Vec<SocketAddr>) -> LoadReport {
     let caller = Arc::new(Caller::new(addresses));
     let arrivals = arrivals(plan);
@@ -160,7 +161,7 @@
             false => (burst.start - at_ms).max(1.0),
         };
         let next = at_ms + gap;
-        // A gap that reaches over the burst's start ends there.
+        // A gap that crosses the start of the burst ends there.
         at_ms = if at_ms < burst.start && next > burst.start {
             burst.start
         } else {
@@ -212,7 +213,8 @@
         sent: replies.len(),
         ..LoadReport::default()
     };
-    let (mut answers, mut firsts, mut gaps) = (new_histogram(), new_histogram(), new_histogram());
+    let (mut response_times, mut first_token_times, mut token_gaps) =
+        (new_histogram(), new_histogram(), new_histogram());
     let mut by_tenant: BTreeMap<String, (usize, usize)> = BTreeMap::new();
     for (options, reply) in &replies {
         let is_completed = reply.outcome() == Some("completed");
@@ -228,13 +230,13 @@
         };
         *report.by_reason.entry(reason.to_owned()).or_default() += 1;
         if is_completed {
-            answers.saturating_record(milliseconds(reply.elapsed));
+            response_times.saturating_record(milliseconds(reply.elapsed));
         }
         if let Some(first) = reply.first_token {
-            firsts.saturating_record(milliseconds(first));
+            first_token_times.saturating_record(milliseconds(first));
         }
         for gap in &reply.gaps {
-            gaps.saturating_record(milliseconds(*gap));
+            token_gaps.saturating_record(milliseconds(*gap));
         }
         add_cost(&mut report.cost_ms_by_stage, reply);
         report.records.push(reply.record(options));
@@ -244,9 +246,9 @@
         .into_iter()
         .map(|(tenant, (in_time, sent))| (tenant, in_time as f64 / sent as f64))
         .collect();
-    report.answer_ms = quantiles(&answers);
-    report.first_token_ms = quantiles(&firsts);
-    report.token_gap_ms = quantiles(&gaps);
+    report.answer_ms = quantiles(&response_times);
+    report.first_token_ms = quantiles(&first_token_times);
+    report.token_gap_ms = quantiles(&token_gaps);
     report
 }
 
--- a/crates/testbed/src/proxy.rs
+++ b/crates/testbed/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A fault-injecting TCP proxy between any two parties.
+//! A TCP proxy that injects faults into the connections that it forwards.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,23 +12,23 @@
 
 const BUFFER_BYTES: usize = 16 << 10;
 
-/// What is wrong with a link.
+/// Faults that are injected into a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkFault {
-    /// Added to each piece of data, each way.
+    /// Delay of each read of data, in both directions.
     pub delay: Duration,
-    /// Data to the server is held back in silence and released when this ends.
+    /// Whether data to the server is held back until this is cleared.
     pub hold_to_server: bool,
-    /// Data to the client is held back in silence and released when this ends.
+    /// Whether data to the client is held back until this is cleared.
     pub hold_to_client: bool,
-    /// Open connections are closed and new ones refused.
+    /// Whether open connections are closed and new ones are closed at once.
     pub refuse_connections: bool,
-    /// Connections are closed after so many bytes to the client.
+    /// Number of bytes to the client after which a connection is closed.
     pub close_after_bytes: Option<u64>,
 }
 
 impl LinkFault {
-    /// Nothing passes either way, in silence.
+    /// Holds back all data in both directions without closing connections.
     pub fn black_hole() -> Self {
         Self {
             hold_to_server: true,
@@ -38,7 +38,7 @@
     }
 }
 
-/// A proxy of one address.
+/// A proxy in front of one server address.
 pub struct FaultProxy {
     address: SocketAddr,
     fault: watch::Sender<LinkFault>,
@@ -50,9 +50,14 @@
     pub fn start(runtime: &Runtime, target: SocketAddr) -> io::Result<Self> {
         let listener = runtime.block_on(TcpListener::bind("127.0.0.1:0"))?;
         let address = listener.local_addr()?;
-        let (fault, seen) = watch::channel(LinkFault::default());
+        let (fault, fault_receiver) = watch::channel(LinkFault::default());
         let connections = Arc::new(AtomicU64::new(0));
-        runtime.spawn(accept(listener, target, seen, connections.clone()));
+        runtime.spawn(accept(
+            listener,
+            target,
+            fault_receiver,
+            connections.clone(),
+        ));
         Ok(Self {
             address,
             fault,
@@ -60,17 +65,17 @@
         })
     }
 
-    /// Where the proxy listens.
+    /// Listen address of the proxy.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Connections accepted so far.
+    /// Number of connections accepted so far.
     pub fn connections(&self) -> u64 {
         self.connections.load(Ordering::Relaxed)
     }
 
-    /// Changes what is wrong with the link, open connections included.
+    /// Sets the injected faults, which also apply to open connections.
     pub fn set(&self, fault: LinkFault) {
         self.fault.send_replace(fault);
     }
@@ -102,17 +107,27 @@
     let _ = server.set_nodelay(true);
     let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = server.into_split();
-    let to_server = copy(client_read, server_write, fault.clone(), Way::ToServer);
-    let to_client = copy(server_read, client_write, fault.clone(), Way::ToClient);
-    let mut cut = fault;
+    let to_server = copy(
+        client_read,
+        server_write,
+        fault.clone(),
+        Direction::ToServer,
+    );
+    let to_client = copy(
+        server_read,
+        client_write,
+        fault.clone(),
+        Direction::ToClient,
+    );
+    let mut disconnected = fault;
     tokio::select! {
         _ = async { tokio::join!(to_server, to_client) } => {}
-        _ = cut.wait_for(|fault| fault.refuse_connections) => {}
+        _ = disconnected.wait_for(|fault| fault.refuse_connections) => {}
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Direction {
     ToServer,
     ToClient,
 }
@@ -121,18 +136,18 @@
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
     mut fault: watch::Receiver<LinkFault>,
-    way: Way,
+    direction: Direction,
 ) {
     let mut buffer = vec![0; BUFFER_BYTES];
-    let mut passed: u64 = 0;
+    let mut forwarded: u64 = 0;
     loop {
         let count = match from.read(&mut buffer).await {
             Ok(0) | Err(_) => break,
             Ok(count) => count,
         };
-        let is_open = |fault: &LinkFault| match way {
-            Way::ToServer => !fault.hold_to_server,
-            Way::ToClient => !fault.hold_to_client,
+        let is_open = |fault: &LinkFault| match direction {
+            Direction::ToServer => !fault.hold_to_server,
+            Direction::ToClient => !fault.hold_to_client,
         };
         let current = match fault.wait_for(is_open).await {
             Ok(current) => *current,
@@ -143,14 +158,14 @@
         }
         let limit = current
             .close_after_bytes
-            .filter(|_| way == Way::ToClient)
+            .filter(|_| direction == Direction::ToClient)
             .unwrap_or(u64::MAX);
-        let allowed = (limit.saturating_sub(passed)).min(count as u64) as usize;
+        let allowed = (limit.saturating_sub(forwarded)).min(count as u64) as usize;
         if to.write_all(&buffer[..allowed]).await.is_err() {
             return;
         }
-        passed += allowed as u64;
-        if passed >= limit {
+        forwarded += allowed as u64;
+        if forwarded >= limit {
             return;
         }
     }
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -1,4 +1,4 @@
-//! A checker that can't fail proves nothing: a bad history of every kind.
+//! Guards against a checker that misses a violation, with a history of every kind.
 
 use serde_json::json;
 use silversail_testbed::checker::check_revisions;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_good_history_has_no_violation() {
+fn a_correct_history_has_no_violation() {
     let calls = [
         call("k", "completed"),
         call("k", "completed"),
@@ -41,10 +41,10 @@
 }
 
 #[test]
-fn a_key_that_ran_twice_is_found() {
-    let found = check(&[call("k", "completed")], &[run("k"), run("k")]);
+fn a_repeated_execution_is_found() {
+    let violations = check(&[call("k", "completed")], &[run("k"), run("k")]);
     assert_eq!(
-        found,
+        violations,
         [Violation::Doubled {
             key: key(),
             runs: 2
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn two_stages_of_one_request_are_no_double() {
+fn two_stages_of_one_request_are_not_a_repeated_execution() {
     let bill = RunRecord {
         stage: "bill".into(),
         ..run("k")
@@ -62,10 +62,10 @@
 }
 
 #[test]
-fn an_untrue_refusal_is_found_unless_the_caller_retried_after_it() {
+fn a_false_rejection_is_found_unless_the_caller_retried_after_it() {
     let refused = call("k", "not_run");
-    let found = check(std::slice::from_ref(&refused), &[run("k")]);
-    assert_eq!(found, [Violation::UntrueNotRun { key: key() }]);
+    let violations = check(std::slice::from_ref(&refused), &[run("k")]);
+    assert_eq!(violations, [Violation::UntrueNotRun { key: key() }]);
     let retried = CallRecord {
         retried_after_refusal: true,
         ..call("k", "completed")
@@ -74,61 +74,68 @@
 }
 
 #[test]
-fn an_answer_of_a_call_that_never_ran_is_found() {
-    let found = check(&[call("k", "completed")], &[run("other")]);
-    assert_eq!(found, [Violation::Invented { key: key() }]);
+fn an_answer_without_an_execution_is_found() {
+    let violations = check(&[call("k", "completed")], &[run("other")]);
+    assert_eq!(violations, [Violation::Invented { key: key() }]);
 }
 
 #[test]
-fn an_answer_of_another_request_is_found() {
+fn the_output_of_another_request_is_found() {
     let crossed = CallRecord {
         output: Some(json!({ "input": { "key": "other" } })),
         ..call("k", "completed")
     };
-    let found = check(&[crossed], &[run("k")]);
-    assert_eq!(found, [Violation::Crossed { key: key() }]);
+    let violations = check(&[crossed], &[run("k")]);
+    assert_eq!(violations, [Violation::Crossed { key: key() }]);
 }
 
 #[test]
-fn a_stream_cut_short_is_found() {
-    let cut = CallRecord {
+fn a_stream_without_its_completion_event_is_found() {
+    let truncated = CallRecord {
         ended_early: true,
         ..call("k", "failed")
     };
-    assert_eq!(check(&[cut], &[]), [Violation::CutShort { key: key() }]);
+    assert_eq!(
+        check(&[truncated], &[]),
+        [Violation::CutShort { key: key() }]
+    );
 }
 
 #[test]
-fn answers_that_differ_are_found() {
+fn different_answers_to_one_call_are_found() {
     let other = CallRecord {
         output: Some(json!({ "input": { "key": "k" }, "more": 1 })),
         ..call("k", "completed")
     };
-    let found = check(&[call("k", "completed"), other], &[run("k")]);
-    assert_eq!(found, [Violation::Changed { key: key() }]);
+    let violations = check(&[call("k", "completed"), other], &[run("k")]);
+    assert_eq!(violations, [Violation::Changed { key: key() }]);
 }
 
 #[test]
 fn a_call_without_any_answer_is_found() {
-    let silent = CallRecord {
+    let unanswered = CallRecord {
         outcome: None,
         ..call("k", "lost")
     };
     assert_eq!(
-        check(&[silent], &[run("k")]),
+        check(&[unanswered], &[run("k")]),
         [Violation::Lost { key: key() }]
     );
 }
 
 #[test]
-fn a_revision_that_goes_back_is_found() {
-    let seen = |node: &str, revision| RevisionRecord {
+fn a_return_to_an_older_revision_is_found() {
+    let observation = |node: &str, revision| RevisionRecord {
         node: node.into(),
         revision,
     };
-    let good = [seen("a", 1), seen("b", 3), seen("a", 2)];
+    let good = [
+        observation("a", 1),
+        observation("b", 3),
+        observation("a", 2),
+    ];
     assert_eq!(check_revisions(&good), []);
-    let bad = [seen("a", 3), seen("a", 2)];
+    let bad = [observation("a", 3), observation("a", 2)];
     let expected = Violation::Reverted {
         node: "a".into(),
         from: 3,
