--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check` and `check-history`.
+//! Subcommands `check` and `check-history`.
 
 use crate::errors::CliError;
 use argh::FromArgs;
@@ -8,7 +8,7 @@
 use silversail_testbed::{check, CallRecord, RunRecord};
 use std::path::{Path, PathBuf};
 
-/// Checks files without a server.
+/// Validates settings and configuration files without a server.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -19,13 +19,13 @@
     /// settings file of a process
     #[argh(option)]
     settings: Option<PathBuf>,
-    /// configuration file; checked as a whole configuration
+    /// configuration file; validated as a complete configuration
     #[argh(option)]
     configuration: Option<PathBuf>,
 }
 
 impl Check {
-    /// Checks each file named.
+    /// Validates each given file.
     pub fn run(self) -> Result<(), CliError> {
         if let Some(path) = &self.settings {
             Settings::load(path).map_err(|error| CliError::Invalid(error.to_string()))?;
@@ -42,22 +42,22 @@
     }
 }
 
-/// Reads a configuration document.
+/// Reads a configuration document from a YAML file.
 pub fn read_document(path: &Path) -> Result<ConfigurationDocument, CliError> {
     read_yaml(path)
 }
 
-/// Reads a YAML file.
+/// Parses a YAML file.
 pub fn read_yaml<T: DeserializeOwned>(path: &Path) -> Result<T, CliError> {
-    let failed = |message: String| CliError::File {
+    let file_error = |message: String| CliError::File {
         path: path.display().to_string(),
         message,
     };
-    let text = std::fs::read_to_string(path).map_err(|error| failed(error.to_string()))?;
-    serde_yaml_ng::from_str(&text).map_err(|error| failed(error.to_string()))
+    let text = std::fs::read_to_string(path).map_err(|error| file_error(error.to_string()))?;
+    serde_yaml_ng::from_str(&text).map_err(|error| file_error(error.to_string()))
 }
 
-/// Checks histories against what must always hold.
+/// Checks recorded histories for violations of the guarantees to callers.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -65,7 +65,7 @@
     example = "{command_name} --calls calls.jsonl --runs runs.jsonl"
 )]
 pub struct CheckHistory {
-    /// what callers saw, as JSON lines
+    /// results of calls at the callers, as JSON lines
     #[argh(option)]
     calls: PathBuf,
     /// run log of the services, as JSON lines
@@ -74,7 +74,7 @@
 }
 
 impl CheckHistory {
-    /// Prints each violation; fails when there is any.
+    /// Prints each violation; fails if there is any.
     pub fn run(self) -> Result<(), CliError> {
         let calls: Vec<CallRecord> = read_lines(&self.calls)?;
         let runs: Vec<RunRecord> = match &self.runs {
@@ -93,22 +93,24 @@
         );
         match violations.is_empty() {
             true => Ok(()),
-            false => Err(CliError::Local("the history breaks what must hold".into())),
+            false => Err(CliError::Local(
+                "the history violates guarantees to callers".into(),
+            )),
         }
     }
 }
 
 fn read_lines<T: DeserializeOwned>(path: &Path) -> Result<Vec<T>, CliError> {
-    let failed = |message: String| CliError::File {
+    let file_error = |message: String| CliError::File {
         path: path.display().to_string(),
         message,
     };
-    let text = std::fs::read_to_string(path).map_err(|error| failed(error.to_string()))?;
+    let text = std::fs::read_to_string(path).map_err(|error| file_error(error.to_string()))?;
     text.lines()
         .enumerate()
         .map(|(number, line)| {
             serde_json::from_str(line)
-                .map_err(|error| failed(format!("line {}: {error}", number + 1)))
+                .map_err(|error| file_error(format!("line {}: {error}", number + 1)))
         })
         .collect()
 }
--- a/crates/cli/src/commands/configuration.rs
+++ b/crates/cli/src/commands/configuration.rs
@@ -1,4 +1,4 @@
-//! `apply`, `get`, `diff`, `history` and `drain`.
+//! Subcommands `apply`, `get`, `diff`, `history` and `drain`.
 
 use crate::commands::check::read_document;
 use crate::errors::CliError;
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 
-/// Puts a configuration file in force. Prints the new revision.
+/// Applies a configuration file. Prints the new revision.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -25,19 +25,19 @@
     /// YAML file with pipelines, backends, models, tenants, delete
     #[argh(option)]
     file: PathBuf,
-    /// identifier of the change; keep it when you send the same change again
+    /// identifier of the change; must stay the same when the change is sent again
     #[argh(option)]
     change_id: Option<String>,
-    /// revision that the change builds on; the current one if not given
+    /// revision on which the change is based; the current one if not given
     #[argh(option)]
     base_revision: Option<u64>,
-    /// your name, for the history
+    /// name of the operator, for the history
     #[argh(option, default = "String::new()")]
     operator: String,
 }
 
 impl Apply {
-    /// Sends the change.
+    /// Sends the change and prints the revision.
     pub fn run(self) -> Result<(), CliError> {
         let document = read_document(&self.file)?;
         let client = OperatorClient::new(&self.server);
@@ -74,7 +74,7 @@
         .inspect_err(|error| {
             if error.exit_code() == 4 {
                 eprintln!(
-                    "to send it again: --change-id {change_id} --base-revision {base_revision}"
+                    "to retry this change: --change-id {change_id} --base-revision {base_revision}"
                 );
             }
         })?;
@@ -87,7 +87,7 @@
     Ok(current["revision"].as_u64().unwrap_or_default())
 }
 
-/// Prints the configuration in force.
+/// Prints the current configuration.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -114,11 +114,11 @@
         if let Some(kind) = self.kind.as_deref().filter(|kind| !KINDS.contains(kind)) {
             let known = KINDS.join(", ");
             return Err(CliError::Invalid(format!(
-                "no kind '{kind}'; there are {known}"
+                "unknown kind '{kind}'; expected one of {known}"
             )));
         }
         let answer = OperatorClient::new(&self.server).get("/v1/configuration")?;
-        let shown = match &self.kind {
+        let selected = match &self.kind {
             Some(kind) => answer["document"][kind].clone(),
             None => answer.clone(),
         };
@@ -126,13 +126,13 @@
             Some(kind) => vec![kind],
             None => KINDS.to_vec(),
         };
-        print(self.output, &shown, || {
-            table_of(&answer["document"], &kinds)
+        print(self.output, &selected, || {
+            object_table(&answer["document"], &kinds)
         })
     }
 }
 
-fn table_of(document: &Value, kinds: &[&str]) -> Table {
+fn object_table(document: &Value, kinds: &[&str]) -> Table {
     let mut table = Table::new(&["kind", "name", "labels"]);
     for kind in kinds {
         for object in document[kind].as_array().into_iter().flatten() {
@@ -150,7 +150,7 @@
     table
 }
 
-/// Prints what a file would change, without changing anything.
+/// Prints the changes that a file would make, without applying it.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -192,8 +192,8 @@
         let differences = differences(&current, &next);
         print(self.output, &differences, || {
             let mut table = Table::new(&["change", "kind", "name"]);
-            for one in &differences {
-                let cells = [one.change, one.kind, &one.name];
+            for difference in &differences {
+                let cells = [difference.change, difference.kind, &difference.name];
                 table.row(cells.map(str::to_owned).to_vec());
             }
             table
@@ -232,7 +232,7 @@
     }
 }
 
-/// Prints the latest accepted changes. Ask a voter.
+/// Prints the latest accepted changes. Only voters have them.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -265,7 +265,7 @@
     }
 }
 
-/// Declares that a back end gets nothing new, or again may.
+/// Drains a back end, so that it gets no new work, or ends its draining.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -280,13 +280,13 @@
     /// name of the back end
     #[argh(option)]
     backend: String,
-    /// let it serve again
+    /// end the draining
     #[argh(switch)]
     undo: bool,
 }
 
 impl Drain {
-    /// Changes the back end's declared intent.
+    /// Changes the drain mark of the back end in the configuration.
     pub fn run(self) -> Result<(), CliError> {
         let client = OperatorClient::new(&self.server);
         let current = client.get("/v1/configuration")?;
@@ -298,7 +298,10 @@
             .into_iter()
             .find(|backend| backend.name.as_str() == self.backend);
         let Some(mut backend) = backend else {
-            return Err(CliError::Invalid(format!("no back end '{}'", self.backend)));
+            return Err(CliError::Invalid(format!(
+                "the configuration has no back end '{}'",
+                self.backend
+            )));
         };
         backend.drain = !self.undo;
         let change = ConfigurationDocument {
--- a/crates/cli/src/commands/emulate.rs
+++ b/crates/cli/src/commands/emulate.rs
@@ -1,4 +1,4 @@
-//! `emulate`.
+//! Subcommand `emulate`.
 
 use crate::commands::check::read_yaml;
 use crate::errors::CliError;
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Runs emulated back ends until it is ended.
+/// Runs emulated back ends until it is stopped or its time has passed.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -15,16 +15,16 @@
     example = "{command_name} examples/demo/backends.yaml"
 )]
 pub struct Emulate {
-    /// YAML file of engines, services and the platform's list
+    /// YAML file of engines, services and the platform's machine list
     #[argh(positional)]
     file: PathBuf,
-    /// end after so many seconds
+    /// duration in seconds
     #[argh(option, default = "86_400")]
     seconds: u64,
 }
 
 impl Emulate {
-    /// Starts the back ends and waits.
+    /// Starts the back ends, prints their addresses and waits.
     pub fn run(self) -> Result<(), CliError> {
         let config: EmulatorConfig = read_yaml(&self.file)?;
         let emulator =
--- a/crates/cli/src/commands/evacuate.rs
+++ b/crates/cli/src/commands/evacuate.rs
@@ -1,10 +1,10 @@
-//! `evacuate`.
+//! Subcommand `evacuate`.
 
 use crate::errors::CliError;
 use crate::operator_client::OperatorClient;
 use argh::FromArgs;
 
-/// Stops giving new work to the back ends of a zone, or gives them work again. Prints the
+/// Evacuates a zone, so that its back ends get no new work, or ends its evacuation. Prints the
 /// revision of the evacuated zones. May be repeated.
 #[derive(FromArgs)]
 #[argh(
@@ -20,13 +20,13 @@
     /// name of the zone
     #[argh(option)]
     zone: String,
-    /// give the zone's back ends work again
+    /// end the evacuation
     #[argh(switch)]
     undo: bool,
 }
 
 impl Evacuate {
-    /// Sends the order.
+    /// Sends the order and prints the revision.
     pub fn run(self) -> Result<(), CliError> {
         let client = OperatorClient::new(&self.server);
         let path = format!("/v1/evacuations/{}", self.zone);
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -1,12 +1,12 @@
-//! `explain`.
+//! Subcommand `explain`.
 
 use crate::errors::CliError;
 use argh::FromArgs;
 use silversail_decisions::explain::{format_line, Explanation, LogLines};
 use std::collections::BTreeMap;
 
-/// Tells from processes' decision logs why a request was lost, or what the
-/// processes believed.
+/// Explains from the decision logs of processes why a request failed, or how their
+/// view of the cluster changed.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -16,16 +16,16 @@
     example = "{command_name} --lost node-1.log node-2.log"
 )]
 pub struct Explain {
-    /// the caller's identifier of the request
+    /// identifier that the caller gave the request
     #[argh(option)]
     request: Option<String>,
-    /// a back end, service, node or group
+    /// back end, service, node or group whose state changes are printed
     #[argh(option)]
     belief: Option<String>,
-    /// count the lost requests by the decision that lost them
+    /// count the failed requests by the decision that failed them
     #[argh(switch)]
     lost: bool,
-    /// log files
+    /// decision log files
     #[argh(positional)]
     files: Vec<String>,
 }
@@ -43,21 +43,21 @@
         }
         match (&self.request, &self.belief, self.lost) {
             (Some(id), None, false) => print_request(id, &lines.request(id))?,
-            (None, Some(subject), false) => print_belief(&lines, subject),
-            (None, None, true) => print_lost(&lines),
+            (None, Some(subject), false) => print_state_changes(&lines, subject),
+            (None, None, true) => print_failure_counts(&lines),
             _ => {
-                let message = "name one of --request, --belief and --lost";
+                let message = "give exactly one of --request, --belief and --lost";
                 return Err(CliError::Invalid(message.to_owned()));
             }
         }
-        print_gaps(&lines);
+        print_missing_lines(&lines);
         Ok(())
     }
 }
 
 fn print_request(id: &str, explanation: &Explanation<'_>) -> Result<(), CliError> {
     let Some(first) = explanation.path.first() else {
-        let message = format!("no line is about request {id}; it may be sampled out or unread");
+        let message = format!("the files have no line of request {id}; it may not be sampled, or a file may be missing");
         return Err(CliError::Invalid(message));
     };
     for line in &explanation.path {
@@ -66,23 +66,23 @@
     match explanation.failed_by {
         Some(line) => println!("lost by: {}", format_line(line, first.at_ms).trim_start()),
         None if explanation.has_end => println!("not lost"),
-        None => println!("its end is not among the lines"),
+        None => println!("the files do not contain the end of the request"),
     }
     if !explanation.has_arrival {
-        println!("its arrival is not among the lines: the path is told in part");
+        println!("the files do not contain the arrival of the request; the path is incomplete");
     }
     Ok(())
 }
 
-fn print_belief(lines: &LogLines, subject: &str) {
-    let beliefs = lines.state_changes(subject);
-    let start = beliefs.first().map_or(0, |line| line.at_ms);
-    for line in beliefs {
+fn print_state_changes(lines: &LogLines, subject: &str) {
+    let changes = lines.state_changes(subject);
+    let start = changes.first().map_or(0, |line| line.at_ms);
+    for line in changes {
         println!("{}", format_line(line, start));
     }
 }
 
-fn print_lost(lines: &LogLines) {
+fn print_failure_counts(lines: &LogLines) {
     let mut by_cause: BTreeMap<String, (usize, &str)> = BTreeMap::new();
     for (request, line) in lines.failed_requests() {
         let cause = format_line(line, line.at_ms);
@@ -91,25 +91,25 @@
             .split_whitespace()
             .find(|word| word.starts_with("reason=") || word.starts_with("outcome="))
             .unwrap_or_default();
-        let known = by_cause
+        let counted = by_cause
             .entry(format!("{event} {reason}"))
             .or_insert((0, request));
-        known.0 += 1;
+        counted.0 += 1;
     }
     for (cause, (count, request)) in by_cause {
         println!("{count:>6}  {cause}  for example {request}");
     }
 }
 
-fn print_gaps(lines: &LogLines) {
-    let gaps = lines.gaps;
-    if gaps.dropped > 0 {
+fn print_missing_lines(lines: &LogLines) {
+    let missing = lines.gaps;
+    if missing.dropped > 0 {
         println!(
-            "{} lines were dropped by the processes: paths may have gaps",
-            gaps.dropped
+            "{} lines were dropped by the processes: paths may be incomplete",
+            missing.dropped
         );
     }
-    if gaps.unreadable > 0 {
-        println!("{} lines of the files are no decisions", gaps.unreadable);
+    if missing.unreadable > 0 {
+        println!("{} lines are not decision log lines", missing.unreadable);
     }
 }
--- a/crates/cli/src/commands/hollow.rs
+++ b/crates/cli/src/commands/hollow.rs
@@ -1,4 +1,4 @@
-//! `hollow`.
+//! Subcommand `hollow`.
 
 use crate::errors::CliError;
 use crate::output::{print, OutputFormat, Table};
@@ -6,8 +6,8 @@
 use silversail_simulation::hollow::ConfigurationSize;
 use silversail_simulation::{run_hollow, HollowReport};
 
-/// Measures what control costs at sizes that don't fit real processes, with
-/// hollow nodes under virtual time.
+/// Measures the cost of control in large clusters with hollow nodes under virtual
+/// time.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -30,7 +30,7 @@
 }
 
 impl Hollow {
-    /// Measures one size after another.
+    /// Measures each cluster size and prints the results.
     pub fn run(self) -> Result<(), CliError> {
         let size = ConfigurationSize {
             tenants: self.tenants,
@@ -43,14 +43,14 @@
             let nodes: usize = text
                 .trim()
                 .parse()
-                .map_err(|_| CliError::Invalid(format!("'{text}' is no number of nodes")))?;
+                .map_err(|_| CliError::Invalid(format!("'{text}' is not a number of nodes")))?;
             reports.push(run_hollow(nodes.max(6), size));
         }
-        print(self.output, &reports, || table_of(&reports))
+        print(self.output, &reports, || report_table(&reports))
     }
 }
 
-fn table_of(reports: &[HollowReport]) -> Table {
+fn report_table(reports: &[HollowReport]) -> Table {
     let mut table = Table::new(&[
         "nodes",
         "leader B/s",
@@ -68,23 +68,23 @@
         "full",
         "cpu us/s",
     ]);
-    for one in reports {
+    for report in reports {
         table.row(vec![
-            one.nodes.to_string(),
-            format!("{:.0}", one.leader.bytes),
-            format!("{:.0}", one.voter.bytes),
-            format!("{:.0}", one.node.bytes),
-            format!("{:.0}", one.busiest_node.bytes),
-            format!("{:.1}", one.node.messages),
-            one.in_force_median_ms.to_string(),
-            one.in_force_worst_ms.to_string(),
-            one.formed_ms.to_string(),
-            one.after_tenth_ms.to_string(),
-            one.after_zone_ms.to_string(),
-            one.after_region_ms.to_string(),
-            one.after_rolling_ms.to_string(),
-            one.after_full_restart_ms.to_string(),
-            format!("{:.0}", one.node_cpu_us_per_s),
+            report.nodes.to_string(),
+            format!("{:.0}", report.leader.bytes),
+            format!("{:.0}", report.voter.bytes),
+            format!("{:.0}", report.node.bytes),
+            format!("{:.0}", report.busiest_node.bytes),
+            format!("{:.1}", report.node.messages),
+            report.in_force_median_ms.to_string(),
+            report.in_force_worst_ms.to_string(),
+            report.formed_ms.to_string(),
+            report.after_tenth_ms.to_string(),
+            report.after_zone_ms.to_string(),
+            report.after_region_ms.to_string(),
+            report.after_rolling_ms.to_string(),
+            report.after_full_restart_ms.to_string(),
+            format!("{:.0}", report.node_cpu_us_per_s),
         ]);
     }
     table
--- a/crates/cli/src/commands/load.rs
+++ b/crates/cli/src/commands/load.rs
@@ -1,4 +1,4 @@
-//! `load`.
+//! Subcommand `load`.
 
 use crate::commands::check::read_yaml;
 use crate::errors::CliError;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Sends requests as a plan says and reports attainment and cost by stage.
+/// Sends requests by a load plan and reports attainment and cost by stage.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -23,7 +23,7 @@
     /// callers' addresses to ask for entry points, comma-separated
     #[argh(option)]
     entry: String,
-    /// file for what callers saw, as JSON lines
+    /// output file for the results of calls, as JSON lines
     #[argh(option)]
     calls: Option<PathBuf>,
     /// table, json or yaml
@@ -34,11 +34,11 @@
 /// Parses a comma-separated list of loopback addresses.
 pub fn parse_addresses(text: &str) -> Result<Vec<SocketAddr>, CliError> {
     text.split(',')
-        .map(|one| {
-            let address: SocketAddr = one
+        .map(|address_text| {
+            let address: SocketAddr = address_text
                 .trim()
                 .parse()
-                .map_err(|_| CliError::Invalid(format!("'{one}' is not IP:PORT")))?;
+                .map_err(|_| CliError::Invalid(format!("'{address_text}' is not IP:PORT")))?;
             match address.ip().is_loopback() {
                 true => Ok(address),
                 false => Err(CliError::Invalid(format!(
@@ -50,7 +50,7 @@
 }
 
 impl Load {
-    /// Runs the plan.
+    /// Runs the plan and prints the report.
     pub fn run(self) -> Result<(), CliError> {
         let plan: LoadPlan = read_yaml(&self.file)?;
         if plan.tenants.is_empty() {
@@ -68,11 +68,11 @@
                 message: error.to_string(),
             })?;
         }
-        print(self.output, &report, || table_of(&report))
+        print(self.output, &report, || report_table(&report))
     }
 }
 
-fn table_of(report: &LoadReport) -> Table {
+fn report_table(report: &LoadReport) -> Table {
     let mut table = Table::new(&["measure", "value"]);
     let mut row = |name: String, value: String| table.row(vec![name, value]);
     row("sent".into(), report.sent.to_string());
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands.
+//! Subcommands of the command line.
 
 pub mod check;
 pub mod configuration;
@@ -17,7 +17,7 @@
 use crate::errors::CliError;
 use argh::FromArgs;
 
-/// A subcommand.
+/// A parsed subcommand.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
--- a/crates/cli/src/commands/plan.rs
+++ b/crates/cli/src/commands/plan.rs
@@ -1,4 +1,4 @@
-//! `plan`.
+//! Subcommand `plan`.
 
 use crate::commands::check::read_yaml;
 use crate::errors::CliError;
@@ -6,7 +6,7 @@
 use argh::FromArgs;
 use std::path::PathBuf;
 
-/// Prints the tables of docs/CAPACITY.md from a size and measured points.
+/// Prints the tables of docs/CAPACITY.md from a cluster size and measurements.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -14,13 +14,13 @@
     example = "{command_name} docs/capacity.yaml"
 )]
 pub struct Plan {
-    /// YAML file of the size, the budget and the measured points
+    /// YAML file of the cluster size, the budget and the measurements
     #[argh(positional)]
     file: PathBuf,
 }
 
 impl Plan {
-    /// Reads, works out and prints.
+    /// Computes and prints the tables.
     pub fn run(self) -> Result<(), CliError> {
         let input: PlanInput = read_yaml(&self.file)?;
         print!("{}", render(&input));
--- a/crates/cli/src/commands/quarantine.rs
+++ b/crates/cli/src/commands/quarantine.rs
@@ -1,4 +1,4 @@
-//! `quarantine`.
+//! Subcommand `quarantine`.
 
 use crate::errors::CliError;
 use crate::operator_client::OperatorClient;
@@ -6,7 +6,7 @@
 use argh::FromArgs;
 use serde_json::Value;
 
-/// Shows the requests that are refused as they crash back ends, or has one sent again.
+/// Lists the requests that are quarantined because they crash back ends, or releases one.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "quarantine")]
 pub struct Quarantine {
@@ -21,8 +21,8 @@
     Lift(Lift),
 }
 
-/// Prints the requests that are refused and those that one crash more would have refused. Voters
-/// know the crashes that decided; other processes name the requests only.
+/// Prints the quarantined requests, and those that one more crash would quarantine. Voters also
+/// print the crashes of each request.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -38,7 +38,7 @@
     output: OutputFormat,
 }
 
-/// Has a refused request sent to back ends again. Crashes until now count no more.
+/// Lifts the quarantine of a request. Its earlier crashes are no longer counted.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -55,12 +55,12 @@
 }
 
 impl Quarantine {
-    /// Prints what is asked, or sends the order.
+    /// Prints the list, or sends the order.
     pub fn run(self) -> Result<(), CliError> {
         match self.action {
             Action::List(list) => {
                 let answer = OperatorClient::new(&list.server).get("/v1/quarantine")?;
-                print(list.output, &answer, || table_of(&answer))
+                print(list.output, &answer, || quarantine_table(&answer))
             }
             Action::Lift(lift) => {
                 let client = OperatorClient::new(&lift.server);
@@ -72,7 +72,7 @@
     }
 }
 
-fn table_of(answer: &Value) -> Table {
+fn quarantine_table(answer: &Value) -> Table {
     let mut table = Table::new(&["fingerprint", "state", "since_ms", "until_ms", "crashes"]);
     let text = |value: &Value| match value {
         Value::Null => "-".to_owned(),
@@ -80,7 +80,9 @@
     };
     for refused in answer["refused"].as_array().into_iter().flatten() {
         let crashes = refused["crashes"].as_array().into_iter().flatten();
-        let backends: Vec<&str> = crashes.filter_map(|one| one["backend"].as_str()).collect();
+        let backends: Vec<&str> = crashes
+            .filter_map(|crash| crash["backend"].as_str())
+            .collect();
         table.row(vec![
             refused["fingerprint"].as_str().unwrap_or("-").to_owned(),
             "refused".to_owned(),
--- a/crates/cli/src/commands/request.rs
+++ b/crates/cli/src/commands/request.rs
@@ -1,4 +1,4 @@
-//! `request`.
+//! Subcommand `request`.
 
 use crate::commands::load::parse_addresses;
 use crate::errors::CliError;
@@ -17,16 +17,16 @@
     /// callers' addresses to ask for entry points, comma-separated
     #[argh(option)]
     entry: String,
-    /// pipeline
+    /// name of the pipeline
     #[argh(option)]
     pipeline: String,
-    /// tenant
+    /// name of the tenant
     #[argh(option)]
     tenant: String,
     /// text of the input
     #[argh(option, default = "String::new()")]
     text: String,
-    /// idempotency key; drawn if not given
+    /// idempotency key; random if not given
     #[argh(option)]
     key: Option<String>,
     /// deadline in milliseconds
@@ -38,7 +38,7 @@
 }
 
 impl Request {
-    /// Sends and prints.
+    /// Sends the request and prints its tokens and answer.
     pub fn run(self) -> Result<(), CliError> {
         let caller = Caller::new(parse_addresses(&self.entry)?);
         let key = self
@@ -57,7 +57,7 @@
         println!("{}", reply.body);
         match reply.outcome() {
             Some("completed") => Ok(()),
-            Some(_) => Err(CliError::refused(&reply.body)),
+            Some(_) => Err(CliError::rejected(&reply.body)),
             None => Err(CliError::NoAnswer(self.entry)),
         }
     }
--- a/crates/cli/src/commands/rollout.rs
+++ b/crates/cli/src/commands/rollout.rs
@@ -1,4 +1,4 @@
-//! `rollout`.
+//! Subcommand `rollout`.
 
 use crate::errors::CliError;
 use crate::operator_client::OperatorClient;
@@ -6,7 +6,7 @@
 use argh::FromArgs;
 use serde_json::{json, Value};
 
-/// Moves a service's traffic to back ends of another version within a time, or back.
+/// Starts, shows or aborts the rollout of another version of a service.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rollout")]
 pub struct Rollout {
@@ -23,8 +23,8 @@
     Abort(Abort),
 }
 
-/// Orders a rollout. May be repeated: while it is in progress, once it is complete, and for ten
-/// seconds after it was rolled back, the same order begins no second one.
+/// Orders a rollout. May be repeated: the same order starts no second rollout while the first is
+/// in progress, once it is completed, and for ten seconds after it was rolled back.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -38,15 +38,15 @@
     /// name of the service
     #[argh(option)]
     service: String,
-    /// version that its traffic is to move to
+    /// target version of its traffic
     #[argh(option)]
     version: String,
-    /// time within which the rollout is to end, in milliseconds
+    /// deadline of the rollout from now, in milliseconds
     #[argh(option)]
     duration_ms: u64,
 }
 
-/// Prints how far the latest rollout of a service is.
+/// Prints the progress of the latest rollout of a service.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -81,7 +81,7 @@
     output: OutputFormat,
 }
 
-/// Takes a rollout in progress back: the new version gets nothing any more. May be repeated.
+/// Aborts a rollout in progress, so that the new version gets no more requests. May be repeated.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -98,18 +98,18 @@
 }
 
 impl Rollout {
-    /// Sends the order, or prints what is asked.
+    /// Sends the order, or prints rollouts.
     pub fn run(self) -> Result<(), CliError> {
         match self.action {
             Action::Start(start) => start.run(),
             Action::Status(status) => {
-                let path = path_of(&status.service);
+                let path = service_path(&status.service);
                 print_rollouts(&status.server, &path, status.output)
             }
             Action::List(list) => print_rollouts(&list.server, "/v1/rollouts", list.output),
             Action::Abort(abort) => {
                 let client = OperatorClient::new(&abort.server);
-                let answer = client.delete(&path_of(&abort.service))?;
+                let answer = client.delete(&service_path(&abort.service))?;
                 println!("rollout {}", answer["rollout"]);
                 Ok(())
             }
@@ -121,27 +121,27 @@
     fn run(self) -> Result<(), CliError> {
         let client = OperatorClient::new(&self.server);
         let body = json!({ "target_version": self.version, "duration_ms": self.duration_ms });
-        let answer = client.post(&path_of(&self.service), &body)?;
+        let answer = client.post(&service_path(&self.service), &body)?;
         println!("rollout {}", answer["rollout"]);
         Ok(())
     }
 }
 
-fn path_of(service: &str) -> String {
+fn service_path(service: &str) -> String {
     format!("/v1/rollouts/{service}")
 }
 
 fn print_rollouts(server: &str, path: &str, format: OutputFormat) -> Result<(), CliError> {
     let answer = OperatorClient::new(server).get(path)?;
     let rollouts = &answer["rollouts"];
-    print(format, rollouts, || table_of(rollouts))
+    print(format, rollouts, || rollout_table(rollouts))
 }
 
-/// Name of a rollout's state, and what the product holds of it.
-fn state_of(rollout: &Value) -> (&str, &Value) {
+/// Name of the state of a rollout, and its details.
+fn rollout_state(rollout: &Value) -> (&str, &Value) {
     let state = rollout["state"].as_object();
-    let named = state.and_then(|state| state.iter().next());
-    match named.map(|(name, details)| (name.as_str(), details)) {
+    let variant = state.and_then(|state| state.iter().next());
+    match variant.map(|(name, details)| (name.as_str(), details)) {
         Some(("InProgress", details)) => ("in_progress", details),
         Some(("Completed", details)) => ("completed", details),
         Some(("RolledBack", details)) => ("rolled_back", details),
@@ -149,14 +149,14 @@
     }
 }
 
-/// A rollout in few words: `service=state:version`.
-pub fn summary_of(rollout: &Value) -> String {
+/// Short form of a rollout: `service=state:version`.
+pub fn rollout_summary(rollout: &Value) -> String {
     let text = |field: &str| rollout["order"][field].as_str().unwrap_or("-");
-    let (state, _) = state_of(rollout);
+    let (state, _) = rollout_state(rollout);
     format!("{}={state}:{}", text("service"), text("target_version"))
 }
 
-fn table_of(rollouts: &Value) -> Table {
+fn rollout_table(rollouts: &Value) -> Table {
     let mut table = Table::new(&[
         "rollout",
         "service",
@@ -170,7 +170,7 @@
     ]);
     for rollout in rollouts.as_array().into_iter().flatten() {
         let order = &rollout["order"];
-        let (state, details) = state_of(rollout);
+        let (state, details) = rollout_state(rollout);
         let verdict = &details["verdict"];
         let share = match details["canary_permille"].as_u64() {
             Some(permille) => format!("{}.{} %", permille / 10, permille % 10),
@@ -185,15 +185,15 @@
             share,
             moved.map_or("-".to_owned(), |routes| routes.len().to_string()),
             verdict["reason"].as_str().unwrap_or("-").to_owned(),
-            bad_of(&verdict["candidate"]),
-            bad_of(&verdict["baseline"]),
+            failed_responses(&verdict["candidate"]),
+            failed_responses(&verdict["baseline"]),
         ]);
     }
     table
 }
 
-/// Bad answers of all that a verdict counted.
-fn bad_of(counts: &Value) -> String {
+/// Number of failed responses among all that a verdict counted.
+fn failed_responses(counts: &Value) -> String {
     match (counts[0].as_u64(), counts[1].as_u64()) {
         (Some(answers), Some(bad)) => format!("{bad} of {answers} bad"),
         _ => "-".to_owned(),
--- a/crates/cli/src/commands/simulate.rs
+++ b/crates/cli/src/commands/simulate.rs
@@ -1,4 +1,4 @@
-//! `simulate`.
+//! Subcommand `simulate`.
 
 use crate::errors::CliError;
 use argh::FromArgs;
@@ -7,7 +7,8 @@
 use std::sync::Mutex;
 use std::thread;
 
-/// Runs the daemon's actors under virtual time with faults, a run a seed.
+/// Simulates clusters of the daemon's actors under virtual time with random faults,
+/// one run per seed.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -17,22 +18,22 @@
     example = "{command_name} --orders --seeds 100"
 )]
 pub struct Simulate {
-    /// how many seeds
+    /// number of seeds
     #[argh(option, default = "20")]
     seeds: u64,
     /// first seed
     #[argh(option, default = "0")]
     first_seed: u64,
-    /// seeds that run side by side
+    /// number of seeds that run in parallel
     #[argh(option, default = "4")]
     threads: usize,
-    /// operators also order rollouts and evacuations
+    /// also order rollouts and evacuations
     #[argh(switch)]
     orders: bool,
 }
 
 impl Simulate {
-    /// Runs all seeds; fails when any breaks what must hold.
+    /// Runs all seeds; fails if any violates an invariant.
     pub fn run(self) -> Result<(), CliError> {
         let next = AtomicU64::new(self.first_seed);
         let end = self.first_seed + self.seeds;
@@ -64,12 +65,12 @@
 }
 
 fn summarize(reports: &[SeedReport]) -> Result<(), CliError> {
-    let sum = |of: fn(&SeedReport) -> usize| reports.iter().map(of).sum::<usize>();
+    let sum = |count: fn(&SeedReport) -> usize| reports.iter().map(count).sum::<usize>();
     let mut recoveries: Vec<u64> = reports.iter().map(|report| report.recovery_ms).collect();
     recoveries.sort_unstable();
     let failed = sum(|report| usize::from(!report.failures.is_empty()));
     println!(
-        "{} seeds, {failed} failed; {} changes accepted, {} calls answered, {} calls ran, {} crashes, {} disks emptied, {} orders acknowledged; recovery median {} ms, worst {} ms",
+        "{} seeds, {failed} failed; {} changes accepted, {} calls answered, {} calls ran, {} crashes, {} disks wiped, {} orders acknowledged; recovery median {} ms, worst {} ms",
         reports.len(),
         sum(|report| report.accepted),
         sum(|report| report.outcomes.values().sum()),
--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -1,13 +1,13 @@
-//! `status`.
+//! Subcommand `status`.
 
-use crate::commands::rollout::summary_of;
+use crate::commands::rollout::rollout_summary;
 use crate::errors::CliError;
 use crate::operator_client::{get_from, OperatorClient};
 use crate::output::{print, OutputFormat, Table};
 use argh::FromArgs;
 use serde_json::{json, Value};
 
-/// Prints the state of processes.
+/// Prints the status of processes.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -24,29 +24,29 @@
 }
 
 impl Status {
-    /// Asks each server. Fails when any does not answer.
+    /// Queries each server; fails if any does not answer.
     pub fn run(self) -> Result<(), CliError> {
         let client = OperatorClient::new(&self.server);
-        let mut silent = Vec::new();
+        let mut unreachable = Vec::new();
         let mut states = Vec::new();
         for server in client.servers() {
             match get_from(server, "/v1/status") {
                 Ok(state) => states.push(state),
                 Err(_) => {
-                    silent.push(server.clone());
+                    unreachable.push(server.clone());
                     states.push(json!({ "node": server, "serving": "no answer" }));
                 }
             }
         }
-        print(self.output, &states, || table_of(&states))?;
-        match silent.is_empty() {
+        print(self.output, &states, || status_table(&states))?;
+        match unreachable.is_empty() {
             true => Ok(()),
-            false => Err(CliError::NoAnswer(silent.join(", "))),
+            false => Err(CliError::NoAnswer(unreachable.join(", "))),
         }
     }
 }
 
-fn table_of(states: &[Value]) -> Table {
+fn status_table(states: &[Value]) -> Table {
     let mut table = Table::new(&[
         "node",
         "serving",
@@ -70,9 +70,11 @@
         let zones = state["evacuated_zones"].as_array().into_iter().flatten();
         let evacuated: Vec<&str> = zones.filter_map(Value::as_str).collect();
         let rollouts = state["rollouts"].as_array().into_iter().flatten();
-        let rollouts: Vec<String> = rollouts.map(summary_of).collect();
-        let resting = state["resting_backends"].as_array().into_iter().flatten();
-        let resting: Vec<&str> = resting.filter_map(|one| one["backend"].as_str()).collect();
+        let rollouts: Vec<String> = rollouts.map(rollout_summary).collect();
+        let backing_off = state["resting_backends"].as_array().into_iter().flatten();
+        let backing_off: Vec<&str> = backing_off
+            .filter_map(|backend| backend["backend"].as_str())
+            .collect();
         let text = |field: &str| match &state[field] {
             Value::Null => "-".to_owned(),
             Value::String(text) => text.clone(),
@@ -89,7 +91,7 @@
             usable.to_string(),
             evacuated.join(","),
             rollouts.join(","),
-            resting.join(","),
+            backing_off.join(","),
         ]);
     }
     table
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -10,9 +10,9 @@
 use commands::Command;
 use std::process::ExitCode;
 
-/// Operates, checks, emulates and loads a silversail cluster.
+/// Operates, validates, emulates and load-tests a silversail cluster.
 ///
-/// Exit codes: 0 done, 1 failed, 2 conflict with another change, 3 bad input,
+/// Exit codes: 0 success, 1 failure, 2 conflict with another change, 3 invalid input,
 /// 4 no answer.
 #[derive(FromArgs)]
 #[argh(
--- a/crates/cli/src/operator_client.rs
+++ b/crates/cli/src/operator_client.rs
@@ -1,42 +1,46 @@
-//! Talks to the operators' surface: one server after another until one answers.
+//! Client of the operator API, which tries one server after another until one answers.
 
 use crate::errors::CliError;
 use serde_json::Value;
 use std::time::Duration;
 
-const TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout of a request to one server.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Servers to ask.
+/// Client of the operator API of a list of servers.
 pub struct OperatorClient {
     servers: Vec<String>,
 }
 
 impl OperatorClient {
-    /// A client of a comma-separated list of addresses.
+    /// Creates a client for a comma-separated list of addresses.
     pub fn new(servers: &str) -> Self {
-        let servers = servers.split(',').map(|one| one.trim().to_owned());
+        let servers = servers.split(',').map(|server| server.trim().to_owned());
         Self {
-            servers: servers.filter(|one| !one.is_empty()).collect(),
+            servers: servers.filter(|server| !server.is_empty()).collect(),
         }
     }
 
-    /// The servers.
+    /// Addresses of the servers.
     pub fn servers(&self) -> &[String] {
         &self.servers
     }
 
-    /// Reads from the first server that answers.
+    /// Sends a `GET` to the first server that answers.
     pub fn get(&self, path: &str) -> Result<Value, CliError> {
         self.first_answer(|server| get_from(server, path))
     }
 
-    /// Sends to the first server that answers. The body must bear a resend: a
-    /// server may have acted although its answer was lost.
+    /// Sends a `POST` to the first server that answers. The request must be idempotent, as
+    /// a server may have processed it although its answer was lost.
     pub fn post(&self, path: &str, body: &Value) -> Result<Value, CliError> {
         let text = body.to_string();
         self.first_answer(|server| {
             let url = format!("http://{server}{path}");
-            read(ureq::post(&url).timeout(TIMEOUT).send_string(&text), server)
+            read_response(
+                ureq::post(&url).timeout(REQUEST_TIMEOUT).send_string(&text),
+                server,
+            )
         })
     }
 
@@ -44,7 +48,7 @@
     pub fn post_empty(&self, path: &str) -> Result<Value, CliError> {
         self.first_answer(|server| {
             let url = format!("http://{server}{path}");
-            read(ureq::post(&url).timeout(TIMEOUT).call(), server)
+            read_response(ureq::post(&url).timeout(REQUEST_TIMEOUT).call(), server)
         })
     }
 
@@ -52,32 +56,35 @@
     pub fn delete(&self, path: &str) -> Result<Value, CliError> {
         self.first_answer(|server| {
             let url = format!("http://{server}{path}");
-            read(ureq::delete(&url).timeout(TIMEOUT).call(), server)
+            read_response(ureq::delete(&url).timeout(REQUEST_TIMEOUT).call(), server)
         })
     }
 
     fn first_answer(
         &self,
-        ask: impl Fn(&str) -> Result<Value, CliError>,
+        send: impl Fn(&str) -> Result<Value, CliError>,
     ) -> Result<Value, CliError> {
-        let mut last = CliError::NoAnswer(self.servers.join(", "));
+        let mut last_error = CliError::NoAnswer(self.servers.join(", "));
         for server in &self.servers {
-            match ask(server) {
-                Err(error) if error.exit_code() == 4 => last = error,
-                decided => return decided,
+            match send(server) {
+                Err(error) if error.exit_code() == 4 => last_error = error,
+                result => return result,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 }
 
-/// Reads from one server.
+/// Sends a `GET` to one server.
 pub fn get_from(server: &str, path: &str) -> Result<Value, CliError> {
     let url = format!("http://{server}{path}");
-    read(ureq::get(&url).timeout(TIMEOUT).call(), server)
+    read_response(ureq::get(&url).timeout(REQUEST_TIMEOUT).call(), server)
 }
 
-fn read(response: Result<ureq::Response, ureq::Error>, server: &str) -> Result<Value, CliError> {
+fn read_response(
+    response: Result<ureq::Response, ureq::Error>,
+    server: &str,
+) -> Result<Value, CliError> {
     let no_answer = || CliError::NoAnswer(server.to_owned());
     let (is_ok, response) = match response {
         Ok(response) => (true, response),
@@ -88,6 +95,6 @@
     if is_ok {
         Ok(body)
     } else {
-        Err(CliError::refused(&body))
+        Err(CliError::rejected(&body))
     }
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,17 +1,17 @@
-//! How results are printed.
+//! Output of results as tables, JSON or YAML.
 
 use crate::errors::CliError;
 use serde::Serialize;
 use std::str::FromStr;
 
-/// Format of listings.
+/// Output format of results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutputFormat {
-    /// For people.
+    /// Aligned columns.
     Table,
-    /// For machines.
+    /// Indented JSON.
     Json,
-    /// For machines and people.
+    /// YAML document.
     Yaml,
 }
 
@@ -23,18 +23,18 @@
             "table" => Ok(OutputFormat::Table),
             "json" => Ok(OutputFormat::Json),
             "yaml" => Ok(OutputFormat::Yaml),
-            _ => Err("output is table, json or yaml".into()),
+            _ => Err("output must be table, json or yaml".into()),
         }
     }
 }
 
-/// Rows with a heading.
+/// Table with a header row.
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with these columns.
+    /// Creates a table with these columns.
     pub fn new(columns: &[&str]) -> Self {
         Self {
             rows: vec![columns.iter().map(|column| column.to_uppercase()).collect()],
@@ -64,25 +64,25 @@
     }
 }
 
-/// Prints `value`, or `table` where a table is asked for.
+/// Prints `value` in the given format; `table` creates the table form.
 pub fn print(
     format: OutputFormat,
     value: &impl Serialize,
     table: impl FnOnce() -> Table,
 ) -> Result<(), CliError> {
-    let local = |error: &dyn std::fmt::Display| CliError::Local(error.to_string());
+    let local_error = |error: &dyn std::fmt::Display| CliError::Local(error.to_string());
     match format {
         OutputFormat::Table => table().print(),
         OutputFormat::Json => {
             println!(
                 "{}",
-                serde_json::to_string_pretty(value).map_err(|error| local(&error))?
+                serde_json::to_string_pretty(value).map_err(|error| local_error(&error))?
             );
         }
         OutputFormat::Yaml => {
             print!(
                 "{}",
-                serde_yaml_ng::to_string(value).map_err(|error| local(&error))?
+                serde_yaml_ng::to_string(value).map_err(|error| local_error(&error))?
             );
         }
     }
--- a/crates/cli/src/plan/input.rs
+++ b/crates/cli/src/plan/input.rs
@@ -1,181 +1,181 @@
-//! The input of `plan`. Rates are a second, sizes in bytes unless named.
+//! Input of `plan`. Rates are per second and sizes in bytes unless the field says otherwise.
 
 use serde::Deserialize;
 
-/// The size, the budget, and what was measured.
+/// Cluster size, budget and measurements.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlanInput {
-    /// The size to design for.
-    pub size: Size,
-    /// What control may cost.
-    pub budget: Budget,
-    /// Hollow nodes, as `silversail hollow --output yaml` prints them.
-    pub hollow: Vec<HollowPoint>,
-    /// Real processes, as the `cost` example prints them.
-    pub processes: Vec<ProcessPoint>,
-    /// The data path, as the `cost` example prints it.
-    pub data_path: DataPath,
-    /// What is assumed.
-    pub assumed: Assumed,
+    /// Cluster size for which costs are computed.
+    pub size: ClusterSize,
+    /// Limits of the cost of control.
+    pub budget: ControlBudget,
+    /// Measurements with hollow nodes, as printed by `silversail hollow --output yaml`.
+    pub hollow: Vec<HollowMeasurement>,
+    /// Measurements with real processes, as printed by the `cost` example.
+    pub processes: Vec<ProcessMeasurement>,
+    /// Costs of the data path, as printed by the `cost` example.
+    pub data_path: DataPathCosts,
+    /// Assumptions that are not measured.
+    pub assumed: Assumptions,
 }
 
-/// The size to design for.
+/// Cluster size and load for which costs are computed.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Size {
-    /// Nodes.
+pub struct ClusterSize {
+    /// Number of nodes.
     pub nodes: f64,
-    /// Engines.
+    /// Number of engines.
     pub engines: f64,
-    /// Requests a second at the peak.
+    /// Peak rate of requests.
     pub requests: f64,
-    /// Tokens a second at the peak.
+    /// Peak rate of streamed tokens.
     pub tokens: f64,
-    /// Stages of a request.
+    /// Number of stages of a request.
     pub stages: f64,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: f64,
-    /// Zones.
+    /// Number of zones.
     pub zones: f64,
-    /// Configuration changes a day.
+    /// Configuration changes per day.
     pub changes_a_day: f64,
-    /// Machines that fail in a day.
+    /// Machine failures per day.
     pub failures_a_day: f64,
-    /// Machines that restart or are replaced in a day.
+    /// Machine restarts and replacements per day.
     pub restarts_a_day: f64,
 }
 
-/// What control may cost.
+/// Limits of the cost of control.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Budget {
-    /// Share of a core on a node.
+pub struct ControlBudget {
+    /// Processor use of a node, as a share of a core.
     pub node_cpu_share: f64,
-    /// Megabytes on a node.
+    /// Memory of a node, in megabytes.
     pub node_mb: f64,
-    /// Bytes a second on a node.
+    /// Control traffic of a node, in bytes per second.
     pub node_bytes: f64,
-    /// Machines set aside.
+    /// Number of machines for control and ledger.
     pub machines: f64,
-    /// Milliseconds until a change is in force everywhere.
+    /// Time until all nodes have applied a change, in milliseconds.
     pub in_force_ms: f64,
 }
 
-/// Traffic of a role.
+/// Control traffic of a role.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RolePoint {
-    /// Messages.
+pub struct RoleTraffic {
+    /// Messages per second.
     pub messages: f64,
-    /// Bytes.
+    /// Bytes per second.
     pub bytes: f64,
 }
 
-/// What was measured with hollow nodes.
+/// Measurement of a cluster of hollow nodes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct HollowPoint {
-    /// Nodes.
+pub struct HollowMeasurement {
+    /// Number of nodes.
     pub nodes: f64,
-    /// Leader of the control group.
-    pub leader: RolePoint,
-    /// Another voter, which is a relay.
-    pub voter: RolePoint,
-    /// A node that does not vote, the mean.
-    pub node: RolePoint,
-    /// The busiest of these.
-    pub busiest_node: RolePoint,
-    /// Median time until a change is in force.
+    /// Traffic of the leader of the control group.
+    pub leader: RoleTraffic,
+    /// Mean traffic of the other voters, which are relays.
+    pub voter: RoleTraffic,
+    /// Mean traffic of the nodes that do not vote.
+    pub node: RoleTraffic,
+    /// Largest traffic of a node that does not vote.
+    pub busiest_node: RoleTraffic,
+    /// Median time until all nodes have applied a change.
     pub in_force_median_ms: f64,
-    /// Worst time until a change is in force.
+    /// Longest time until all nodes have applied a change.
     pub in_force_worst_ms: f64,
-    /// Time until the cluster formed.
+    /// Time until the cluster has formed.
     pub formed_ms: f64,
-    /// Recovery after a tenth of the nodes was cut off.
+    /// Recovery time after a tenth of the nodes was isolated.
     pub after_tenth_ms: f64,
-    /// Recovery after a zone was cut off.
+    /// Recovery time after a zone was isolated.
     pub after_zone_ms: f64,
-    /// Recovery after a region was cut off.
+    /// Recovery time after a region was isolated.
     pub after_region_ms: f64,
-    /// Revisions that the region was behind.
+    /// Number of revisions that the isolated region had missed.
     pub region_behind: f64,
-    /// Recovery after a rolling restart.
+    /// Recovery time after a rolling restart.
     pub after_rolling_ms: f64,
-    /// Recovery after a full restart.
+    /// Recovery time after a full restart.
     pub after_full_restart_ms: f64,
-    /// Processor time for a node.
+    /// Processor time of a node, in microseconds per second.
     pub node_cpu_us_per_s: f64,
-    /// Size of the whole configuration.
+    /// Encoded size of the whole configuration.
     pub configuration_bytes: f64,
 }
 
-/// What was measured with real processes, without requests, at the design
-/// size's configuration.
+/// Measurement of idle real processes with a large configuration.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ProcessPoint {
-    /// Nodes, three of them voters.
+pub struct ProcessMeasurement {
+    /// Number of nodes, including three voters.
     pub nodes: f64,
-    /// Share of a core: the leader.
+    /// Processor use of the leader, as a share of a core.
     pub leader_cpu_share: f64,
-    /// Resident megabytes: the leader.
+    /// Resident memory of the leader, in megabytes.
     pub leader_resident_mb: f64,
-    /// Bytes received: the leader.
+    /// Peer bytes that the leader receives.
     pub leader_received_bytes_per_s: f64,
-    /// Share of a core: another voter.
+    /// Processor use of another voter, as a share of a core.
     pub voter_cpu_share: f64,
-    /// Resident megabytes: another voter.
+    /// Resident memory of another voter, in megabytes.
     pub voter_resident_mb: f64,
-    /// Bytes received: another voter.
+    /// Peer bytes that another voter receives.
     pub voter_received_bytes_per_s: f64,
-    /// Share of a core: a node that does not vote.
+    /// Processor use of a node that does not vote, as a share of a core.
     #[serde(default)]
     pub node_cpu_share: Option<f64>,
-    /// Resident megabytes: a node that does not vote.
+    /// Resident memory of a node that does not vote, in megabytes.
     #[serde(default)]
     pub node_resident_mb: Option<f64>,
-    /// Bytes received: a node that does not vote.
+    /// Peer bytes that a node that does not vote receives.
     #[serde(default)]
     pub node_received_bytes_per_s: Option<f64>,
-    /// Median time until a change is in force.
+    /// Median time until all nodes have applied a change.
     pub in_force_median_ms: f64,
-    /// Worst time until a change is in force.
+    /// Longest time until all nodes have applied a change.
     pub in_force_worst_ms: f64,
 }
 
-/// Costs of the data path on one process.
+/// Costs of the data path in one process.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct DataPath {
-    /// Processor microseconds of a request of one stage.
+pub struct DataPathCosts {
+    /// Processor time of a request with one stage, in microseconds.
     pub stage_cpu_us: f64,
-    /// The same with a key: three ledger commits more.
+    /// Processor time of a request with one stage and a key, which adds three ledger
+    /// commits, in microseconds.
     pub keyed_stage_cpu_us: f64,
-    /// Processor microseconds of a streamed token.
+    /// Processor time of a streamed token, in microseconds.
     pub token_cpu_us: f64,
-    /// Memory of an open stream in kilobytes.
+    /// Memory of an open stream, in kilobytes.
     pub open_stream_kb: f64,
-    /// Bytes that the ledger's log grows by with each commit.
+    /// Growth of the ledger log per commit.
     pub ledger_commit_bytes: f64,
 }
 
-/// Figures that were not measured.
+/// Assumptions that are not measured.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Assumed {
-    /// Share of requests that carry a key.
+pub struct Assumptions {
+    /// Share of requests with a key.
     pub keyed_share: f64,
-    /// Seconds that a stream is open.
+    /// Duration of a stream, in seconds.
     pub stream_seconds: f64,
-    /// Seconds for which the ledger keeps a record.
+    /// Retention of a ledger record, in seconds.
     pub retention_seconds: f64,
-    /// Bytes of a kept record with its answer.
+    /// ClusterSize of a ledger record with its answer.
     pub record_bytes: f64,
-    /// Commits a second that one ledger group carries.
+    /// Largest commit rate of one ledger group.
     pub group_commits: f64,
-    /// Bytes of a poll of an engine's load, both ways.
+    /// ClusterSize of a load poll of an engine, in both directions.
     pub poll_bytes: f64,
-    /// Share of a core that a node gives to the data path.
+    /// Share of a core that a node spends on the data path.
     pub data_core_share: f64,
 }
--- a/crates/cli/src/plan/line.rs
+++ b/crates/cli/src/plan/line.rs
@@ -1,25 +1,25 @@
-//! Straight lines through measured points.
+//! Linear regression through measured points.
 
-/// A line through measured points, by least squares.
+/// Least-squares line through measured points.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
-    /// Value at zero.
-    pub base: f64,
-    /// Growth for one more.
+pub struct FittedLine {
+    /// Value at zero nodes.
+    pub intercept: f64,
+    /// Growth per additional node.
     pub slope: f64,
-    /// Where it was measured.
+    /// Numbers of nodes of the measured points.
     pub measured_at: Vec<f64>,
-    /// Whether the points show a growth beyond their noise.
+    /// Whether the points show growth beyond their noise.
     pub grows: bool,
 }
 
-/// Share of the variation that a line must explain to count as a growth.
-const EXPLAINED: f64 = 0.9;
+/// Smallest coefficient of determination at which a line counts as growth.
+const MIN_DETERMINATION: f64 = 0.9;
 
-impl Line {
-    /// The line through `points`. Where they show no growth beyond their noise
-    /// it is level, at the largest value measured.
-    pub fn through(points: &[(f64, f64)]) -> Self {
+impl FittedLine {
+    /// Fits a line to `points`. Without growth beyond their noise it is constant at the
+    /// largest measured value.
+    pub fn fit(points: &[(f64, f64)]) -> Self {
         let count = points.len().max(1) as f64;
         let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
         let mean_y = points.iter().map(|point| point.1).sum::<f64>() / count;
@@ -29,12 +29,12 @@
             .iter()
             .map(|point| (point.0 - mean_x) * (point.1 - mean_y))
             .sum();
-        let explained = covariance * covariance / (spread_x * spread_y);
-        let grows = covariance > 0.0 && explained >= EXPLAINED;
+        let determination = covariance * covariance / (spread_x * spread_y);
+        let grows = covariance > 0.0 && determination >= MIN_DETERMINATION;
         let slope = if grows { covariance / spread_x } else { 0.0 };
         let largest = points.iter().map(|point| point.1).fold(0.0, f64::max);
         Self {
-            base: if grows {
+            intercept: if grows {
                 mean_y - slope * mean_x
             } else {
                 largest
@@ -45,17 +45,17 @@
         }
     }
 
-    /// The value at `x`.
+    /// Value of the line at `x`.
     pub fn at(&self, x: f64) -> f64 {
-        self.base + self.slope * x
+        self.intercept + self.slope * x
     }
 
-    /// Where the line reaches `limit`, if it grows.
+    /// Position at which the line reaches `limit`; none if it does not grow.
     pub fn reaches(&self, limit: f64) -> Option<f64> {
-        (self.slope > 0.0).then(|| (limit - self.base) / self.slope)
+        (self.slope > 0.0).then(|| (limit - self.intercept) / self.slope)
     }
 
-    /// `measured` where `x` was measured, else from which points.
+    /// Basis of the value at `x`: `measured`, or the points that it was derived from.
     pub fn basis(&self, x: f64) -> String {
         if self.measured_at.contains(&x) {
             return "measured".into();
--- a/crates/cli/src/plan/markdown.rs
+++ b/crates/cli/src/plan/markdown.rs
@@ -2,28 +2,28 @@
 
 use std::fmt::Write;
 
-/// A figure with as many digits as it is worth.
+/// Formats a number with digits by its magnitude.
 pub(super) fn number(value: f64) -> String {
     match value.abs() {
-        size if size >= 100.0 => format!("{value:.0}"),
-        size if size >= 1.0 => format!("{value:.1}"),
+        magnitude if magnitude >= 100.0 => format!("{value:.0}"),
+        magnitude if magnitude >= 1.0 => format!("{value:.1}"),
         _ => format!("{value:.4}"),
     }
 }
 
-/// Adds a row.
+/// Appends a row.
 pub(super) fn row(page: &mut String, cells: &[String]) {
     writeln!(page, "| {} |", cells.join(" | ")).expect("writing into memory does not fail");
 }
 
-/// Rows of a table of measure, value and basis.
+/// Appends rows of measure, value and basis.
 pub(super) fn measure_rows(page: &mut String, rows: &[(&str, String, String)]) {
     for (name, value, basis) in rows {
         row(page, &[(*name).to_owned(), value.clone(), basis.clone()]);
     }
 }
 
-/// Adds a title and the head of a table.
+/// Appends a title and the header of a table.
 pub(super) fn heading(page: &mut String, title: &str, columns: &[&str]) {
     let line = vec!["---"; columns.len()].join(" | ");
     write!(
--- a/crates/cli/src/plan/mod.rs
+++ b/crates/cli/src/plan/mod.rs
@@ -1,4 +1,4 @@
-//! Works out what each role costs at a size, from measured points.
+//! Extrapolates the cost of each role at a cluster size from measurements.
 
 mod input;
 mod line;
--- a/crates/cli/src/plan/tables.rs
+++ b/crates/cli/src/plan/tables.rs
@@ -1,29 +1,29 @@
-//! The tables of the capacity page.
+//! Tables of the capacity page.
 
 use super::input::PlanInput;
 use super::markdown::{heading, measure_rows, number, row};
 use super::measures::{measures, Measure};
 
-/// Commits of a keyed request: begin, claim and finish.
+/// Ledger commits of a request with a key: begin, claim and finish.
 const COMMITS_PER_KEYED_REQUEST: f64 = 3.0;
-/// Voters of a group.
+/// Voters of the control group.
 const VOTERS: f64 = 5.0;
-/// Slots of an engine, assumed.
+/// Request slots of an engine.
 const ENGINE_SLOTS: f64 = 16.0;
-/// Most polls of engines by a node.
+/// Largest rate at which a node polls engines.
 const POLLS_PER_SECOND: f64 = 20.0;
 const SECONDS_PER_DAY: f64 = 86_400.0;
 const BYTES_PER_MB: f64 = 1_048_576.0;
 const BYTES_PER_KB: f64 = 1_024.0;
 
-/// The page's tables as Markdown.
+/// Renders all tables as Markdown.
 pub fn render(input: &PlanInput) -> String {
     let mut page = String::new();
     let measures = measures(input);
     control_table(&mut page, input, &measures);
-    breaking_table(&mut page, input, &measures);
+    first_limits_table(&mut page, input, &measures);
     recovery_table(&mut page, input);
-    in_force_table(&mut page, input);
+    propagation_table(&mut page, input);
     load_table(&mut page, input);
     ledger_table(&mut page, input);
     data_path_table(&mut page, input);
@@ -68,7 +68,7 @@
     }
 }
 
-fn breaking_table(page: &mut String, input: &PlanInput, measures: &[Measure]) {
+fn first_limits_table(page: &mut String, input: &PlanInput, measures: &[Measure]) {
     heading(
         page,
         "Which limit breaks first",
@@ -120,34 +120,42 @@
             "full restart",
         ],
     );
-    for one in &input.hollow {
+    for point in &input.hollow {
         let values = [
-            one.nodes,
-            one.formed_ms,
-            one.after_tenth_ms,
-            one.after_zone_ms,
-            one.after_region_ms,
-            one.region_behind,
-            one.after_rolling_ms,
-            one.after_full_restart_ms,
+            point.nodes,
+            point.formed_ms,
+            point.after_tenth_ms,
+            point.after_zone_ms,
+            point.after_region_ms,
+            point.region_behind,
+            point.after_rolling_ms,
+            point.after_full_restart_ms,
         ];
         let cells: Vec<String> = values.iter().map(f64::to_string).collect();
         row(page, &cells);
     }
 }
 
-fn in_force_table(page: &mut String, input: &PlanInput) {
+fn propagation_table(page: &mut String, input: &PlanInput) {
     let title = format!(
         "Time until a change is in force everywhere, limit {} ms",
         input.budget.in_force_ms
     );
     heading(page, &title, &["nodes", "median ms", "worst ms", "basis"]);
-    let real = input.processes.iter().map(|one| {
-        let times = [one.nodes, one.in_force_median_ms, one.in_force_worst_ms];
+    let real = input.processes.iter().map(|point| {
+        let times = [
+            point.nodes,
+            point.in_force_median_ms,
+            point.in_force_worst_ms,
+        ];
         (times, "measured, real processes")
     });
-    let hollow = input.hollow.iter().map(|one| {
-        let times = [one.nodes, one.in_force_median_ms, one.in_force_worst_ms];
+    let hollow = input.hollow.iter().map(|point| {
+        let times = [
+            point.nodes,
+            point.in_force_median_ms,
+            point.in_force_worst_ms,
+        ];
         (times, "measured, hollow, virtual time without processing")
     });
     for (times, basis) in real.chain(hollow) {
@@ -159,8 +167,8 @@
 
 fn load_table(page: &mut String, input: &PlanInput) {
     let size = &input.size;
-    let home = (size.engines * ENGINE_SLOTS / size.nodes).min(size.engines);
-    let polls = home.min(POLLS_PER_SECOND);
+    let home_engines = (size.engines * ENGINE_SLOTS / size.nodes).min(size.engines);
+    let polls = home_engines.min(POLLS_PER_SECOND);
     let bytes = polls * input.assumed.poll_bytes;
     heading(
         page,
@@ -170,7 +178,7 @@
     let rows = [
         (
             "engines with home slots on a node",
-            number(home),
+            number(home_engines),
             format!("{ENGINE_SLOTS} slots an engine"),
         ),
         (
@@ -180,7 +188,7 @@
         ),
         (
             "seconds between polls of one engine by a node",
-            number(home / polls),
+            number(home_engines / polls),
             "from the lines above".into(),
         ),
         (
@@ -325,8 +333,8 @@
     let configuration = input
         .hollow
         .first()
-        .map_or(0.0, |one| one.configuration_bytes);
-    // A node leaves, comes back and is usable again.
+        .map_or(0.0, |point| point.configuration_bytes);
+    // Each event changes the membership when a node leaves, returns and becomes usable.
     let views = events * 3.0;
     heading(page, "A day", &["measure", "value", "basis"]);
     let rows = [
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The command line without a server: checks, plans and exit codes.
+//! Guards validation, planning and exit codes of the command line without a server.
 
 use rstest::rstest;
 use std::path::Path;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_bad_configuration_exits_with_3_and_names_the_field() {
+fn an_invalid_configuration_exits_with_3_and_its_error_code() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("bad.yaml");
     std::fs::write(&file, "tenants:\n  - {name: 'a b'}\n").expect("written");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn an_unknown_field_is_refused_with_its_place() {
+fn an_unknown_field_is_rejected_with_its_line() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("bad.yaml");
     std::fs::write(&file, "tenants:\n  - {name: a, wieght: 2}\n").expect("written");
@@ -62,31 +62,31 @@
 }
 
 #[test]
-fn no_answer_exits_with_4() {
+fn an_unreachable_server_exits_with_4() {
     let output = run(&["get", "--server", "127.0.0.1:1"]);
     assert_eq!(output.status.code(), Some(4));
 }
 
 #[test]
-fn load_goes_to_loopback_addresses_only() {
+fn load_rejects_addresses_that_are_not_loopback() {
     let output = run(&["load", "examples/demo/load.yaml", "--entry", "192.0.2.1:80"]);
     assert_eq!(output.status.code(), Some(3));
 }
 
 #[test]
-fn the_capacity_page_holds_the_planned_tables() {
+fn the_capacity_page_contains_the_planned_tables() {
     let output = run(&["plan", "docs/capacity.yaml"]);
     assert!(output.status.success(), "{}", text(&output.stderr));
     let tables = text(&output.stdout);
     let page = include_str!("../../../docs/CAPACITY.md");
     assert!(
         page.contains(tables.trim()),
-        "renew the page: silversail plan docs/capacity.yaml"
+        "the page is outdated; its tables come from: silversail plan docs/capacity.yaml"
     );
 }
 
 #[test]
-fn a_bad_history_fails_the_check() {
+fn a_history_with_a_violation_fails_the_check() {
     let folder = tempfile::tempdir().expect("a folder");
     let calls = folder.path().join("calls.jsonl");
     let call = r#"{"key":"k","outcome":"not_run","code":2111,"output":null}"#;
@@ -95,15 +95,15 @@
     let run_line = r#"{"service":"gate","attempt":"a","input":{"key":"k"}}"#;
     std::fs::write(&runs, format!("{run_line}\n")).expect("written");
     let calls = calls.to_string_lossy();
-    let good = run(&["check-history", "--calls", &calls]);
-    assert!(good.status.success());
-    let bad = run(&[
+    let without_runs = run(&["check-history", "--calls", &calls]);
+    assert!(without_runs.status.success());
+    let with_runs = run(&[
         "check-history",
         "--calls",
         &calls,
         "--runs",
         &runs.to_string_lossy(),
     ]);
-    assert_eq!(bad.status.code(), Some(1));
-    assert!(text(&bad.stdout).contains("UntrueNotRun"));
+    assert_eq!(with_runs.status.code(), Some(1));
+    assert!(text(&with_runs.stdout).contains("UntrueNotRun"));
 }
