--- a/examples/demo/run.sh
+++ b/examples/demo/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Starts three processes and emulated back ends, puts the pipelines in force,
-# sends requests and a burst, and prints attainment and cost by stage.
+# Starts three processes and emulated back ends, applies the pipelines, sends
+# requests and a burst, and prints attainment and cost by stage.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 bin=target/release
