--- a/crates/storage/tests/replica_store.rs
+++ b/crates/storage/tests/replica_store.rs
@@ -140,7 +140,7 @@
 fn an_empty_folder_gets_a_new_identity_and_no_state() {
     let folder = tempfile::tempdir().expect("a folder");
     fill_folder(folder.path());
-    std::fs::remove_dir_all(folder.path()).expect("emptied");
+    std::fs::remove_dir_all(folder.path()).expect("deleted");
     let opened = ReplicaStore::open(folder.path(), || ReplicaId(6)).expect("opened");
     assert_eq!(opened.identity, ReplicaId(6));
     assert!(opened.state.is_none());
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -63,14 +63,14 @@
 
 #[test]
 fn a_false_rejection_is_found_unless_the_caller_retried_after_it() {
-    let refused = call("k", "not_run");
-    let violations = check(std::slice::from_ref(&refused), &[run("k")]);
+    let rejected = call("k", "not_run");
+    let violations = check(std::slice::from_ref(&rejected), &[run("k")]);
     assert_eq!(violations, [Violation::UntrueNotRun { key: key() }]);
     let retried = CallRecord {
         retried_after_refusal: true,
         ..call("k", "completed")
     };
-    assert_eq!(check(&[refused, retried], &[run("k")]), []);
+    assert_eq!(check(&[rejected, retried], &[run("k")]), []);
 }
 
 #[test]
