--- a/crates/daemon/tests/configuration.rs
+++ b/crates/daemon/tests/configuration.rs
@@ -64,7 +64,7 @@
         all_recovered,
         "not all processes serve the last accepted revision"
     );
-    assert!(cluster.log_of(0).contains("torn_tail"));
+    assert!(cluster.log_text(0).contains("torn_tail"));
 }
 
 #[test]
@@ -191,7 +191,7 @@
     change_configuration(&cluster, 0, 0);
     assert!(cluster.wait_for_revision(1));
     let leader = cluster.leader("control").expect("a leader");
-    cluster.set_all_links(leader, LinkFault::silent());
+    cluster.set_all_links(leader, LinkFault::black_hole());
     let others: Vec<usize> = (0..5).filter(|position| *position != leader).collect();
     assert!(
         wait_until(Duration::from_secs(20), || {
@@ -303,7 +303,11 @@
         .wait_for_exit(0, Duration::from_secs(10))
         .expect("it stops");
     assert!(!status.success());
-    assert!(cluster.log_of(0).contains("5002"), "{}", cluster.log_of(0));
+    assert!(
+        cluster.log_text(0).contains("5002"),
+        "{}",
+        cluster.log_text(0)
+    );
     // The other processes continue to accept changes.
     change_configuration(&cluster, 1, 5);
 }
--- a/crates/daemon/tests/orders.rs
+++ b/crates/daemon/tests/orders.rs
@@ -191,7 +191,7 @@
         emulator.orders.records().len() >= 2
     });
     assert!(has_new_orders);
-    cluster.thaw(former_leader);
+    cluster.resume(former_leader);
     assert!(
         wait_for_loaded_engines(&emulator, 3, 1),
         "{:?}",
--- a/crates/daemon/tests/resting_backends.rs
+++ b/crates/daemon/tests/resting_backends.rs
@@ -8,7 +8,9 @@
 use rstest::rstest;
 use serde_json::{json, Value};
 use silversail_testbed::cluster::wait_until;
-use silversail_testbed::emulate::conduct::{ConductConfig, LimitConfig, ShedConfig};
+use silversail_testbed::emulate::behavior::{
+    AdvertisedLimitConfig, BehaviorConfig, LoadSheddingConfig,
+};
 use silversail_testbed::ClusterOptions;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -208,14 +210,14 @@
 fn a_pipeline_engine_gets_no_call_until_its_back_off_ends() {
     const BACKOFF: Duration = Duration::from_secs(4);
     let bench = Bench::start(ClusterOptions::new(3, 3));
-    bench.emulator.faults["engine-1"].set_conduct(ConductConfig {
-        sheds: vec![ShedConfig {
+    bench.emulator.faults["engine-1"].set_behavior(BehaviorConfig {
+        sheds: vec![LoadSheddingConfig {
             from_ms: 0,
             for_ms: 1_000,
             percent: 100,
             rest_ms: Some(BACKOFF.as_millis() as u64),
         }],
-        ..ConductConfig::default()
+        ..BehaviorConfig::default()
     });
     let was_rejected = |served: &[(String, u64)]| served.iter().any(|(_, attempts)| *attempts > 1);
     let until_rejected = generations(&bench, was_rejected);
@@ -241,9 +243,9 @@
 #[test]
 fn a_leaving_pipeline_engine_gets_no_generation() {
     let bench = Bench::start(ClusterOptions::new(3, 3));
-    bench.emulator.faults["engine-1"].set_conduct(ConductConfig {
+    bench.emulator.faults["engine-1"].set_behavior(BehaviorConfig {
         leaves_after_ms: Some(0),
-        ..ConductConfig::default()
+        ..BehaviorConfig::default()
     });
     let started_at = Instant::now();
     let served = generations(&bench, |_| started_at.elapsed() > Duration::from_secs(4));
@@ -261,13 +263,13 @@
 #[test]
 fn a_rate_limit_of_a_pipeline_engine_is_shown_to_operators() {
     let bench = Bench::start(ClusterOptions::new(3, 3));
-    bench.emulator.faults["engine-1"].set_conduct(ConductConfig {
-        limits: vec![LimitConfig {
+    bench.emulator.faults["engine-1"].set_behavior(BehaviorConfig {
+        limits: vec![AdvertisedLimitConfig {
             from_ms: 0,
             for_ms: 60_000,
             per_second: 2.5,
         }],
-        ..ConductConfig::default()
+        ..BehaviorConfig::default()
     });
     let was_called =
         |served: &[(String, u64)]| served.iter().any(|(engine, _)| engine == "engine-1");
