--- a/crates/daemon/src/session/node_state.rs
+++ b/crates/daemon/src/session/node_state.rs
@@ -106,7 +106,7 @@
         if !self.wants_listing(update.version, now) {
             return false;
         }
-        match update.applied_to(self.listing.as_deref()) {
+        match update.apply_to(self.listing.as_deref()) {
             Ok(listing) => self.take_listing(Arc::new(listing), now),
             Err(error) => {
                 // The next heartbeat tells the relay what is held here.
--- a/crates/daemon/src/session/relay.rs
+++ b/crates/daemon/src/session/relay.rs
@@ -279,7 +279,7 @@
     }
 
     fn reply(&mut self, heartbeat: &SessionHeartbeat, now: Millis) -> SessionReply {
-        let listing = self.listings.since(heartbeat.backend_list);
+        let listing = self.listings.update_since(heartbeat.backend_list);
         let wants_view = self.view.version > heartbeat.view;
         let control = self.setup.machine.borrow();
         let machine = &control.configuration;
--- a/crates/daemon/src/session/relay_listing.rs
+++ b/crates/daemon/src/session/relay_listing.rs
@@ -70,7 +70,7 @@
         self.take_listing(listing, now);
         // The other relays hold what this one held before, as a rule; one that does not shows
         // so with its next reports.
-        if let Some(update) = self.listings.since(former) {
+        if let Some(update) = self.listings.update_since(former) {
             self.tell_relays(SessionMessage::BackendList(update));
         }
     }
@@ -86,7 +86,7 @@
             self.take_listing(held.listing.clone(), now);
             return;
         }
-        match update.applied_to(held.map(|held| &*held.listing)) {
+        match update.apply_to(held.map(|held| &*held.listing)) {
             Ok(listing) => self.take_listing(Arc::new(listing), now),
             // The next reports tell the leader what is held here.
             Err(error) => log::info!(event = "listing_update_refused"; "{error}"),
@@ -115,7 +115,7 @@
             return;
         }
         self.makers = makers_by_zone(&listing.entries);
-        self.listings.follow(listing);
+        self.listings.set_latest(listing);
         self.push_listing(now);
     }
 
@@ -127,7 +127,7 @@
             if now.saturating_sub(session.heard_at) > SESSION_SILENCE {
                 continue;
             }
-            let update = self.listings.since(session.listing);
+            let update = self.listings.update_since(session.listing);
             let large = &mut session.large_updates;
             let update = update.filter(|one| large.may_send(UpdateKind::Listing, one.size(), now));
             if let Some(update) = update {
@@ -154,7 +154,7 @@
         if self.table.is_none() || was_told {
             return;
         }
-        let Some(update) = self.listings.since(held) else {
+        let Some(update) = self.listings.update_since(held) else {
             return;
         };
         self.told_listing_at.insert(relay.clone(), now);
--- a/crates/peer/src/backend_list_update.rs
+++ b/crates/peer/src/backend_list_update.rs
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// [`BackendListUpdateError`] if `current` is not the base, or if the update is corrupt.
-    pub fn applied_to(
+    pub fn apply_to(
         &self,
         current: Option<&BackendList>,
     ) -> Result<BackendList, BackendListUpdateError> {
@@ -125,7 +125,7 @@
     }
 
     /// Records `next` as the newest list.
-    pub fn follow(&mut self, next: SharedBackendList) {
+    pub fn set_latest(&mut self, next: SharedBackendList) {
         let Some(previous) = self.newest.replace(next.clone()) else {
             return;
         };
@@ -148,7 +148,10 @@
 
     /// Update for a receiver that has version `current`: incremental if the changes since that
     /// version are recorded, else the full list. None if the receiver is up to date.
-    pub fn since(&mut self, current: Option<BackendListVersion>) -> Option<BackendListUpdate> {
+    pub fn update_since(
+        &mut self,
+        current: Option<BackendListVersion>,
+    ) -> Option<BackendListUpdate> {
         let newest = self.newest.as_ref()?;
         if current == Some(newest.version) {
             return None;
--- a/crates/peer/tests/backend_list_updates.rs
+++ b/crates/peer/tests/backend_list_updates.rs
@@ -47,7 +47,7 @@
 fn history_of(lists: &[Arc<BackendList>]) -> BackendListHistory {
     let mut history = BackendListHistory::default();
     for list in lists {
-        history.follow(list.clone());
+        history.set_latest(list.clone());
     }
     history
 }
@@ -58,12 +58,12 @@
     let mut history = history_of(&lists);
     for current in &lists[..2] {
         let update = history
-            .since(Some(current.version))
+            .update_since(Some(current.version))
             .expect("an incremental update");
         assert_eq!(update.base, Some(current.version));
-        assert_eq!(update.applied_to(Some(current)), Ok((*lists[2]).clone()));
+        assert_eq!(update.apply_to(Some(current)), Ok((*lists[2]).clone()));
     }
-    assert_eq!(history.since(Some(version(3))), None);
+    assert_eq!(history.update_since(Some(version(3))), None);
 }
 
 #[test]
@@ -71,10 +71,10 @@
     let lists = three_lists();
     let mut history = history_of(&lists);
     for current in [None, Some(version(9))] {
-        let update = history.since(current).expect("a full update");
+        let update = history.update_since(current).expect("a full update");
         assert_eq!(update.base, None);
-        assert_eq!(update.applied_to(None), Ok((*lists[2]).clone()));
-        assert_eq!(update.applied_to(Some(&lists[0])), Ok((*lists[2]).clone()));
+        assert_eq!(update.apply_to(None), Ok((*lists[2]).clone()));
+        assert_eq!(update.apply_to(Some(&lists[0])), Ok((*lists[2]).clone()));
     }
 }
 
@@ -83,11 +83,11 @@
 fn an_incremental_update_applies_only_to_its_base() {
     let lists = three_lists();
     let update = history_of(&lists)
-        .since(Some(version(2)))
+        .update_since(Some(version(2)))
         .expect("an incremental update");
     let base_mismatch = BackendListUpdateError::BaseMismatch(version(2));
-    assert_eq!(update.applied_to(None), Err(base_mismatch));
-    assert_eq!(update.applied_to(Some(&lists[0])), Err(base_mismatch));
+    assert_eq!(update.apply_to(None), Err(base_mismatch));
+    assert_eq!(update.apply_to(Some(&lists[0])), Err(base_mismatch));
 }
 
 /// An unconfirmed list may be replaced by an older one of the leader, which is a change like any
@@ -99,9 +99,9 @@
     let mut history = history_of(&order);
     for current in [&lists[0], &lists[2]] {
         let update = history
-            .since(Some(current.version))
+            .update_since(Some(current.version))
             .expect("an incremental update");
-        assert_eq!(update.applied_to(Some(current)), Ok((*lists[1]).clone()));
+        assert_eq!(update.apply_to(Some(current)), Ok((*lists[1]).clone()));
     }
 }
 
@@ -112,8 +112,8 @@
     changed.version = "v2".to_owned();
     let second = backend_list(2, vec![entry(1, false), changed]);
     let mut history = history_of(&[first.clone(), second.clone()]);
-    let update = history.since(Some(first.version)).expect("a change");
-    assert_eq!(update.applied_to(Some(&first)), Ok((*second).clone()));
+    let update = history.update_since(Some(first.version)).expect("a change");
+    assert_eq!(update.apply_to(Some(&first)), Ok((*second).clone()));
 }
 
 #[test]
@@ -129,9 +129,11 @@
         entries: entries.into_iter().collect(),
     });
     let mut history = history_of(&[first.clone(), of_next_term.clone()]);
-    let update = history.since(Some(first.version)).expect("a version");
+    let update = history
+        .update_since(Some(first.version))
+        .expect("a version");
     assert!(update.size() < 100, "{} bytes", update.size());
-    assert_eq!(update.applied_to(Some(&first)), Ok((*of_next_term).clone()));
+    assert_eq!(update.apply_to(Some(&first)), Ok((*of_next_term).clone()));
 }
 
 /// Guards against sending the full list to each node when one entry changes.
@@ -143,11 +145,11 @@
     entries[17].draining = true;
     let second = backend_list(2, entries);
     let mut history = history_of(&[first.clone(), second.clone()]);
-    let update = history.since(Some(first.version)).expect("a change");
+    let update = history.update_since(Some(first.version)).expect("a change");
     assert!(update.size() < 200, "{} bytes", update.size());
     let full = BackendListUpdate::full(&second);
     assert!(full.size() < 20_000, "{} bytes", full.size());
-    assert_eq!(update.applied_to(Some(&first)), Ok((*second).clone()));
+    assert_eq!(update.apply_to(Some(&first)), Ok((*second).clone()));
 }
 
 /// Guards against copying all entries of a large list for each change of one.
@@ -159,9 +161,9 @@
     entries[17].draining = true;
     let second = backend_list(2, entries);
     let mut history = history_of(&[first.clone(), second]);
-    let update = history.since(Some(first.version)).expect("a change");
+    let update = history.update_since(Some(first.version)).expect("a change");
     let next = update
-        .applied_to(Some(&first))
+        .apply_to(Some(&first))
         .expect("an update for this base");
     let pairs = first.entries.iter().zip(next.entries.iter());
     let copied = pairs.filter(|(before, after)| !Arc::ptr_eq(before, after));
--- a/crates/serving/examples/back_end_count.rs
+++ b/crates/serving/examples/back_end_count.rs
@@ -76,24 +76,24 @@
         version: version(1),
         entries: (0..count).map(entry).collect(),
     });
-    updates.follow(listing.clone());
-    let whole = updates.since(None).expect("a list");
+    updates.set_latest(listing.clone());
+    let whole = updates.update_since(None).expect("a list");
     let mut next = (*listing).clone();
     next.version = version(2);
     next.entries.remove(&entry(5).id);
-    updates.follow(Arc::new(next));
-    let difference = updates.since(Some(version(1))).expect("a change");
+    updates.set_latest(Arc::new(next));
+    let difference = updates.update_since(Some(version(1))).expect("a change");
 
     let before = private_kilobytes();
-    let current = whole.applied_to(None).expect("it is whole");
+    let current = whole.apply_to(None).expect("it is whole");
     let mut table = InstanceTable::new(DecisionLog::disabled());
     table.apply_list(&current.entries);
     let memory = private_kilobytes().saturating_sub(before);
 
     let applied = microseconds(|| {
-        difference.applied_to(Some(&current)).expect("it fits");
+        difference.apply_to(Some(&current)).expect("it fits");
     });
-    let changed = difference.applied_to(Some(&current)).expect("it fits");
+    let changed = difference.apply_to(Some(&current)).expect("it fits");
     let table_update = microseconds(|| {
         table.apply_list(&changed.entries);
         table.apply_list(&current.entries);
