--- a/crates/daemon/src/crashes.rs
+++ b/crates/daemon/src/crashes.rs
@@ -78,7 +78,7 @@
         }
         let backend = &diagnosis.instance;
         let sends = diagnosis.sends.iter().map(|one| one.fingerprint);
-        let suspects = quarantine.crashed(backend, sends, now);
+        let suspects = quarantine.record_crash(backend, sends, now);
         if suspects.is_empty() {
             return false;
         }
@@ -94,7 +94,7 @@
         fingerprint: RequestFingerprint,
         quarantine: &mut RequestQuarantine,
     ) {
-        if quarantine.ended_well(fingerprint) {
+        if quarantine.record_success(fingerprint) {
             let news = &mut self.state.borrow_mut().crash_news;
             news.answered_whole(fingerprint);
         }
--- a/crates/daemon/src/gateway/crashes.rs
+++ b/crates/daemon/src/gateway/crashes.rs
@@ -66,7 +66,7 @@
             return;
         }
         let (refused, watched) = (list.refused.len(), list.watched.len());
-        self.dispatcher.quarantine.take(list);
+        self.dispatcher.quarantine.update(list);
         let gauge = &self.setup.metrics.quarantine;
         gauge.with_label_values(&["refused"]).set(refused as i64);
         gauge.with_label_values(&["watched"]).set(watched as i64);
--- a/crates/daemon/src/requests/crashes.rs
+++ b/crates/daemon/src/requests/crashes.rs
@@ -60,7 +60,7 @@
     pub(crate) fn follow_quarantine(&mut self) {
         let list = self.setup.state.borrow().quarantine.clone();
         if let Some(list) = list {
-            self.quarantine.take(list);
+            self.quarantine.update(list);
         }
     }
 }
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Default)]
 pub struct RequestQuarantine {
     list: SharedQuarantineList,
-    own: LocalCrashEvidence,
+    local_evidence: LocalCrashEvidence,
 }
 
 impl RequestQuarantine {
@@ -17,36 +17,36 @@
     pub fn new(limits: QuarantineLimits) -> Self {
         Self {
             list: SharedQuarantineList::default(),
-            own: LocalCrashEvidence::new(limits),
+            local_evidence: LocalCrashEvidence::new(limits),
         }
     }
 
     /// Replaces the cluster's list. Local evidence against released requests is dropped.
-    pub fn take(&mut self, list: SharedQuarantineList) {
+    pub fn update(&mut self, list: SharedQuarantineList) {
         for released in self.list.refused.difference(&list.refused) {
-            self.own.clear(released);
+            self.local_evidence.clear(released);
         }
         self.list = list;
     }
 
     /// Whether a request is quarantined.
     pub fn refuses(&self, fingerprint: &RequestFingerprint) -> bool {
-        self.list.refused.contains(fingerprint) || self.own.is_refused(fingerprint)
+        self.list.refused.contains(fingerprint) || self.local_evidence.is_refused(fingerprint)
     }
 
     /// Records that a back end crashed while it ran these requests; returns the suspects among them.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         backend: &str,
         fingerprints: impl IntoIterator<Item = RequestFingerprint>,
         now: Millis,
     ) -> BTreeSet<RequestFingerprint> {
-        self.own.record_crash(backend, fingerprints, now)
+        self.local_evidence.record_crash(backend, fingerprints, now)
     }
 
     /// Records that a request was answered completely. True if other nodes must be informed.
-    pub fn ended_well(&mut self, fingerprint: RequestFingerprint) -> bool {
-        self.own.record_success(fingerprint);
+    pub fn record_success(&mut self, fingerprint: RequestFingerprint) -> bool {
+        self.local_evidence.record_success(fingerprint);
         self.list.contains(&fingerprint)
     }
 }
--- a/crates/serving/tests/quarantine.rs
+++ b/crates/serving/tests/quarantine.rs
@@ -32,7 +32,7 @@
 }
 
 fn refuse(quarantine: &mut RequestQuarantine, path: &str) {
-    quarantine.take(Arc::new(QuarantineList {
+    quarantine.update(Arc::new(QuarantineList {
         revision: 1,
         refused: [fingerprint_of(path)].into(),
         watched: [].into(),
@@ -136,11 +136,11 @@
     let mut quarantine = RequestQuarantine::new(QuarantineLimits::default());
     for backend in ["e1", "e2", "e3"] {
         assert!(!quarantine.refuses(&fingerprint_of("/x")));
-        quarantine.crashed(backend, [fingerprint_of("/x")], 10);
+        quarantine.record_crash(backend, [fingerprint_of("/x")], 10);
     }
     assert!(quarantine.refuses(&fingerprint_of("/x")));
     refuse(&mut quarantine, "/x");
-    quarantine.take(Arc::new(QuarantineList {
+    quarantine.update(Arc::new(QuarantineList {
         revision: 2,
         ..QuarantineList::default()
     }));
