--- a/crates/limits/src/issuer.rs
+++ b/crates/limits/src/issuer.rs
@@ -51,7 +51,7 @@
     wanted: u32,
     asked_at: Millis,
     /// The node's local time of the request, which the grant echoes.
-    echo: Millis,
+    request_sent_at: Millis,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -82,7 +82,7 @@
 
 impl Account {
     fn new(request: &PermitRequest, now: Millis) -> Self {
-        let known = request.highest.max(request.limit.serial);
+        let known = request.highest_serial.max(request.limit.serial);
         Self {
             limit: request.limit,
             phase: Phase::Limited,
@@ -112,7 +112,7 @@
 
     /// Serial of the permit whose answer carried no limit, once the initial increases are complete
     /// and no node waits.
-    fn lifted_by(&self, now: Millis) -> Option<Serial> {
+    fn limit_lifted_serial(&self, now: Millis) -> Option<Serial> {
         match self.phase {
             Phase::Limited => None,
             Phase::Recovering { since, by } => {
@@ -147,11 +147,11 @@
                 self.phase = Phase::Limited;
             }
         }
-        if request.lifted_by > self.limit.serial && self.phase == Phase::Limited {
+        if request.limit_lifted_serial > self.limit.serial && self.phase == Phase::Limited {
             self.refill(now);
             self.phase = Phase::Recovering {
                 since: now,
-                by: request.lifted_by,
+                by: request.limit_lifted_serial,
             };
         }
     }
@@ -166,7 +166,7 @@
             node: node.clone(),
             wanted: request.wanted,
             asked_at: now,
-            echo: request.sent_at,
+            request_sent_at: request.sent_at,
         };
         match position {
             Some(position) if request.wanted == 0 => {
@@ -211,7 +211,7 @@
             self.available -= 1.0;
             let issued = granted.entry(first.node.clone()).or_default();
             issued.count += 1;
-            issued.echo = first.echo;
+            issued.request_sent_at = first.request_sent_at;
             first.wanted -= 1;
             if first.wanted > 0 {
                 self.waiting.push_back(first);
@@ -221,15 +221,15 @@
     }
 
     fn grant(&mut self, backend: &str, to: &NodeName, issued: Issued, now: Millis) -> PermitGrant {
-        let first = self.next_serial;
+        let first_serial = self.next_serial;
         self.next_serial += u64::from(issued.count);
         PermitGrant {
             backend: backend.to_owned(),
             state: LimitState::Limited(self.limit),
-            first,
+            first_serial,
             count: issued.count,
             wait_ms: self.wait_ms(to, now),
-            echo: issued.echo,
+            request_sent_at: issued.request_sent_at,
         }
     }
 
@@ -253,7 +253,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Issued {
     count: u32,
-    echo: Millis,
+    request_sent_at: Millis,
 }
 
 /// A grant without permits that reports the limit as lifted.
@@ -261,10 +261,10 @@
     PermitGrant {
         backend: backend.to_owned(),
         state: LimitState::Lifted(by),
-        first: 0,
+        first_serial: 0,
         count: 0,
         wait_ms: 0,
-        echo: 0,
+        request_sent_at: 0,
     }
 }
 
@@ -289,7 +289,7 @@
             .or_insert_with(|| Account::new(request, now));
         account.asked_at = now;
         account.merge_report(request, now);
-        if let Some(by) = account.lifted_by(now) {
+        if let Some(by) = account.limit_lifted_serial(now) {
             return vec![(from.clone(), lifted_grant(backend, by))];
         }
         account.set_wanted(from, request, now);
@@ -299,7 +299,7 @@
         if request.wanted > 0 && !is_answered {
             let none = Issued {
                 count: 0,
-                echo: request.sent_at,
+                request_sent_at: request.sent_at,
             };
             grants.push((from.clone(), account.grant(backend, from, none, now)));
         }
--- a/crates/limits/src/messages.rs
+++ b/crates/limits/src/messages.rs
@@ -32,9 +32,9 @@
     /// The limit that the sender currently applies.
     pub limit: KnownLimit,
     /// Serial of the latest permit whose request was answered without a limit; 0 for none.
-    pub lifted_by: Serial,
+    pub limit_lifted_serial: Serial,
     /// The highest permit serial known to the sender.
-    pub highest: Serial,
+    pub highest_serial: Serial,
     /// Total number of permits that the sender lacks, including those requested before.
     pub wanted: u32,
     /// Sender's clock at sending, in milliseconds; echoed in the grants.
@@ -58,14 +58,14 @@
     /// The limit as known to the issuer.
     pub state: LimitState,
     /// Serial of the first permit; the others follow it without gaps.
-    pub first: Serial,
+    pub first_serial: Serial,
     /// Number of permits granted.
     pub count: u32,
     /// Milliseconds until the receiver's last outstanding permit is expected; 0 if it waits for
     /// none.
     pub wait_ms: Millis,
     /// `sent_at` of the receiver's latest request.
-    pub echo: Millis,
+    pub request_sent_at: Millis,
 }
 
 /// Announces to nodes that a back end has a limit.
--- a/crates/limits/src/pool.rs
+++ b/crates/limits/src/pool.rs
@@ -55,8 +55,8 @@
 #[derive(Debug, Default)]
 pub struct PermitPool {
     limit: Option<KnownLimit>,
-    lifted_by: Serial,
-    highest: Serial,
+    limit_lifted_serial: Serial,
+    highest_serial: Serial,
     permits: VecDeque<Permit>,
     /// Permits reserved for requests that are assigned to the back end but not yet sent.
     reserved: usize,
@@ -104,7 +104,7 @@
     fn record_limit(&mut self, rate: RequestRate, permit: Option<Serial>) {
         let Some(known) = self.limit else {
             // After an earlier limit was lifted, this one must compare as newer than that.
-            let serial = permit.unwrap_or(self.highest + 1);
+            let serial = permit.unwrap_or(self.highest_serial + 1);
             self.limit = Some(KnownLimit { rate, serial });
             self.has_unreported_change = true;
             return;
@@ -113,22 +113,22 @@
         let serial = match newer {
             Some(serial) => serial,
             // Takes precedence over the limits known to other nodes.
-            None if rate < known.rate => known.serial.max(self.highest) + 1,
+            None if rate < known.rate => known.serial.max(self.highest_serial) + 1,
             None => return,
         };
-        let is_reimposed = self.lifted_by > 0 && serial > self.lifted_by;
+        let is_reimposed = self.limit_lifted_serial > 0 && serial > self.limit_lifted_serial;
         self.has_unreported_change |= known.rate != rate || is_reimposed;
         self.limit = Some(KnownLimit { rate, serial });
         if is_reimposed {
-            self.lifted_by = 0;
+            self.limit_lifted_serial = 0;
         }
     }
 
     /// Records that an answer carried no limit. The issuer then lifts it gradually for all nodes.
     fn record_no_limit(&mut self, serial: Serial) {
-        let is_newer = |known: KnownLimit| serial > known.serial.max(self.lifted_by);
+        let is_newer = |known: KnownLimit| serial > known.serial.max(self.limit_lifted_serial);
         if self.limit.is_some_and(is_newer) {
-            self.lifted_by = serial;
+            self.limit_lifted_serial = serial;
             self.has_unreported_change = true;
         }
     }
@@ -234,8 +234,8 @@
         Some(PermitRequest {
             backend: backend.to_owned(),
             limit,
-            lifted_by: self.lifted_by,
-            highest: self.highest,
+            limit_lifted_serial: self.limit_lifted_serial,
+            highest_serial: self.highest_serial,
             wanted: self.wanted,
             sent_at: now,
         })
@@ -249,7 +249,7 @@
             LimitState::Lifted(serial) => self.lift_limit(serial),
         }
         // The grant may answer a former process of this node, or an outdated request.
-        let is_recent = now.saturating_sub(grant.echo) < MAX_GRANT_REQUEST_AGE;
+        let is_recent = now.saturating_sub(grant.request_sent_at) < MAX_GRANT_REQUEST_AGE;
         if self.limit.is_some() && self.reported_at.is_some() && is_recent {
             self.store_permits(grant, now);
         }
@@ -273,25 +273,25 @@
         if self.limit.is_none_or(|known| announced.replaces(&known)) {
             self.limit = Some(announced);
         }
-        self.highest = self.highest.max(announced.serial);
+        self.highest_serial = self.highest_serial.max(announced.serial);
     }
 
     fn lift_limit(&mut self, serial: Serial) {
         if self.limit.is_some_and(|known| serial <= known.serial) {
             return;
         }
-        let highest = self.highest.max(serial);
+        let highest_serial = self.highest_serial.max(serial);
         *self = Self {
-            highest,
+            highest_serial,
             ..Self::default()
         };
     }
 
     fn store_permits(&mut self, grant: &PermitGrant, now: Millis) {
         let expires_at = now + PERMIT_LIFETIME;
-        for serial in grant.first..grant.first + u64::from(grant.count) {
+        for serial in grant.first_serial..grant.first_serial + u64::from(grant.count) {
             self.permits.push_back(Permit { serial, expires_at });
-            self.highest = self.highest.max(serial);
+            self.highest_serial = self.highest_serial.max(serial);
         }
         self.wanted = self.wanted.saturating_sub(grant.count);
         self.reported_wanted = self.reported_wanted.saturating_sub(grant.count);
--- a/crates/limits/tests/pool.rs
+++ b/crates/limits/tests/pool.rs
@@ -12,14 +12,14 @@
     RequestRate::per_second(per_second).expect("a rate")
 }
 
-fn grant(state: LimitState, first: Serial, count: u32) -> PermitGrant {
+fn grant(state: LimitState, first_serial: Serial, count: u32) -> PermitGrant {
     PermitGrant {
         backend: "e1".into(),
         state,
-        first,
+        first_serial,
         count,
         wait_ms: 0,
-        echo: ASKED_AT,
+        request_sent_at: ASKED_AT,
     }
 }
 
@@ -42,7 +42,7 @@
 
 fn reports_lifted_limit(pool: &mut PermitPool) -> bool {
     let request = pool.request_due("e1", ASKED_AT + 10);
-    request.is_some_and(|request| request.lifted_by > request.limit.serial)
+    request.is_some_and(|request| request.limit_lifted_serial > request.limit.serial)
 }
 
 #[rstest]
--- a/crates/peer/tests/limit_messages.rs
+++ b/crates/peer/tests/limit_messages.rs
@@ -17,18 +17,18 @@
     let request = LimitMessage::Request(PermitRequest {
         backend: backend.clone(),
         limit,
-        lifted_by: 1 << 40,
-        highest: 1 << 40,
+        limit_lifted_serial: 1 << 40,
+        highest_serial: 1 << 40,
         wanted: 1_000,
         sent_at: 1 << 40,
     });
     let grant = LimitMessage::Grant(PermitGrant {
         backend,
         state: LimitState::Limited(limit),
-        first: 1 << 40,
+        first_serial: 1 << 40,
         count: 1_000,
         wait_ms: 60_000,
-        echo: 1 << 40,
+        request_sent_at: 1 << 40,
     });
     for message in [request, grant] {
         let bytes = postcard::to_stdvec(&PeerMessage::Limits(message)).expect("encodes");
--- a/crates/serving/tests/limits.rs
+++ b/crates/serving/tests/limits.rs
@@ -39,17 +39,17 @@
     table.notices().permit_requests(&NONE_WAITING, 0);
 }
 
-fn grant(backend: &str, first: Serial, count: u32, wait_ms: u64) -> PermitGrant {
+fn grant(backend: &str, first_serial: Serial, count: u32, wait_ms: u64) -> PermitGrant {
     PermitGrant {
         backend: backend.into(),
         state: LimitState::Limited(KnownLimit {
             rate: rate(1.0),
             serial: 1,
         }),
-        first,
+        first_serial,
         count,
         wait_ms,
-        echo: 0,
+        request_sent_at: 0,
     }
 }
 
@@ -132,7 +132,7 @@
     let dispatcher = dispatcher();
     let notices = dispatcher.instances.notices();
     advertise_limit(&dispatcher.instances, &["g1"], 1.0);
-    let lifted_by = |permit, is_success| {
+    let limit_lifted_serial = |permit, is_success| {
         let answer = AnswerContext {
             path: ExchangeKind::Request,
             permit,
@@ -140,11 +140,11 @@
         };
         notices.record_report("g1", answer, &SelfReport::default(), 20);
         let requests = notices.permit_requests(&NONE_WAITING, 20);
-        requests.first().map(|request| request.lifted_by)
+        requests.first().map(|request| request.limit_lifted_serial)
     };
-    assert_eq!(lifted_by(None, true), None);
-    assert_eq!(lifted_by(Some(10), false), None);
-    assert_eq!(lifted_by(Some(10), true), Some(10));
+    assert_eq!(limit_lifted_serial(None, true), None);
+    assert_eq!(limit_lifted_serial(Some(10), false), None);
+    assert_eq!(limit_lifted_serial(Some(10), true), Some(10));
 }
 
 mod all_engines_limited {
