--- a/crates/daemon/src/gateway/calls.rs
+++ b/crates/daemon/src/gateway/calls.rs
@@ -203,7 +203,7 @@
                 }
             }
             Err(CallError::NotSent(_)) => CallOutcome::Unreachable,
-            Err(CallError::Withheld(_)) => CallOutcome::Withheld,
+            Err(CallError::Withheld(_)) => CallOutcome::BackendUnavailable,
             Ok(_) | Err(CallError::NoAnswer(_)) => CallOutcome::Unknown,
         }
     }
--- a/crates/daemon/src/gateway/counting.rs
+++ b/crates/daemon/src/gateway/counting.rs
@@ -80,7 +80,7 @@
         SendOutcome::Delivered { is_whole: true, .. } => "whole",
         SendOutcome::Delivered { .. } => "broken_midway",
         SendOutcome::NotRun(NotRunReason::Unreachable) => "unreachable",
-        SendOutcome::NotRun(NotRunReason::Withheld) => "withheld",
+        SendOutcome::NotRun(NotRunReason::BackendUnavailable) => "withheld",
         SendOutcome::NotRun(NotRunReason::Full) => "full",
         SendOutcome::NotRun(NotRunReason::Misplaced) => "misplaced",
         SendOutcome::NotRun(NotRunReason::InputsGone) => "inputs_gone",
--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/exchange.rs
@@ -57,7 +57,7 @@
 
 impl From<UnavailableReason> for Ended {
     fn from(_: UnavailableReason) -> Self {
-        SendOutcome::NotRun(NotRunReason::Withheld).into()
+        SendOutcome::NotRun(NotRunReason::BackendUnavailable).into()
     }
 }
 
--- a/crates/serving/src/batcher.rs
+++ b/crates/serving/src/batcher.rs
@@ -78,7 +78,7 @@
     Unreachable,
     /// Nothing was sent: after it was selected, the back end reported that it rests or shuts
     /// down.
-    Withheld,
+    BackendUnavailable,
     /// The call may have run.
     Unknown,
 }
--- a/crates/serving/src/batcher/backend_health.rs
+++ b/crates/serving/src/batcher/backend_health.rs
@@ -147,7 +147,7 @@
     pub(super) fn call_ended(&mut self, call: &EndedCall<'_>, outcome: &CallOutcome, now: Millis) {
         let id = call.backend;
         match outcome {
-            CallOutcome::Withheld => {}
+            CallOutcome::BackendUnavailable => {}
             CallOutcome::NotRun => self.refused(id, now),
             CallOutcome::Unreachable | CallOutcome::Unknown => self.failed(call, now),
             CallOutcome::Answered(_) => {
--- a/crates/serving/src/batcher/outcomes.rs
+++ b/crates/serving/src/batcher/outcomes.rs
@@ -36,7 +36,7 @@
         self.record_call_outcome(&state, &outcome, now);
         match outcome {
             CallOutcome::Answered(results) => self.answered(&state, results, now),
-            CallOutcome::NotRun | CallOutcome::Unreachable | CallOutcome::Withheld => {
+            CallOutcome::NotRun | CallOutcome::Unreachable | CallOutcome::BackendUnavailable => {
                 self.requeue(&state, false)
             }
             CallOutcome::Unknown => self.requeue(&state, true),
@@ -243,7 +243,7 @@
         CallOutcome::Answered(results) => results,
         CallOutcome::NotRun => return "not_run".to_owned(),
         CallOutcome::Unreachable => return "unreachable".to_owned(),
-        CallOutcome::Withheld => return "withheld".to_owned(),
+        CallOutcome::BackendUnavailable => return "withheld".to_owned(),
         CallOutcome::Unknown => return "unknown".to_owned(),
     };
     let mut failures: BTreeMap<PieceFailure, usize> = BTreeMap::new();
--- a/crates/serving/src/batcher/versions.rs
+++ b/crates/serving/src/batcher/versions.rs
@@ -162,7 +162,9 @@
         outcome: &CallOutcome,
     ) {
         let answer = match outcome {
-            CallOutcome::NotRun | CallOutcome::Unreachable | CallOutcome::Withheld => return,
+            CallOutcome::NotRun | CallOutcome::Unreachable | CallOutcome::BackendUnavailable => {
+                return
+            }
             CallOutcome::Unknown => CountedAnswer::Bad,
             CallOutcome::Answered(results) if results.contains(&Err(PieceFailure::Failed)) => {
                 CountedAnswer::Bad
--- a/crates/serving/src/dispatcher/action.rs
+++ b/crates/serving/src/dispatcher/action.rs
@@ -102,7 +102,7 @@
     /// The connection failed before anything was sent.
     Unreachable,
     /// Nothing was sent: after it was selected, the engine reported that it rests or shuts down.
-    Withheld,
+    BackendUnavailable,
     /// The engine reported itself full.
     Full,
     /// Another engine answered at its address.
--- a/crates/serving/src/dispatcher/outcomes.rs
+++ b/crates/serving/src/dispatcher/outcomes.rs
@@ -68,7 +68,7 @@
                 instances.record_address_mismatch(instance, now)
             }
             SendOutcome::NotRun(
-                NotRunReason::InputsGone | NotRunReason::Refused | NotRunReason::Withheld,
+                NotRunReason::InputsGone | NotRunReason::Refused | NotRunReason::BackendUnavailable,
             ) => {}
             SendOutcome::Unknown(UnknownReason::Deadline) => {}
             SendOutcome::Unknown(UnknownReason::Broken) => {
@@ -113,7 +113,7 @@
             self.log_send_failed(number, active_send, "not_run", "InputsGone", "retry", now);
             return self.restart(number, now);
         }
-        if reason == NotRunReason::Withheld {
+        if reason == NotRunReason::BackendUnavailable {
             self.log_send_failed(number, active_send, "not_run", "Withheld", "retry", now);
             return self.select_again(number, now);
         }
--- a/crates/serving/tests/limits.rs
+++ b/crates/serving/tests/limits.rs
@@ -12,7 +12,7 @@
 use silversail_serving::ports::SelfReport;
 use std::collections::BTreeMap;
 
-const WITHHELD: SendOutcome = SendOutcome::NotRun(NotRunReason::Withheld);
+const BACKEND_UNAVAILABLE: SendOutcome = SendOutcome::NotRun(NotRunReason::BackendUnavailable);
 const NONE_WAITING: BTreeMap<String, u32> = BTreeMap::new();
 
 fn rate(per_second: f64) -> RequestRate {
@@ -110,7 +110,8 @@
     advertise_limit(&dispatcher.instances, &[&first], 1.0);
     let admitted = dispatcher.instances.notices().admit(&first, 5);
     assert_eq!(admitted, Err(UnavailableReason::Limited));
-    let second = sent_to(&dispatcher.send_ended(1, WITHHELD, None, 5)).expect("sent anew");
+    let second =
+        sent_to(&dispatcher.send_ended(1, BACKEND_UNAVAILABLE, None, 5)).expect("sent anew");
     assert_ne!(second, first);
 }
 
--- a/crates/serving/tests/rest_seeds.rs
+++ b/crates/serving/tests/rest_seeds.rs
@@ -196,7 +196,7 @@
             let is_withheld = state.is_draining || now < state.rest_until;
             // Some sends still wait for a connection when another answer arrives.
             let outcome = match is_withheld && random.gen() {
-                true => SendOutcome::NotRun(NotRunReason::Withheld),
+                true => SendOutcome::NotRun(NotRunReason::BackendUnavailable),
                 false => {
                     node.record_report(&plan.instance, ExchangeKind::Request, &report, now);
                     outcome_of(&report, random)
@@ -223,7 +223,7 @@
             node.record_report(&call.instance, ExchangeKind::Batch, &report, now);
             let outcome = match report.rest {
                 Some(_) => CallOutcome::NotRun,
-                None if random.gen_range(0..8) == 0 => CallOutcome::Withheld,
+                None if random.gen_range(0..8) == 0 => CallOutcome::BackendUnavailable,
                 None => CallOutcome::Answered(
                     call.pieces
                         .iter()
--- a/crates/serving/tests/rests.rs
+++ b/crates/serving/tests/rests.rs
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 const FULL: SendOutcome = SendOutcome::NotRun(NotRunReason::Full);
-const WITHHELD: SendOutcome = SendOutcome::NotRun(NotRunReason::Withheld);
+const BACKEND_UNAVAILABLE: SendOutcome = SendOutcome::NotRun(NotRunReason::BackendUnavailable);
 const WHOLE: SendOutcome = SendOutcome::Delivered {
     status: 200,
     is_whole: true,
@@ -172,7 +172,8 @@
     let mut dispatcher = without_retries();
     let first = sent_to(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 0)).expect("sent");
     report(&dispatcher.instances, &[&first], &rest(3_000), 5);
-    let second = sent_to(&dispatcher.send_ended(1, WITHHELD, None, 5)).expect("sent anew");
+    let second =
+        sent_to(&dispatcher.send_ended(1, BACKEND_UNAVAILABLE, None, 5)).expect("sent anew");
     assert_ne!(second, first);
     // A send that the engine rejected does count.
     let refused = refusal(&dispatcher.send_ended(1, FULL, None, 10));
@@ -457,7 +458,7 @@
         for turn in 0..5 {
             let now = 10 * turn;
             let call = batcher.next_calls(&table, now).remove(0);
-            let ended = batcher.call_ended(call.call, CallOutcome::Withheld, now);
+            let ended = batcher.call_ended(call.call, CallOutcome::BackendUnavailable, now);
             assert!(ended.is_empty(), "{turn}");
         }
         let call = batcher.next_calls(&table, 60).remove(0);
