--- a/crates/daemon/src/gateway/allowed.rs
+++ b/crates/daemon/src/gateway/allowed.rs
@@ -37,7 +37,7 @@
     fn may_hold(&self, owner: &NodeName) -> bool {
         let status = self.view.nodes.iter().find(|one| one.node == *owner);
         let region = status.and_then(|one| self.topology.region_of(&one.zone));
-        let is_own = region.is_some() && region == self.topology.own_region();
+        let is_own = region.is_some() && region == self.topology.local_region();
         is_own || self.regions.allows(region)
     }
 
--- a/crates/daemon/src/gateway/placing.rs
+++ b/crates/daemon/src/gateway/placing.rs
@@ -80,7 +80,7 @@
         let owner = placed.map(|(_, owner)| owner.0.clone());
         let shard = placed.map_or(&phase.shard, |(shard, _)| shard);
         let topology = &self.setup.topology;
-        let own_zone = topology.own_zone();
+        let own_zone = topology.local_zone();
         let distance = (!shard.is_whole_service()).then(|| shard.distance(own_zone, topology));
         self.setup.log.record(LogEvent::PhaseSubmitted {
             request: request.to_owned(),
--- a/crates/daemon/src/settings/topology.rs
+++ b/crates/daemon/src/settings/topology.rs
@@ -56,7 +56,7 @@
         TopologyError::ZoneWithoutRegion(zone) => {
             (ResultCode::MissingField, format!("topology.zones.{zone}"))
         }
-        TopologyError::UnknownOwnZone(_) => {
+        TopologyError::UnknownLocalZone(_) => {
             (ResultCode::UnknownReference, "topology.zones".to_owned())
         }
         TopologyError::RoundTrips => (
--- a/crates/model/src/topology.rs
+++ b/crates/model/src/topology.rs
@@ -57,7 +57,7 @@
     ZoneWithoutRegion(String),
     /// The zone of this process is not declared.
     #[error("the zone of this process, '{0}', is not among the declared zones")]
-    UnknownOwnZone(String),
+    UnknownLocalZone(String),
     /// A round-trip time is negative, not a number, or shorter than one of a smaller distance.
     #[error("round-trip times must be at least 0 ms and must not decrease with the distance")]
     RoundTrips,
@@ -66,28 +66,28 @@
 /// The zones with their regions, from the view of a process in one of them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Topology {
-    own_zone: String,
+    local_zone: String,
     regions: BTreeMap<String, String>,
     round_trips: RoundTrips,
 }
 
 impl Topology {
-    /// Creates the topology for a process in `own_zone`. `regions` maps each zone to its region;
+    /// Creates the topology for a process in `local_zone`. `regions` maps each zone to its region;
     /// if it is empty, all zones count as one region.
     ///
     /// # Errors
-    /// [`TopologyError`] if a zone has no region, `own_zone` is not declared, or the round-trip
+    /// [`TopologyError`] if a zone has no region, `local_zone` is not declared, or the round-trip
     /// times are invalid.
     pub fn new(
-        own_zone: &str,
+        local_zone: &str,
         regions: BTreeMap<String, String>,
         round_trips: RoundTrips,
     ) -> Result<Self, TopologyError> {
         if let Some((zone, _)) = regions.iter().find(|(_, region)| region.is_empty()) {
             return Err(TopologyError::ZoneWithoutRegion(zone.clone()));
         }
-        if !regions.is_empty() && !regions.contains_key(own_zone) {
-            return Err(TopologyError::UnknownOwnZone(own_zone.to_owned()));
+        if !regions.is_empty() && !regions.contains_key(local_zone) {
+            return Err(TopologyError::UnknownLocalZone(local_zone.to_owned()));
         }
         let round_trip_times = [
             0.0,
@@ -99,20 +99,20 @@
             return Err(TopologyError::RoundTrips);
         }
         Ok(Self {
-            own_zone: own_zone.to_owned(),
+            local_zone: local_zone.to_owned(),
             regions,
             round_trips,
         })
     }
 
     /// Returns the zone of this process.
-    pub fn own_zone(&self) -> &str {
-        &self.own_zone
+    pub fn local_zone(&self) -> &str {
+        &self.local_zone
     }
 
     /// Returns the region of this process; none if it is unknown.
-    pub fn own_region(&self) -> Option<&str> {
-        self.region_of(&self.own_zone)
+    pub fn local_region(&self) -> Option<&str> {
+        self.region_of(&self.local_zone)
     }
 
     /// Returns the region of a zone; none if the zone is unknown.
@@ -144,7 +144,7 @@
 
     /// Returns the distance from this process to a zone.
     pub fn distance_to(&self, zone: &str) -> Distance {
-        self.distance(&self.own_zone, zone)
+        self.distance(&self.local_zone, zone)
     }
 
     /// Returns the round-trip time for a distance, in milliseconds.
--- a/crates/model/tests/topology.rs
+++ b/crates/model/tests/topology.rs
@@ -29,12 +29,12 @@
 fn zones_without_declared_regions_are_in_one_region() {
     let topology = Topology::new("a1", BTreeMap::new(), RoundTrips::default()).expect("valid");
     assert_eq!(topology.distance_to("b1"), Distance::SameRegion);
-    assert_eq!(topology.own_region(), None);
+    assert_eq!(topology.local_region(), None);
 }
 
 #[rstest]
 #[case(&[("a1", "")], TopologyError::ZoneWithoutRegion("a1".into()))]
-#[case(&[("b1", "b")], TopologyError::UnknownOwnZone("a1".into()))]
+#[case(&[("b1", "b")], TopologyError::UnknownLocalZone("a1".into()))]
 fn invalid_zones_are_rejected(#[case] zones: &[(&str, &str)], #[case] expected: TopologyError) {
     let result = Topology::new("a1", regions(zones), RoundTrips::default());
     assert_eq!(result, Err(expected));
--- a/crates/serving/src/selection.rs
+++ b/crates/serving/src/selection.rs
@@ -28,8 +28,8 @@
 
 /// Maximum number of back ends of a service for which all are compared; above it a sample is drawn.
 const MAX_COMPARED: usize = 64;
-/// Sample size from the own zone.
-const OWN_ZONE_SAMPLES: u64 = 12;
+/// Sample size from the local zone.
+const LOCAL_ZONE_SAMPLES: u64 = 12;
 /// Additional sample size from all zones.
 const ANY_ZONE_SAMPLES: u64 = 4;
 /// Maximum number of back ends that are checked in rendezvous order for a prefix.
@@ -223,7 +223,7 @@
     })
 }
 
-/// The least busy back end of a random sample, most of it from the own zone, or of all if there are
+/// The least busy back end of a random sample, most of it from the local zone, or of all if there are
 /// few or the sample contains no eligible one. Ties are broken at random, so that nodes without load
 /// information do not all choose the same back end.
 fn least_busy<'a>(
@@ -250,29 +250,29 @@
     })
 }
 
-/// Random sample of eligible back ends from the own zone and from all zones.
+/// Random sample of eligible back ends from the local zone and from all zones.
 fn sample<'a>(
     table: &'a InstanceTable,
     zones: &[&str],
     request: &SelectionRequest<'_>,
     fits: &dyn Fn(&Instance) -> bool,
 ) -> Vec<&'a Instance> {
-    let own_zone = request.topology.own_zone();
-    let sampled_zone = zones.contains(&own_zone).then_some(own_zone);
+    let local_zone = request.topology.local_zone();
+    let sampled_zone = zones.contains(&local_zone).then_some(local_zone);
     let draw_in = |zone: &str, draw| {
         let lot = random_value(request.lot, draw);
         let drawn = table.random_in_zone(request.service, zone, lot);
         drawn.filter(|one| fits(one))
     };
-    let from_own_zone = sampled_zone
+    let from_local_zone = sampled_zone
         .into_iter()
-        .flat_map(|zone| (0..OWN_ZONE_SAMPLES).filter_map(move |draw| draw_in(zone, draw)));
+        .flat_map(|zone| (0..LOCAL_ZONE_SAMPLES).filter_map(move |draw| draw_in(zone, draw)));
     let from_any_zone =
-        (OWN_ZONE_SAMPLES..OWN_ZONE_SAMPLES + ANY_ZONE_SAMPLES).filter_map(|draw| {
+        (LOCAL_ZONE_SAMPLES..LOCAL_ZONE_SAMPLES + ANY_ZONE_SAMPLES).filter_map(|draw| {
             let position = random_value(request.lot, draw).checked_rem(zones.len() as u64)?;
             draw_in(zones[position as usize], draw)
         });
-    from_own_zone.chain(from_any_zone).collect()
+    from_local_zone.chain(from_any_zone).collect()
 }
 
 fn random_value(lot: u64, draw: u64) -> u64 {
@@ -282,7 +282,7 @@
 }
 
 fn cost(instance: &Instance, request: &SelectionRequest<'_>, now: Millis) -> f64 {
-    let is_near = instance.listed.zone == request.topology.own_zone();
+    let is_near = instance.listed.zone == request.topology.local_zone();
     let distance = if is_near { 0.0 } else { OTHER_ZONE_PENALTY };
     instance.utilization(now) + instance.slowness(now) + distance
 }
--- a/crates/serving/src/waits.rs
+++ b/crates/serving/src/waits.rs
@@ -17,7 +17,7 @@
 /// Minimum gain in queue time, beyond network and transfer time, for which an order leaves its
 /// region, in milliseconds. Covers the age of the estimates.
 const OTHER_REGION_MARGIN: u64 = 60;
-/// Index of the random draw for the shard of another region; 0 and 1 are for the own region.
+/// Index of the random draw for the shard of another region; 0 and 1 are for the local region.
 const OTHER_REGION_DRAW: u64 = 2;
 
 /// An order for which a shard must be chosen.
@@ -103,9 +103,9 @@
     /// placement would choose. None without valid estimates.
     pub fn expected(&self, service: &str, rank: u8, now: Millis) -> Option<ExpectedWait> {
         let known = self.current(service, now).map(|(waits, _)| waits);
-        let own_zone = self.topology.own_zone();
+        let local_zone = self.topology.local_zone();
         let (near, far): (Vec<_>, Vec<_>) =
-            known.partition(|waits| self.is_near(&waits.shard, own_zone));
+            known.partition(|waits| self.is_near(&waits.shard, local_zone));
         if far.is_empty() {
             return mean_wait(&near, rank, 0);
         }
@@ -149,7 +149,7 @@
         now: Millis,
     ) -> Option<&'a Shard> {
         let preferred_zone = match order.zone {
-            "" => self.topology.own_zone(),
+            "" => self.topology.local_zone(),
             zone => zone,
         };
         let (near, far): (Vec<&Shard>, Vec<&Shard>) = shards
--- a/crates/serving/tests/back_end_count.rs
+++ b/crates/serving/tests/back_end_count.rs
@@ -154,7 +154,7 @@
         let chosen = chosen(&table, &request(None, lot));
         *requests.entry(chosen).or_default() += 1;
     }
-    assert_eq!(requests.len(), near, "those of the own zone");
+    assert_eq!(requests.len(), near, "those of the local zone");
     let most = requests.values().max().copied().unwrap_or_default();
     assert!(most <= REQUESTS_EACH * 2, "{most}");
 }
--- a/crates/serving/tests/common/mod.rs
+++ b/crates/serving/tests/common/mod.rs
@@ -198,10 +198,10 @@
 }
 
 /// Topology of a node in a zone, with the region of each of `zones`.
-pub fn in_regions(own_zone: &str, zones: &[(&str, &str)]) -> Arc<Topology> {
+pub fn in_regions(local_zone: &str, zones: &[(&str, &str)]) -> Arc<Topology> {
     let regions = zones.iter();
     let regions = regions.map(|(zone, region)| ((*zone).to_owned(), (*region).to_owned()));
-    let topology = Topology::new(own_zone, regions.collect(), RoundTrips::default());
+    let topology = Topology::new(local_zone, regions.collect(), RoundTrips::default());
     Arc::new(topology.expect("a valid topology"))
 }
 
--- a/crates/serving/tests/regions.rs
+++ b/crates/serving/tests/regions.rs
@@ -105,7 +105,7 @@
 
 #[rstest]
 #[case::regions_ignored(RegionAffinity::Off, 76.0, &["a", "b", "c", "d"])]
-#[case::own_region_always(RegionAffinity::Always, 76.0, &["a", "b"])]
+#[case::local_region_always(RegionAffinity::Always, 76.0, &["a", "b"])]
 #[case::rare_and_long(RegionAffinity::Popular, 76.0, &["a", "b", "c", "d"])]
 #[case::rare_and_short(RegionAffinity::Popular, 11.0, &["a", "b"])]
 #[case::popular(RegionAffinity::Popular, 0.0, &["a", "b"])]
@@ -171,7 +171,7 @@
 #[rstest]
 #[case::idle(0.5, 0.0, &["a", "b"])]
 #[case::gain_below_network_cost(0.65, 0.0, &["a", "b"])]
-#[case::burst_in_own_region(0.8, 0.0, &["c", "d"])]
+#[case::burst_in_local_region(0.8, 0.0, &["c", "d"])]
 #[case::equally_busy(0.9, 0.9, &["a", "b"])]
 fn a_busy_region_sends_requests_to_others_once_the_gain_exceeds_the_network_cost(
     #[case] own: f64,
@@ -185,7 +185,7 @@
     assert!(chosen.is_subset(&zones(expected)), "{chosen:?}");
 }
 
-/// The order is own zone, own region, other regions.
+/// The order is local zone, local region, other regions.
 #[test]
 fn requests_without_affinity_and_their_retries_go_to_the_nearest_back_end() {
     let table = table();
--- a/crates/serving/tests/waits.rs
+++ b/crates/serving/tests/waits.rs
@@ -168,7 +168,7 @@
 
 /// Each random draw counts with the shard that it would choose.
 #[rstest]
-#[case::shorter_queue_of_own_region(&[("a", 900), ("b", 100), ("c", 50), ("d", 900)], 100)]
+#[case::shorter_queue_of_local_region(&[("a", 900), ("b", 100), ("c", 50), ("d", 900)], 100)]
 #[case::all_orders_leave(&[("a", 900), ("b", 900), ("c", 100), ("d", 200)], 190)]
 #[case::half_of_the_orders_leave(&[("a", 500), ("b", 500), ("c", 100), ("d", 900)], 320)]
 #[case::only_other_region_known(&[("c", 100), ("d", 200)], 190)]
