--- a/crates/daemon/src/gateway/batching.rs
+++ b/crates/daemon/src/gateway/batching.rs
@@ -162,7 +162,7 @@
             zone: "",
             moved_bytes: 0,
             rank: order.priority,
-            lot: work,
+            random_seed: work,
         };
         let Some((shard, owner)) = self.place(&order.shard.service, &to_place, regions, now) else {
             return;
--- a/crates/daemon/src/gateway/placing.rs
+++ b/crates/daemon/src/gateway/placing.rs
@@ -64,7 +64,7 @@
             zone: &phase.zone,
             moved_bytes: phase.moved_bytes,
             rank: phase.priority,
-            lot: work,
+            random_seed: work,
         };
         let regions = self.regions_of(work, phase);
         self.place(&phase.shard.service, &order, regions, now)
--- a/crates/serving/examples/back_end_count.rs
+++ b/crates/serving/examples/back_end_count.rs
@@ -110,7 +110,7 @@
             inputs: &[],
             tried: &[],
             cold_use: ColdBackendPolicy::Limited,
-            lot: 7,
+            random_seed: 7,
         };
         microseconds(|| {
             select(&table, &request, 10).expect("a back end");
--- a/crates/serving/examples/returns.rs
+++ b/crates/serving/examples/returns.rs
@@ -166,7 +166,7 @@
                 inputs: &[],
                 tried: &tried,
                 cold_use: ColdBackendPolicy::Unlimited,
-                lot: 0,
+                random_seed: 0,
             };
             let chosen = select(&self.nodes[node], &request, now);
             let Some(id) = chosen.map(|one| one.listed.id.clone()) else {
--- a/crates/serving/src/dispatcher/request.rs
+++ b/crates/serving/src/dispatcher/request.rs
@@ -343,11 +343,11 @@
             inputs,
             tried: &self.tried,
             cold_use: self.policy.cold_use,
-            lot: self.lot(),
+            random_seed: self.random_seed(),
         }
     }
 
-    fn lot(&self) -> u64 {
+    fn random_seed(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.call.id.hash(&mut hasher);
         hasher.finish()
--- a/crates/serving/src/rollouts.rs
+++ b/crates/serving/src/rollouts.rs
@@ -138,14 +138,21 @@
         self.active.contains_key(service)
     }
 
-    /// Selects the versions that a request of a route may use. `lot` returns a uniformly random
+    /// Selects the versions that a request of a route may use. `random_value` returns a uniformly random
     /// value that differs between requests.
-    pub fn choose(&self, service: &str, route: &str, lot: impl FnOnce() -> u64) -> VersionChoice {
+    pub fn choose(
+        &self,
+        service: &str,
+        route: &str,
+        random_value: impl FnOnce() -> u64,
+    ) -> VersionChoice {
         let Some(active) = self.active.get(service) else {
             return VersionChoice::Any;
         };
         let budget = &active.budget;
-        if self.is_permitted && budget.may_send_to_candidate(&active.directive, route, lot()) {
+        if self.is_permitted
+            && budget.may_send_to_candidate(&active.directive, route, random_value())
+        {
             VersionChoice::Candidate
         } else {
             VersionChoice::Baseline
--- a/crates/serving/src/selection.rs
+++ b/crates/serving/src/selection.rs
@@ -58,8 +58,8 @@
     pub tried: &'a [String],
     /// Policy for cold back ends.
     pub cold_use: ColdBackendPolicy,
-    /// Random value that breaks ties between equally busy back ends.
-    pub lot: u64,
+    /// Seed of the random sample, and of the order of equally busy back ends.
+    pub random_seed: u64,
 }
 
 impl SelectionRequest<'_> {
@@ -237,7 +237,12 @@
         true => Vec::new(),
         false => sample(table, zones, request, fits),
     };
-    let busyness = |one: &Instance| (cost(one, request, now), rank(request.lot, &one.listed.id));
+    let busyness = |one: &Instance| {
+        (
+            cost(one, request, now),
+            rank(request.random_seed, &one.listed.id),
+        )
+    };
     let is_less = |left: &&Instance, right: &&Instance| {
         let (left, right) = (busyness(left), busyness(right));
         left.0.total_cmp(&right.0).then(left.1.cmp(&right.1))
@@ -260,8 +265,8 @@
     let local_zone = request.topology.local_zone();
     let sampled_zone = zones.contains(&local_zone).then_some(local_zone);
     let draw_in = |zone: &str, draw| {
-        let lot = random_value(request.lot, draw);
-        let drawn = table.random_in_zone(request.service, zone, lot);
+        let value = random_value(request.random_seed, draw);
+        let drawn = table.random_in_zone(request.service, zone, value);
         drawn.filter(|one| fits(one))
     };
     let from_local_zone = sampled_zone
@@ -269,15 +274,16 @@
         .flat_map(|zone| (0..LOCAL_ZONE_SAMPLES).filter_map(move |draw| draw_in(zone, draw)));
     let from_any_zone =
         (LOCAL_ZONE_SAMPLES..LOCAL_ZONE_SAMPLES + ANY_ZONE_SAMPLES).filter_map(|draw| {
-            let position = random_value(request.lot, draw).checked_rem(zones.len() as u64)?;
+            let position =
+                random_value(request.random_seed, draw).checked_rem(zones.len() as u64)?;
             draw_in(zones[position as usize], draw)
         });
     from_local_zone.chain(from_any_zone).collect()
 }
 
-fn random_value(lot: u64, draw: u64) -> u64 {
+fn random_value(random_seed: u64, draw: u64) -> u64 {
     let mut hasher = DefaultHasher::new();
-    ("draw", lot, draw).hash(&mut hasher);
+    ("draw", random_seed, draw).hash(&mut hasher);
     hasher.finish()
 }
 
--- a/crates/serving/src/waits.rs
+++ b/crates/serving/src/waits.rs
@@ -29,8 +29,8 @@
     pub moved_bytes: u64,
     /// Priority of its request; 0 is the most urgent.
     pub rank: u8,
-    /// Random value that spreads orders over the candidate shards.
-    pub lot: u64,
+    /// Seed of the random draw of candidate shards.
+    pub random_seed: u64,
 }
 
 /// Expected queue and execution time of an order of a service.
@@ -158,7 +158,7 @@
         let Some(in_region) = self.choose_in_region(&near, preferred_zone, order, now) else {
             return self.choose_in_region(&far, preferred_zone, order, now);
         };
-        let elsewhere = draw_shard(&far, order.lot, OTHER_REGION_DRAW);
+        let elsewhere = draw_shard(&far, order.random_seed, OTHER_REGION_DRAW);
         // An order with a preferred zone also loses that preference in another region.
         let zone_margin = match order.zone {
             "" => 0,
@@ -194,13 +194,13 @@
             .find(|shard| shard.contains_zone(preferred_zone))
             .copied();
         let (first, margin) = match (order.zone, near) {
-            ("", _) | (_, None) => (draw_shard(shards, order.lot, 0), 0),
+            ("", _) | (_, None) => (draw_shard(shards, order.random_seed, 0), 0),
             (_, near) => (near, OTHER_ZONE_MARGIN),
         };
         let first = first?;
         let others = shards.iter().copied().filter(|shard| *shard != first);
         let others: Vec<&Shard> = others.collect();
-        let Some(other) = draw_shard(&others, order.lot, 1) else {
+        let Some(other) = draw_shard(&others, order.random_seed, 1) else {
             return Some(first);
         };
         match (self.queue_ms(first, now), self.queue_ms(other, now)) {
@@ -260,9 +260,9 @@
 }
 
 /// The shard that draw number `draw` of a random value selects; none if `shards` is empty.
-fn draw_shard<'a>(shards: &[&'a Shard], lot: u64, draw: u64) -> Option<&'a Shard> {
+fn draw_shard<'a>(shards: &[&'a Shard], random_seed: u64, draw: u64) -> Option<&'a Shard> {
     let mut hasher = DefaultHasher::new();
-    (lot, draw).hash(&mut hasher);
+    (random_seed, draw).hash(&mut hasher);
     let position = hasher.finish().checked_rem(shards.len() as u64)?;
     shards.get(position as usize).copied()
 }
--- a/crates/serving/tests/back_end_count.rs
+++ b/crates/serving/tests/back_end_count.rs
@@ -39,7 +39,7 @@
     table
 }
 
-fn request(affinity: Option<u64>, lot: u64) -> SelectionRequest<'static> {
+fn request(affinity: Option<u64>, random_seed: u64) -> SelectionRequest<'static> {
     SelectionRequest {
         versions: VersionChoice::Any,
         service: "pool",
@@ -51,7 +51,7 @@
         inputs: &[],
         tried: &[],
         cold_use: ColdBackendPolicy::Limited,
-        lot,
+        random_seed,
     }
 }
 
@@ -67,9 +67,9 @@
 ) {
     let table = table(count);
     let before = table.lookup_count();
-    for lot in 0..50 {
-        let affinity = affinity.map(|key| key + lot);
-        chosen(&table, &request(affinity, lot));
+    for random_seed in 0..50 {
+        let affinity = affinity.map(|key| key + random_seed);
+        chosen(&table, &request(affinity, random_seed));
     }
     let lookups = (table.lookup_count() - before) / 50;
     assert!(lookups <= MAX_LOOKUPS_PER_SELECTION, "{lookups}");
@@ -150,8 +150,8 @@
     let near = count / ZONES.len();
     let table = table(count);
     let mut requests: BTreeMap<String, u64> = BTreeMap::new();
-    for lot in 0..near as u64 * REQUESTS_EACH {
-        let chosen = chosen(&table, &request(None, lot));
+    for random_seed in 0..near as u64 * REQUESTS_EACH {
+        let chosen = chosen(&table, &request(None, random_seed));
         *requests.entry(chosen).or_default() += 1;
     }
     assert_eq!(requests.len(), near, "those of the local zone");
--- a/crates/serving/tests/cold.rs
+++ b/crates/serving/tests/cold.rs
@@ -52,7 +52,7 @@
         inputs: &[],
         tried: &[],
         cold_use,
-        lot: 0,
+        random_seed: 0,
     }
 }
 
--- a/crates/serving/tests/regions.rs
+++ b/crates/serving/tests/regions.rs
@@ -60,7 +60,7 @@
         inputs: &[],
         tried: &[],
         cold_use: ColdBackendPolicy::Limited,
-        lot: 0,
+        random_seed: 0,
     }
 }
 
--- a/crates/serving/tests/selection.rs
+++ b/crates/serving/tests/selection.rs
@@ -30,7 +30,7 @@
         inputs: &[],
         tried: &[],
         cold_use: ColdBackendPolicy::Limited,
-        lot: 0,
+        random_seed: 0,
     }
 }
 
@@ -160,18 +160,18 @@
         pace: Pace(160),
     };
     table.record_load("e1", slow, 1_000);
-    for lot in 0..50 {
+    for random_seed in 0..50 {
         let request = SelectionRequest {
-            lot,
+            random_seed,
             ..request(None)
         };
         let chosen = select(&table, &request, 1_100).expect("one");
         assert_ne!(chosen.listed.id, "e1");
     }
-    let lots = 0..50;
-    let later = lots.map(|lot| {
+    let random_seeds = 0..50;
+    let later = random_seeds.map(|random_seed| {
         let request = SelectionRequest {
-            lot,
+            random_seed,
             ..request(None)
         };
         let chosen = select(&table, &request, 1_400).expect("one");
--- a/crates/serving/tests/waits.rs
+++ b/crates/serving/tests/waits.rs
@@ -34,12 +34,12 @@
     waits
 }
 
-fn order(zone: &str, moved_bytes: u64, lot: u64) -> PlacementRequest<'_> {
+fn order(zone: &str, moved_bytes: u64, random_seed: u64) -> PlacementRequest<'_> {
     PlacementRequest {
         zone,
         moved_bytes,
         rank: 1,
-        lot,
+        random_seed,
     }
 }
 
@@ -47,8 +47,8 @@
 fn zones_chosen(waits: &ShardWaitTable, zone: &str, now: u64) -> BTreeSet<String> {
     let all = shards();
     let all: Vec<&Shard> = all.iter().collect();
-    let choose = |lot| {
-        let order = order(zone, 0, lot);
+    let choose = |random_seed| {
+        let order = order(zone, 0, random_seed);
         let chosen = waits.choose(&all, &order, now).expect("there are shards");
         match &chosen.scope {
             ShardScope::Zone(zone) => zone.clone(),
