--- a/crates/daemon/src/gateway/batching.rs
+++ b/crates/daemon/src/gateway/batching.rs
@@ -161,7 +161,7 @@
         let to_place = PlacementRequest {
             zone: "",
             moved_bytes: 0,
-            rank: order.priority,
+            priority: order.priority,
             random_seed: work,
         };
         let Some((shard, owner)) = self.place(&order.shard.service, &to_place, regions, now) else {
--- a/crates/daemon/src/gateway/placing.rs
+++ b/crates/daemon/src/gateway/placing.rs
@@ -63,7 +63,7 @@
         let order = PlacementRequest {
             zone: &phase.zone,
             moved_bytes: phase.moved_bytes,
-            rank: phase.priority,
+            priority: phase.priority,
             random_seed: work,
         };
         let regions = self.regions_of(work, phase);
--- a/crates/serving/src/cold.rs
+++ b/crates/serving/src/cold.rs
@@ -76,14 +76,14 @@
 
     /// Whether this node is among the first `senders` nodes in the back end's rendezvous ranking.
     fn is_sender(&self, backend: &str, senders: usize) -> bool {
-        let own = rank(&self.own, backend);
+        let own = rendezvous_hash(&self.own, backend);
         let others = self.nodes.iter().filter(|node| **node != self.own);
-        let before = others.filter(|node| rank(node, backend) < own);
+        let before = others.filter(|node| rendezvous_hash(node, backend) < own);
         before.take(senders).count() < senders
     }
 }
 
-fn rank(node: &str, backend: &str) -> u64 {
+fn rendezvous_hash(node: &str, backend: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     ("cold_sender", node, backend).hash(&mut hasher);
     hasher.finish()
--- a/crates/serving/src/dispatcher/admission.rs
+++ b/crates/serving/src/dispatcher/admission.rs
@@ -76,8 +76,8 @@
     /// When an order that is submitted in `begin` milliseconds ends, in milliseconds from now.
     /// The backlog shrinks until then. Without an estimate nothing is added, so that the first
     /// request is admitted and yields one.
-    fn end_of(&self, service: &str, rank: u8, begin: u64, now: Millis) -> u64 {
-        let Some(expected) = self.waits.expected(service, rank, now) else {
+    fn end_of(&self, service: &str, priority: u8, begin: u64, now: Millis) -> u64 {
+        let Some(expected) = self.waits.expected(service, priority, now) else {
             return begin;
         };
         let turn = begin.max(expected.backlog_ms);
@@ -109,10 +109,10 @@
 
     /// Stores the forecast of each phase in an admitted request.
     pub(super) fn store_forecasts(&self, request: &mut ActiveRequest, now: Millis) {
-        let rank = request.routed.priority;
+        let priority = request.routed.priority;
         let specs = &request.routed.route.phases;
         let end_of =
-            |phase: usize, begin: u64| self.end_of(&specs[phase].service, rank, begin, now);
+            |phase: usize, begin: u64| self.end_of(&specs[phase].service, priority, begin, now);
         request.phases.set_forecasts(end_of);
     }
 
@@ -122,13 +122,13 @@
         if !self.policy.chain_admission {
             return None;
         }
-        let rank = request.routed.priority;
+        let priority = request.routed.priority;
         let specs = &request.routed.route.phases;
         let end_of =
-            |phase: usize, begin: u64| self.end_of(&specs[phase].service, rank, begin, now);
+            |phase: usize, begin: u64| self.end_of(&specs[phase].service, priority, begin, now);
         let first_part = self.first_part_ms(&request.routed.route.name);
         let expected = request.phases.expected_end(end_of)? + first_part;
-        let share = self.policy.admitted_shares[usize::from(rank).min(PRIORITY_LEVELS - 1)];
+        let share = self.policy.admitted_shares[usize::from(priority).min(PRIORITY_LEVELS - 1)];
         let objective = (request.routed.route.objective_ms as f64 * share) as u64;
         if expected <= objective {
             return None;
--- a/crates/serving/src/dispatcher/limits.rs
+++ b/crates/serving/src/dispatcher/limits.rs
@@ -5,7 +5,7 @@
 use super::sending::send_hash;
 use super::{Action, Dispatcher, RequestNumber};
 use crate::instances::{Instance, InstanceId};
-use crate::selection::rank;
+use crate::selection::rendezvous_hash;
 use crate::Millis;
 use std::collections::BTreeMap;
 
@@ -43,7 +43,7 @@
         };
         let hash = send_hash(&request.call.id, request.sends);
         let less_busy = self.engines_of(request).filter(is_less_busy);
-        let preferred = less_busy.max_by_key(|engine| rank(hash, &engine.listed.id));
+        let preferred = less_busy.max_by_key(|engine| rendezvous_hash(hash, &engine.listed.id));
         if let Some(preferred) = preferred {
             preferred.prefer(now);
         }
--- a/crates/serving/src/dispatcher/rests.rs
+++ b/crates/serving/src/dispatcher/rests.rs
@@ -6,7 +6,7 @@
 use super::sending::send_hash;
 use super::{Action, Dispatcher, RequestNumber};
 use crate::instances::{Instance, InstanceId};
-use crate::selection::rank;
+use crate::selection::rendezvous_hash;
 use crate::Millis;
 use silversail_decisions::Event;
 use silversail_model::ResultCode;
@@ -143,7 +143,7 @@
             let at = engine.available_at(now)?;
             let is_waiting = engine.is_resting(now) || engine.is_probe_pending(now);
             waits_help |= is_waiting || engine.is_limited();
-            let order = (at, rank(hash, &engine.listed.id));
+            let order = (at, rendezvous_hash(hash, &engine.listed.id));
             if first.as_ref().is_none_or(|known| order < known.order) {
                 first = Some(FirstAvailable { at, order, engine });
             }
--- a/crates/serving/src/instances/lookup.rs
+++ b/crates/serving/src/instances/lookup.rs
@@ -2,7 +2,7 @@
 
 use super::store::{InstanceStore, ServiceIndex, SlotIndex};
 use super::{Instance, InstanceTable};
-use crate::selection::rank;
+use crate::selection::rendezvous_hash;
 use silversail_model::{Shard, ShardScope};
 use silversail_peer::ResultHandle;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -135,7 +135,7 @@
             self.current_group = members.filter_map(|slot| store.at(*slot)).collect();
             let key = self.key;
             self.current_group
-                .sort_by_cached_key(|instance| rank(key, &instance.listed.id));
+                .sort_by_cached_key(|instance| rendezvous_hash(key, &instance.listed.id));
         }
         self.current_group.pop()
     }
--- a/crates/serving/src/regions.rs
+++ b/crates/serving/src/regions.rs
@@ -2,7 +2,7 @@
 //! repeated prefill of the shared prompt prefix, and queueing.
 
 use crate::instances::Instance;
-use crate::selection::{rank, SelectionRequest};
+use crate::selection::{rendezvous_hash, SelectionRequest};
 use crate::Millis;
 use serde::Deserialize;
 use silversail_model::{Distance, Topology};
@@ -104,7 +104,7 @@
     let ids = choices
         .iter()
         .map(|choice| choice.chosen.listed.id.as_str());
-    ids.max_by_key(|id| rank(affinity, id))
+    ids.max_by_key(|id| rendezvous_hash(affinity, id))
 }
 
 /// Cost in milliseconds relative to an idle local back end that has cached everything the request
--- a/crates/serving/src/selection.rs
+++ b/crates/serving/src/selection.rs
@@ -240,7 +240,7 @@
     let busyness = |one: &Instance| {
         (
             cost(one, request, now),
-            rank(request.random_seed, &one.listed.id),
+            rendezvous_hash(request.random_seed, &one.listed.id),
         )
     };
     let is_less = |left: &&Instance, right: &&Instance| {
@@ -294,7 +294,7 @@
 }
 
 /// Rendezvous hash of a back end for a key; the highest ranks first.
-pub fn rank(key: u64, id: &str) -> u64 {
+pub fn rendezvous_hash(key: u64, id: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     (key, id).hash(&mut hasher);
     hasher.finish()
--- a/crates/serving/src/waits.rs
+++ b/crates/serving/src/waits.rs
@@ -28,7 +28,7 @@
     /// Total bytes to transfer from or to the preferred zone.
     pub moved_bytes: u64,
     /// Priority of its request; 0 is the most urgent.
-    pub rank: u8,
+    pub priority: u8,
     /// Seed of the random draw of candidate shards.
     pub random_seed: u64,
 }
@@ -101,17 +101,17 @@
 
     /// Expected wait of an order that is submitted now: the mean over the shards that random
     /// placement would choose. None without valid estimates.
-    pub fn expected(&self, service: &str, rank: u8, now: Millis) -> Option<ExpectedWait> {
+    pub fn expected(&self, service: &str, priority: u8, now: Millis) -> Option<ExpectedWait> {
         let known = self.current(service, now).map(|(waits, _)| waits);
         let local_zone = self.topology.local_zone();
         let (near, far): (Vec<_>, Vec<_>) =
             known.partition(|waits| self.is_near(&waits.shard, local_zone));
         if far.is_empty() {
-            return mean_wait(&near, rank, 0);
+            return mean_wait(&near, priority, 0);
         }
         let network_ms = self.topology.round_trip_ms(Distance::OtherRegion) as u64;
         if near.is_empty() {
-            return mean_wait(&far, rank, network_ms);
+            return mean_wait(&far, priority, network_ms);
         }
         let margin = self.leaving_region_ms(0);
         let mut waits = Vec::new();
@@ -119,8 +119,8 @@
             for elsewhere in &far {
                 let leaves = u64::from(elsewhere.queue_ms) + margin < u64::from(in_region.queue_ms);
                 waits.push(match leaves {
-                    true => wait_at(elsewhere, rank, network_ms),
-                    false => wait_at(in_region, rank, 0),
+                    true => wait_at(elsewhere, priority, network_ms),
+                    false => wait_at(in_region, priority, 0),
                 });
             }
         }
@@ -230,17 +230,17 @@
 }
 
 /// The wait at a shard with `network_ms` added to the queue time.
-fn wait_at(waits: &ShardWaitEstimates, rank: u8, network_ms: u64) -> ExpectedWait {
+fn wait_at(waits: &ShardWaitEstimates, priority: u8, network_ms: u64) -> ExpectedWait {
     ExpectedWait {
-        backlog_ms: backlog_ms_at(waits, rank) + network_ms,
+        backlog_ms: backlog_ms_at(waits, priority) + network_ms,
         call_ms: u64::from(waits.call_ms),
     }
 }
 
-fn mean_wait(known: &[&ShardWaitEstimates], rank: u8, network_ms: u64) -> Option<ExpectedWait> {
+fn mean_wait(known: &[&ShardWaitEstimates], priority: u8, network_ms: u64) -> Option<ExpectedWait> {
     let waits: Vec<ExpectedWait> = known
         .iter()
-        .map(|estimate| wait_at(estimate, rank, network_ms))
+        .map(|estimate| wait_at(estimate, priority, network_ms))
         .collect();
     mean(&waits)
 }
@@ -255,8 +255,8 @@
     })
 }
 
-fn backlog_ms_at(waits: &ShardWaitEstimates, rank: u8) -> u64 {
-    u64::from(waits.backlog_ms[usize::from(rank).min(PRIORITY_LEVELS - 1)])
+fn backlog_ms_at(waits: &ShardWaitEstimates, priority: u8) -> u64 {
+    u64::from(waits.backlog_ms[usize::from(priority).min(PRIORITY_LEVELS - 1)])
 }
 
 /// The shard that draw number `draw` of a random value selects; none if `shards` is empty.
--- a/crates/serving/tests/waits.rs
+++ b/crates/serving/tests/waits.rs
@@ -38,7 +38,7 @@
     PlacementRequest {
         zone,
         moved_bytes,
-        rank: 1,
+        priority: 1,
         random_seed,
     }
 }
