--- a/crates/daemon/src/gateway/notices.rs
+++ b/crates/daemon/src/gateway/notices.rs
@@ -64,7 +64,7 @@
         if said.has_unreadable_rest {
             count("unreadable_rest");
         }
-        if said.has_unreadable_pace {
+        if said.has_unreadable_processing_time {
             count("unreadable_pace");
         }
         if news.is_longer_rest {
--- a/crates/limits/src/pool.rs
+++ b/crates/limits/src/pool.rs
@@ -202,7 +202,7 @@
     }
 
     /// Requests one permit because a request would have preferred this back end.
-    pub fn request_preferred(&mut self, now: Millis) {
+    pub fn request_permit(&mut self, now: Millis) {
         self.preferred_until = now + PERMIT_LIFETIME;
     }
 
--- a/crates/serving/examples/returns.rs
+++ b/crates/serving/examples/returns.rs
@@ -14,7 +14,7 @@
 use silversail_serving::cold::ColdBackendPolicy;
 use silversail_serving::instances::{InstanceTable, ResumePolicy};
 use silversail_serving::notices::{BackendNotices, ExchangeKind};
-use silversail_serving::ports::{Pace, ReportedLoad, SelfReport};
+use silversail_serving::ports::{RelativeProcessingTime, ReportedLoad, SelfReport};
 use silversail_serving::regions::{RegionAffinity, SharedPrefixCost};
 use silversail_serving::rollouts::VersionChoice;
 use silversail_serving::selection::{select, SelectionRequest};
@@ -214,7 +214,7 @@
             running: all.min(SLOTS),
             waiting: all.saturating_sub(SLOTS),
             slots: SLOTS,
-            pace: Pace::NORMAL,
+            processing_time: RelativeProcessingTime::NORMAL,
         }
     }
 
--- a/crates/serving/src/batcher.rs
+++ b/crates/serving/src/batcher.rs
@@ -289,7 +289,7 @@
         }
         self.result_memory.reserve(backend, result_bytes);
         if let Some(instance) = table.get(backend) {
-            instance.choose_permit(now);
+            instance.reserve_permit(now);
         }
         let listed = table.get(backend).map(|instance| instance.listed.clone());
         let (name, address, version) = listed
--- a/crates/serving/src/dispatcher/limits.rs
+++ b/crates/serving/src/dispatcher/limits.rs
@@ -45,7 +45,7 @@
         let less_busy = self.engines_of(request).filter(is_less_busy);
         let preferred = less_busy.max_by_key(|engine| rendezvous_hash(hash, &engine.listed.id));
         if let Some(preferred) = preferred {
-            preferred.prefer(now);
+            preferred.request_permit(now);
         }
     }
 
--- a/crates/serving/src/instances.rs
+++ b/crates/serving/src/instances.rs
@@ -181,7 +181,7 @@
             if instance.notice.is_unproven(now) {
                 instance.probe_sent_at = Some(now);
             }
-            instance.choose_permit(now);
+            instance.reserve_permit(now);
             instance.in_flight += 1;
             instance.tokens_in_flight += tokens;
             instance.sent_since_report += 1;
--- a/crates/serving/src/instances/instance.rs
+++ b/crates/serving/src/instances/instance.rs
@@ -1,7 +1,7 @@
 //! One back end with its load and health as this node sees it.
 
 use super::resume::ResumePlan;
-use crate::notices::Notice;
+use crate::notices::BackendNotice;
 use crate::ports::{BackendListEntry, ReportedLoad};
 use crate::rollouts::VersionRole;
 use crate::Millis;
@@ -10,8 +10,8 @@
 
 /// How long a load report is valid, in milliseconds.
 const REPORT_LIFETIME: Millis = 4_000;
-/// How long a reported pace is valid, in milliseconds; it changes many times per second.
-const PACE_LIFETIME: Millis = 300;
+/// How long a reported processing time is valid, in milliseconds; it changes many times per second.
+const PROCESSING_TIME_LIFETIME: Millis = 300;
 /// How long the probe after a rest keeps other requests of this node away while it is
 /// unanswered, in milliseconds.
 const PROBE_TIMEOUT: Millis = 1_000;
@@ -45,7 +45,7 @@
     /// Until when it counts as gone because another one answered at its address.
     pub(super) address_mismatch_until: Millis,
     /// Its self-reports.
-    pub(super) notice: Arc<Notice>,
+    pub(super) notice: Arc<BackendNotice>,
     /// How this node resumes sending to it after a rest.
     pub(super) resume_plan: ResumePlan,
     /// When this node sent the probe after a rest; none if none was sent.
@@ -55,7 +55,7 @@
 impl Instance {
     pub(super) fn new(
         listed: Arc<BackendListEntry>,
-        notice: Arc<Notice>,
+        notice: Arc<BackendNotice>,
         resume_plan: ResumePlan,
     ) -> Self {
         Self {
@@ -128,7 +128,7 @@
     }
 
     /// Reserves a permit for a request that will be sent there.
-    pub(crate) fn choose_permit(&self, now: Millis) {
+    pub(crate) fn reserve_permit(&self, now: Millis) {
         self.notice.reserve_permit(now);
     }
 
@@ -142,8 +142,8 @@
     }
 
     /// Records that a request would have gone there with a permit.
-    pub(crate) fn prefer(&self, now: Millis) {
-        self.notice.prefer(now);
+    pub(crate) fn request_permit(&self, now: Millis) {
+        self.notice.request_permit(now);
     }
 
     /// When the `place`-th waiting request of this node is expected to get a permit.
@@ -231,8 +231,10 @@
     /// By how much work takes longer there than normal, relative to the normal duration; 0
     /// without a recent report.
     pub fn slowness(&self, now: Millis) -> f64 {
-        let recent = self.report(now).filter(|(_, age)| *age <= PACE_LIFETIME);
-        recent.map_or(0.0, |(load, _)| load.pace.excess_over_normal())
+        let recent = self
+            .report(now)
+            .filter(|(_, age)| *age <= PROCESSING_TIME_LIFETIME);
+        recent.map_or(0.0, |(load, _)| load.processing_time.excess_over_normal())
     }
 
     /// Estimated number of requests running and waiting there: the reported number plus requests
--- a/crates/serving/src/notices.rs
+++ b/crates/serving/src/notices.rs
@@ -6,10 +6,10 @@
 //! stays so until it restarts under a new identity. Threads that read answers record the state
 //! before the next send.
 
+mod backend_notice;
 mod limits;
-mod notice;
 
-pub use notice::Notice;
+pub use backend_notice::BackendNotice;
 
 use crate::instances::InstanceId;
 use crate::ports::SelfReport;
@@ -112,7 +112,7 @@
 
 #[derive(Default)]
 struct Entry {
-    notice: Arc<Notice>,
+    notice: Arc<BackendNotice>,
     /// Whether the start of a rest was logged and its end was not.
     rest_is_logged: bool,
 }
@@ -174,7 +174,7 @@
     }
 
     /// Returns the shared state of a back end; it reflects later reports.
-    pub fn of(&self, id: &str) -> Arc<Notice> {
+    pub fn of(&self, id: &str) -> Arc<BackendNotice> {
         self.lock().entry(id).notice.clone()
     }
 
@@ -290,7 +290,7 @@
     }
 
     /// Marks a back end as listed and returns its shared state.
-    pub fn listed(&self, id: &str) -> Arc<Notice> {
+    pub fn listed(&self, id: &str) -> Arc<BackendNotice> {
         let mut entries = self.lock();
         let notice = entries.entry(id).notice.clone();
         entries.unlisted.remove(id);
--- a/crates/serving/src/notices/notice.rs
+++ b/crates/serving/src/notices/backend_notice.rs
@@ -9,7 +9,7 @@
 
 /// Advertised state of one back end. Only its permits need a lock to read.
 #[derive(Debug, Default)]
-pub struct Notice {
+pub struct BackendNotice {
     pub(super) is_limited: AtomicBool,
     permits: Mutex<PermitPool>,
     pub(super) rest_until: AtomicU64,
@@ -18,7 +18,7 @@
     pub(super) is_leaving: AtomicBool,
 }
 
-impl Notice {
+impl BackendNotice {
     /// End of its rest in milliseconds of the local clock; in the past if it does not rest.
     pub fn rest_until(&self) -> Millis {
         self.rest_until.load(Ordering::Acquire)
@@ -87,8 +87,8 @@
     }
 
     /// Requests a permit because a request would have preferred this back end.
-    pub fn prefer(&self, now: Millis) {
-        self.permits().request_preferred(now);
+    pub fn request_permit(&self, now: Millis) {
+        self.permits().request_permit(now);
     }
 
     /// State because of which nothing may be sent at `now`; none if it accepts requests, subject
--- a/crates/serving/src/ports.rs
+++ b/crates/serving/src/ports.rs
@@ -82,15 +82,15 @@
     /// Maximum number of concurrent requests.
     pub slots: u32,
     /// Current processing time relative to normal.
-    pub pace: Pace,
+    pub processing_time: RelativeProcessingTime,
 }
 
 /// Current processing time of a back end as a percentage of its normal processing time. Other
 /// load on its machine raises it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace(pub u32);
+pub struct RelativeProcessingTime(pub u32);
 
-impl Pace {
+impl RelativeProcessingTime {
     /// Normal processing time; the default for back ends that report none.
     pub const NORMAL: Self = Self(100);
 
@@ -110,8 +110,8 @@
     pub rest: Option<Duration>,
     /// Whether a back-off period was advertised that cannot be parsed.
     pub has_unreadable_rest: bool,
-    /// Whether a pace was advertised that cannot be parsed.
-    pub has_unreadable_pace: bool,
+    /// Whether a processing time was advertised that cannot be parsed.
+    pub has_unreadable_processing_time: bool,
     /// Whether it is draining and accepts no new requests.
     pub is_leaving: bool,
     /// Rate limit for all nodes together; it applies while answers advertise it.
--- a/crates/serving/tests/regions.rs
+++ b/crates/serving/tests/regions.rs
@@ -10,7 +10,7 @@
 use silversail_serving::cold::ColdBackendPolicy;
 use silversail_serving::instances::InstanceTable;
 use silversail_serving::popularity::PromptPopularity;
-use silversail_serving::ports::{Pace, PrefixPart, ReportedLoad};
+use silversail_serving::ports::{PrefixPart, RelativeProcessingTime, ReportedLoad};
 use silversail_serving::regions::{RegionAffinity, SharedPrefixCost, ZoneInputs};
 use silversail_serving::rollouts::VersionChoice;
 use silversail_serving::selection::{select, SelectionRequest};
@@ -41,7 +41,7 @@
                 running: (f64::from(slots) * utilization) as u32,
                 waiting: 0,
                 slots,
-                pace: Pace::NORMAL,
+                processing_time: RelativeProcessingTime::NORMAL,
             };
             table.record_load(&id, report, 0);
         }
--- a/crates/serving/tests/request_regions.rs
+++ b/crates/serving/tests/request_regions.rs
@@ -9,7 +9,7 @@
 use silversail_peer::{PhaseWork, ResultHandle, WorkId};
 use silversail_serving::dispatcher::{Action, Dispatcher, SendPlan};
 use silversail_serving::policy::Policy;
-use silversail_serving::ports::{Pace, ReportedLoad};
+use silversail_serving::ports::{RelativeProcessingTime, ReportedLoad};
 use silversail_serving::routes::RouteTable;
 
 /// A node in zone `a` in the north; engines `e2` and `e3` are in `b` in the south.
@@ -77,7 +77,7 @@
         running,
         waiting: 0,
         slots: 64,
-        pace: Pace::NORMAL,
+        processing_time: RelativeProcessingTime::NORMAL,
     };
     dispatcher.instances.record_load("e1", load, 0);
     let (_, phase) = start_request(&mut dispatcher);
--- a/crates/serving/tests/rests.rs
+++ b/crates/serving/tests/rests.rs
@@ -37,7 +37,7 @@
     load: None,
     rest: None,
     has_unreadable_rest: false,
-    has_unreadable_pace: false,
+    has_unreadable_processing_time: false,
     is_leaving: true,
     limit: AdvertisedRateLimit {
         lowest: None,
--- a/crates/serving/tests/rollouts.rs
+++ b/crates/serving/tests/rollouts.rs
@@ -11,7 +11,7 @@
 use silversail_serving::dispatcher::{
     Action, Dispatcher, NotRunReason, Refusal, SendOutcome, SendPlan, UnknownReason,
 };
-use silversail_serving::ports::{Pace, PrefixPart, ReportedLoad};
+use silversail_serving::ports::{PrefixPart, RelativeProcessingTime, ReportedLoad};
 use std::collections::BTreeSet;
 
 const GOOD: SendOutcome = SendOutcome::Delivered {
@@ -28,7 +28,7 @@
     running: 0,
     waiting: 0,
     slots: 64,
-    pace: Pace::NORMAL,
+    processing_time: RelativeProcessingTime::NORMAL,
 };
 
 /// A dispatcher that may send to candidates, with services `pool` and `gate` in versions `v1` and
--- a/crates/serving/tests/selection.rs
+++ b/crates/serving/tests/selection.rs
@@ -6,7 +6,7 @@
 use silversail_decisions::DecisionLog;
 use silversail_serving::cold::ColdBackendPolicy;
 use silversail_serving::instances::InstanceTable;
-use silversail_serving::ports::{Pace, PrefixPart, ReportedLoad};
+use silversail_serving::ports::{PrefixPart, RelativeProcessingTime, ReportedLoad};
 use silversail_serving::regions::{RegionAffinity, SharedPrefixCost};
 use silversail_serving::rollouts::VersionChoice;
 use silversail_serving::selection::{affinity_key, select, SelectionRequest};
@@ -67,7 +67,7 @@
         running: 64,
         waiting: 20,
         slots: 64,
-        pace: Pace::NORMAL,
+        processing_time: RelativeProcessingTime::NORMAL,
     };
     table.record_load(&preferred, busy, 100);
     assert_ne!(
@@ -149,7 +149,7 @@
     assert!(table.get("e4").expect("listed").accepts_new_work());
 }
 
-/// A reported pace is valid only for a short time.
+/// A reported processing time is valid only for a short time.
 #[test]
 fn a_back_end_with_a_current_slow_pace_gets_no_requests_while_others_are_faster() {
     let mut table = table();
@@ -157,7 +157,7 @@
         running: 0,
         waiting: 0,
         slots: 64,
-        pace: Pace(160),
+        processing_time: RelativeProcessingTime(160),
     };
     table.record_load("e1", slow, 1_000);
     for random_seed in 0..50 {
