--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -36,7 +36,7 @@
 pub use orders::{Order, OrderAction, OrderCommand, OrderId, OrderReply, OrderTable};
 pub use published::{PublishReply, PublishedTraffic, SharedTraffic};
 pub use rollouts::{RolloutCommand, RolloutReply, Rollouts, RolloutsRevision, SharedRollouts};
-pub use traffic_update::{TrafficUpdate, TrafficUpdateCache, UpdateError};
+pub use traffic_update::{TrafficUpdate, TrafficUpdateCache, TrafficUpdateError};
 pub use update::{AppliedConfiguration, ConfigurationUpdate};
 pub use view::{ClusterView, MachineState, NodeReport, NodeStatus, ViewVersion};
 pub use view_update::{ViewBaseMismatch, ViewHistory, ViewUpdate};
--- a/crates/control/src/traffic_update.rs
+++ b/crates/control/src/traffic_update.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum TrafficUpdate {
     /// The full configuration, for a node without one or with an old version.
-    Whole(SharedTraffic),
+    Full(SharedTraffic),
     /// The difference from the previous version, for a node with that version.
     Difference(Arc<TrafficDifference>),
 }
@@ -27,10 +27,10 @@
 
 /// Error from applying an update; the next heartbeat then requests the full configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum UpdateError {
+pub enum TrafficUpdateError {
     /// The update applies to a version that the node does not have.
-    #[error("traffic update for base version {0} does not match the held version")]
-    OtherBase(TrafficVersion),
+    #[error("traffic update for base version {0} does not match the current version")]
+    BaseMismatch(TrafficVersion),
     /// The update cannot be decompressed or decoded.
     #[error("traffic update cannot be decompressed or decoded")]
     Malformed,
@@ -40,19 +40,22 @@
     /// Version of the configuration after the update.
     pub fn version(&self) -> TrafficVersion {
         match self {
-            TrafficUpdate::Whole(whole) => whole.version(),
+            TrafficUpdate::Full(full) => full.version(),
             TrafficUpdate::Difference(difference) => difference.version,
         }
     }
 
-    /// Returns the newer configuration of a node that has `held`.
+    /// Returns the newer configuration of a node that has `current`.
     ///
     /// # Errors
-    /// [`UpdateError`] if `held` is not the base of the update or the update is damaged.
-    pub fn apply(&self, held: Option<&SharedTraffic>) -> Result<SharedTraffic, UpdateError> {
+    /// [`TrafficUpdateError`] if `current` is not the base of the update or the update is damaged.
+    pub fn apply_to(
+        &self,
+        current: Option<&SharedTraffic>,
+    ) -> Result<SharedTraffic, TrafficUpdateError> {
         match self {
-            TrafficUpdate::Whole(whole) => Ok(whole.clone()),
-            TrafficUpdate::Difference(difference) => difference.apply(held).map(Arc::new),
+            TrafficUpdate::Full(full) => Ok(full.clone()),
+            TrafficUpdate::Difference(difference) => difference.apply_to(current).map(Arc::new),
         }
     }
 }
@@ -67,16 +70,19 @@
         })
     }
 
-    fn apply(&self, held: Option<&SharedTraffic>) -> Result<PublishedTraffic, UpdateError> {
-        let base = held
-            .filter(|held| held.version() == self.base)
-            .ok_or(UpdateError::OtherBase(self.base))?;
+    fn apply_to(
+        &self,
+        current: Option<&SharedTraffic>,
+    ) -> Result<PublishedTraffic, TrafficUpdateError> {
+        let base = current
+            .filter(|current| current.version() == self.base)
+            .ok_or(TrafficUpdateError::BaseMismatch(self.base))?;
         let encoded = compression::decompress_against(&base.encode(), &self.packed)
-            .map_err(|_| UpdateError::Malformed)?;
-        let next = PublishedTraffic::decode(&encoded).ok_or(UpdateError::Malformed)?;
+            .map_err(|_| TrafficUpdateError::Malformed)?;
+        let next = PublishedTraffic::decode(&encoded).ok_or(TrafficUpdateError::Malformed)?;
         match next.version() == self.version {
             true => Ok(next),
-            false => Err(UpdateError::Malformed),
+            false => Err(TrafficUpdateError::Malformed),
         }
     }
 }
@@ -95,8 +101,8 @@
         let Some(next) = published else {
             return;
         };
-        let current_version = self.latest.as_ref().map(|current| current.version());
-        if current_version >= Some(next.version()) {
+        let latest_version = self.latest.as_ref().map(|current| current.version());
+        if latest_version >= Some(next.version()) {
             return;
         }
         let previous = self.latest.replace(next.clone());
@@ -104,16 +110,16 @@
         self.difference = difference.map(Arc::new);
     }
 
-    /// Returns the update for a node with version `held_version`, or `None` if it is current.
-    pub fn update_since(&self, held_version: Option<TrafficVersion>) -> Option<TrafficUpdate> {
+    /// Returns the update for a node with version `current_version`, or `None` if it is current.
+    pub fn update_since(&self, current_version: Option<TrafficVersion>) -> Option<TrafficUpdate> {
         let latest = self.latest.as_ref()?;
-        if held_version >= Some(latest.version()) {
+        if current_version >= Some(latest.version()) {
             return None;
         }
         let difference = self.difference.as_ref();
-        match difference.filter(|difference| Some(difference.base) == held_version) {
+        match difference.filter(|difference| Some(difference.base) == current_version) {
             Some(difference) => Some(TrafficUpdate::Difference(difference.clone())),
-            None => Some(TrafficUpdate::Whole(latest.clone())),
+            None => Some(TrafficUpdate::Full(latest.clone())),
         }
     }
 }
--- a/crates/control/src/update.rs
+++ b/crates/control/src/update.rs
@@ -60,11 +60,13 @@
     }
 
     fn apply_changes(&mut self, base: Revision, documents: Vec<ConfigurationDocument>) -> bool {
-        let Some(held_revision) = self.revision.filter(|held_revision| *held_revision >= base)
+        let Some(current_revision) = self
+            .revision
+            .filter(|current_revision| *current_revision >= base)
         else {
             return false;
         };
-        let applied_count = (held_revision - base) as usize;
+        let applied_count = (current_revision - base) as usize;
         if applied_count >= documents.len() {
             return false;
         }
--- a/crates/control/src/view_update.rs
+++ b/crates/control/src/view_update.rs
@@ -26,31 +26,31 @@
     /// Added and changed nodes.
     pub nodes: Vec<NodeStatus>,
     /// Removed nodes.
-    pub gone: Vec<NodeName>,
+    pub removed: Vec<NodeName>,
     /// All machine states, if any changed.
     pub machines: Option<Vec<MachineState>>,
     /// All shard owners, if any changed.
     pub batch_owners: Option<BatchOwners>,
 }
 
-/// Error of an incremental update whose base is not the version of the held view.
+/// Error of an incremental update whose base is not the version of the current view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("view update for base {base:?} cannot be applied to held view {held:?}")]
+#[error("view update for base {base:?} cannot be applied to current view {current:?}")]
 pub struct ViewBaseMismatch {
-    /// Version of the held view.
-    pub held: ViewVersion,
+    /// Version of the current view.
+    pub current: ViewVersion,
     /// Base version of the update.
     pub base: ViewVersion,
 }
 
 impl ViewUpdate {
     /// Creates an update that contains the full view.
-    pub fn whole(view: &ClusterView) -> Self {
+    pub fn full(view: &ClusterView) -> Self {
         Self {
             base: None,
             version: view.version,
             nodes: view.nodes.clone(),
-            gone: Vec::new(),
+            removed: Vec::new(),
             machines: Some(view.machines.clone()),
             batch_owners: Some(view.batch_owners.clone()),
         }
@@ -60,40 +60,40 @@
     pub fn size(&self) -> usize {
         let owners = self.batch_owners.as_ref().map_or(0, BatchOwners::len);
         let machines = self.machines.as_ref().map_or(0, Vec::len);
-        let entries = self.nodes.len() + self.gone.len() + owners + machines;
+        let entries = self.nodes.len() + self.removed.len() + owners + machines;
         entries * APPROXIMATE_ENTRY_BYTES
     }
 
-    /// Applies the update to `held` and returns the newer view, or `None` if `held` is not older.
+    /// Applies the update to `current` and returns the newer view, or `None` if it is not older.
     ///
     /// # Errors
-    /// [`ViewBaseMismatch`] if the update applies to another version than that of `held`.
-    pub fn apply_to(&self, held: &ClusterView) -> Result<Option<ClusterView>, ViewBaseMismatch> {
-        if self.version <= held.version {
+    /// [`ViewBaseMismatch`] if the update applies to another version than that of `current`.
+    pub fn apply_to(&self, current: &ClusterView) -> Result<Option<ClusterView>, ViewBaseMismatch> {
+        if self.version <= current.version {
             return Ok(None);
         }
-        if let Some(base) = self.base.filter(|base| *base != held.version) {
+        if let Some(base) = self.base.filter(|base| *base != current.version) {
             return Err(ViewBaseMismatch {
-                held: held.version,
+                current: current.version,
                 base,
             });
         }
         let base_nodes: &[NodeStatus] = match self.base {
-            Some(_) => &held.nodes,
+            Some(_) => &current.nodes,
             None => &[],
         };
         let base_nodes = base_nodes
             .iter()
             .map(|status| (status.node.clone(), status.clone()));
         let mut nodes: BTreeMap<NodeName, NodeStatus> = base_nodes.collect();
-        for node in &self.gone {
+        for node in &self.removed {
             nodes.remove(node);
         }
         for status in &self.nodes {
             nodes.insert(status.node.clone(), status.clone());
         }
-        let machines = self.machines.as_ref().unwrap_or(&held.machines);
-        let owners = self.batch_owners.as_ref().unwrap_or(&held.batch_owners);
+        let machines = self.machines.as_ref().unwrap_or(&current.machines);
+        let owners = self.batch_owners.as_ref().unwrap_or(&current.batch_owners);
         Ok(Some(ClusterView {
             version: self.version,
             nodes: nodes.into_values().collect(),
@@ -143,11 +143,15 @@
         });
     }
 
-    /// Builds the update from version `held` to `latest`, the view after the last recorded change:
-    /// incremental if all changes since `held` are recorded, otherwise the full view.
-    pub fn update_since(&self, held: ViewVersion, latest: &ClusterView) -> ViewUpdate {
-        let Some(first) = self.changes.iter().position(|change| change.base == held) else {
-            return ViewUpdate::whole(latest);
+    /// Builds the update from version `current` to `latest`, the view after the last recorded change:
+    /// incremental if all changes since `current` are recorded, otherwise the full view.
+    pub fn update_since(&self, current: ViewVersion, latest: &ClusterView) -> ViewUpdate {
+        let Some(first) = self
+            .changes
+            .iter()
+            .position(|change| change.base == current)
+        else {
+            return ViewUpdate::full(latest);
         };
         let changes = self.changes.range(first..);
         let changed_nodes: BTreeSet<&NodeName> =
@@ -156,15 +160,15 @@
         let nodes: Vec<NodeStatus> = latest.nodes.iter().filter(is_changed).cloned().collect();
         let remaining_names: BTreeSet<&NodeName> =
             nodes.iter().map(|status| &status.node).collect();
-        let gone = changed_nodes
+        let removed = changed_nodes
             .iter()
             .filter(|node| !remaining_names.contains(**node));
         let machines = changes.clone().any(|change| change.machines);
         let owners = changes.clone().any(|change| change.batch_owners);
         ViewUpdate {
-            base: Some(held),
+            base: Some(current),
             version: latest.version,
-            gone: gone.map(|node| (*node).clone()).collect(),
+            removed: removed.map(|node| (*node).clone()).collect(),
             machines: machines.then(|| latest.machines.clone()),
             batch_owners: owners.then(|| latest.batch_owners.clone()),
             nodes,
--- a/crates/control/tests/traffic_updates.rs
+++ b/crates/control/tests/traffic_updates.rs
@@ -3,7 +3,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
-use silversail_control::{PublishedTraffic, TrafficUpdate, TrafficUpdateCache, UpdateError};
+use silversail_control::{PublishedTraffic, TrafficUpdate, TrafficUpdateCache, TrafficUpdateError};
 use silversail_model::traffic::{CallerLimits, PhaseSpec, Route, RouteKind, RouteTarget};
 use silversail_model::TrafficConfiguration;
 use std::sync::Arc;
@@ -92,7 +92,7 @@
     assert!(next.document.len() > 500_000, "{}", next.document.len());
     let full = updates.update_since(None).expect("an update");
     assert!(size(&full) < MAX_FULL_UPDATE_BYTES, "{} bytes", size(&full));
-    assert_eq!(full.apply(None), Ok(next));
+    assert_eq!(full.apply_to(None), Ok(next));
 }
 
 #[test]
@@ -106,28 +106,28 @@
     );
     let bytes = postcard::to_stdvec(&update).expect("an encoding");
     let received: TrafficUpdate = postcard::from_bytes(&bytes).expect("an update");
-    assert_eq!(received.apply(Some(&before)), Ok(next));
+    assert_eq!(received.apply_to(Some(&before)), Ok(next));
 }
 
 #[rstest]
 #[case::none(None)]
 #[case::older(Some(6))]
 fn a_node_without_the_previous_version_gets_the_full_configuration(
-    #[case] held_version: Option<u64>,
+    #[case] current_version: Option<u64>,
 ) {
     let (_, next, updates) = one_changed_route_of_two_thousand();
-    let update = updates.update_since(held_version).expect("an update");
-    assert_eq!(update.apply(None), Ok(next));
+    let update = updates.update_since(current_version).expect("an update");
+    assert_eq!(update.apply_to(None), Ok(next));
 }
 
 #[rstest]
 #[case(9)]
 #[case(10)]
-fn a_node_that_is_current_gets_nothing(#[case] held_version: u64) {
+fn a_node_that_is_current_gets_nothing(#[case] current_version: u64) {
     assert_eq!(
         one_changed_route_of_two_thousand()
             .2
-            .update_since(Some(held_version)),
+            .update_since(Some(current_version)),
         None
     );
 }
@@ -137,8 +137,14 @@
     let (_, _, updates) = one_changed_route_of_two_thousand();
     let update = updates.update_since(Some(7)).expect("an update");
     let other = Arc::new(published(8, routes(3)));
-    assert_eq!(update.apply(None), Err(UpdateError::OtherBase(7)));
-    assert_eq!(update.apply(Some(&other)), Err(UpdateError::OtherBase(7)));
+    assert_eq!(
+        update.apply_to(None),
+        Err(TrafficUpdateError::BaseMismatch(7))
+    );
+    assert_eq!(
+        update.apply_to(Some(&other)),
+        Err(TrafficUpdateError::BaseMismatch(7))
+    );
 }
 
 #[test]
@@ -146,8 +152,8 @@
     let (_, _, updates) = one_changed_route_of_two_thousand();
     let update = updates.update_since(Some(7)).expect("an update");
     let other_content = Arc::new(published(7, routes(3)));
-    let applied = update.apply(Some(&other_content));
-    assert_eq!(applied, Err(UpdateError::Malformed));
+    let applied = update.apply_to(Some(&other_content));
+    assert_eq!(applied, Err(TrafficUpdateError::Malformed));
 }
 
 #[test]
--- a/crates/control/tests/view_updates.rs
+++ b/crates/control/tests/view_updates.rs
@@ -47,7 +47,7 @@
     ];
     let update = history(&views).update_since(views[0].version, &views[2]);
     assert_eq!(update.nodes, [status(2, false), status(4, true)]);
-    assert_eq!(update.gone, ["n003".into()]);
+    assert_eq!(update.removed, ["n003".into()]);
     assert_eq!(
         (update.machines.is_none(), update.batch_owners.is_none()),
         (true, true)
@@ -68,7 +68,7 @@
     let update = history(&[common.clone(), next.clone()]).update_since(common.version, &next);
     assert_eq!(update.apply_to(&common), Ok(Some(next.clone())));
     let mismatch = ViewBaseMismatch {
-        held: partitioned.version,
+        current: partitioned.version,
         base: common.version,
     };
     assert_eq!(update.apply_to(&partitioned), Err(mismatch));
@@ -83,7 +83,7 @@
     ];
     let update = history(&views).update_since(views[1].version, &views[2]);
     let mismatch = ViewBaseMismatch {
-        held: views[0].version,
+        current: views[0].version,
         base: views[1].version,
     };
     assert_eq!(update.apply_to(&views[0]), Err(mismatch));
@@ -94,7 +94,7 @@
     let views = [view(7, &[(1, true)]), view(8, &[(2, true)])];
     let former = view(3, &[(9, true)]);
     let update = history(&views).update_since(former.version, &views[1]);
-    assert_eq!(update, ViewUpdate::whole(&views[1]));
+    assert_eq!(update, ViewUpdate::full(&views[1]));
     assert_eq!(update.apply_to(&former), Ok(Some(views[1].clone())));
 }
 
@@ -105,7 +105,7 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut created = vec![view(1, &[])];
         let mut history = ViewHistory::default();
-        let mut held = ClusterView::default();
+        let mut current = ClusterView::default();
         let mut pending_updates: Vec<ViewUpdate> = Vec::new();
         for sequence in 2..300 {
             let mut next = created[created.len() - 1].clone();
@@ -140,21 +140,21 @@
             }
             history.record_change(&created[created.len() - 1], &next);
             created.push(next.clone());
-            pending_updates.push(history.update_since(held.version, &next));
+            pending_updates.push(history.update_since(current.version, &next));
             if random.gen_bool(0.5) {
                 let update =
                     pending_updates.swap_remove(random.gen_range(0..pending_updates.len()));
-                if let Ok(Some(view)) = update.apply_to(&held) {
-                    held = view;
-                    let created_view = created.iter().find(|view| view.version == held.version);
-                    assert_eq!(created_view, Some(&held), "seed {seed}");
+                if let Ok(Some(view)) = update.apply_to(&current) {
+                    current = view;
+                    let created_view = created.iter().find(|view| view.version == current.version);
+                    assert_eq!(created_view, Some(&current), "seed {seed}");
                 }
             }
         }
-        let update = history.update_since(held.version, &created[created.len() - 1]);
-        let last = update.apply_to(&held).expect("a base that is held");
+        let update = history.update_since(current.version, &created[created.len() - 1]);
+        let last = update.apply_to(&current).expect("a base that is current");
         assert_eq!(
-            last.as_ref().unwrap_or(&held),
+            last.as_ref().unwrap_or(&current),
             &created[created.len() - 1],
             "seed {seed}"
         );
@@ -169,5 +169,5 @@
     after[150].1 = false;
     let views = [view(1, &all), view(2, &after)];
     let update = history(&views).update_since(views[0].version, &views[1]);
-    assert_eq!((update.nodes.len(), update.gone.len()), (1, 0));
+    assert_eq!((update.nodes.len(), update.removed.len()), (1, 0));
 }
--- a/crates/daemon/src/session/session_actor.rs
+++ b/crates/daemon/src/session/session_actor.rs
@@ -400,7 +400,7 @@
         if Some(update.version()) <= held {
             return false;
         }
-        let traffic = match update.apply(state.traffic.as_ref()) {
+        let traffic = match update.apply_to(state.traffic.as_ref()) {
             Ok(traffic) => traffic,
             Err(error) => {
                 // The next heartbeat tells the relay what is held here.
