--- a/crates/rollout/src/verdict.rs
+++ b/crates/rollout/src/verdict.rs
@@ -97,14 +97,14 @@
 
 /// Number of responses, and how many of them were bad.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct BadCount {
+pub struct BadResponseCount {
     /// Number of responses.
     pub responses: u64,
     /// Number of failed or slow responses.
     pub bad: u64,
 }
 
-impl BadCount {
+impl BadResponseCount {
     fn share(self) -> f64 {
         self.bad as f64 / self.responses.max(1) as f64
     }
@@ -123,9 +123,9 @@
     /// Name of the route; empty for all routes together.
     pub route: String,
     /// Responses of the candidate.
-    pub candidate: BadCount,
+    pub candidate: BadResponseCount,
     /// Responses of the baseline.
-    pub baseline: BadCount,
+    pub baseline: BadResponseCount,
     /// Share of bad responses up to which the candidate counts as good as the baseline, from 0 to
     /// 1.
     pub allowed_share: f64,
@@ -296,8 +296,8 @@
 
 /// Counts of both versions on one route, and the allowed share of bad responses.
 struct RouteComparison {
-    candidate: BadCount,
-    baseline: BadCount,
+    candidate: BadResponseCount,
+    baseline: BadResponseCount,
     allowed_share: f64,
 }
 
@@ -325,8 +325,8 @@
                 RESPONSE_TIME_ALLOWANCE_MS,
             )?,
         };
-        let mut candidate = count_bad(measure, &period.candidate, limit_ms);
-        let mut baseline = count_bad(measure, &reference.baseline, limit_ms);
+        let mut candidate = count_bad_responses(measure, &period.candidate, limit_ms);
+        let mut baseline = count_bad_responses(measure, &reference.baseline, limit_ms);
         if measure == Measure::ResponseTime {
             candidate.add(all_bad(unfinished.candidate));
             baseline.add(all_bad(unfinished.baseline));
@@ -364,8 +364,8 @@
 /// a route with many failures must not look worse for it.
 #[derive(Default)]
 struct AllRoutes {
-    candidate: BadCount,
-    baseline: BadCount,
+    candidate: BadResponseCount,
+    baseline: BadResponseCount,
     allowed_bad: f64,
 }
 
@@ -390,13 +390,17 @@
     }
 }
 
-fn probability(candidate: BadCount, allowed_share: f64) -> f64 {
+fn probability(candidate: BadResponseCount, allowed_share: f64) -> f64 {
     binomial_tail(candidate.responses, candidate.bad, allowed_share)
 }
 
-fn count_bad(measure: Measure, responses: &ResponseCounts, limit_ms: f64) -> BadCount {
+fn count_bad_responses(
+    measure: Measure,
+    responses: &ResponseCounts,
+    limit_ms: f64,
+) -> BadResponseCount {
     match measure {
-        Measure::Failures => BadCount {
+        Measure::Failures => BadResponseCount {
             responses: responses.completed(),
             bad: responses.failed,
         },
@@ -405,15 +409,15 @@
     }
 }
 
-fn count_slow(histogram: &LatencyHistogram, limit_ms: f64) -> BadCount {
-    BadCount {
+fn count_slow(histogram: &LatencyHistogram, limit_ms: f64) -> BadResponseCount {
+    BadResponseCount {
         responses: histogram.count(),
         bad: histogram.count_above(limit_ms),
     }
 }
 
-fn all_bad(responses: u64) -> BadCount {
-    BadCount {
+fn all_bad(responses: u64) -> BadResponseCount {
+    BadResponseCount {
         responses,
         bad: responses,
     }
--- a/crates/serving/src/instances.rs
+++ b/crates/serving/src/instances.rs
@@ -98,9 +98,9 @@
     /// Removes the self-reports of back ends that have been unlisted for long.
     pub fn forget_removed(&mut self, now: Millis) {
         for id in self.removed.drain(..) {
-            self.notices.unlisted(&id, now);
+            self.notices.mark_unlisted(&id, now);
         }
-        self.notices.forget_unlisted(now);
+        self.notices.remove_unlisted(now);
     }
 
     /// Replaces the set of evacuated zones.
--- a/crates/serving/src/instances/listing.rs
+++ b/crates/serving/src/instances/listing.rs
@@ -71,7 +71,7 @@
         changes.note(entry, ListedState::of(entry));
         self.hide_earlier_start(entry, changes);
         self.removed.retain(|id| *id != entry.id);
-        let notice = self.notices.listed(&entry.id);
+        let notice = self.notices.mark_listed(&entry.id);
         let plan = self.resume_policy.plan_for(&self.own_node, &entry.id);
         self.put(Instance::new(entry.clone(), notice, plan));
     }
--- a/crates/serving/src/notices.rs
+++ b/crates/serving/src/notices.rs
@@ -290,7 +290,7 @@
     }
 
     /// Marks a back end as listed and returns its shared state.
-    pub fn listed(&self, id: &str) -> Arc<BackendNotice> {
+    pub fn mark_listed(&self, id: &str) -> Arc<BackendNotice> {
         let mut entries = self.lock();
         let notice = entries.entry(id).notice.clone();
         entries.unlisted.remove(id);
@@ -298,7 +298,7 @@
     }
 
     /// Marks a back end as unlisted from `now` on.
-    pub fn unlisted(&self, id: &str, now: Millis) {
+    pub fn mark_unlisted(&self, id: &str, now: Millis) {
         let mut entries = self.lock();
         if entries.by_id.contains_key(id) {
             entries.unlisted.insert(id.to_owned(), Some(now));
@@ -306,7 +306,7 @@
     }
 
     /// Removes unlisted back ends without active state, and those whose retention has expired.
-    pub fn forget_unlisted(&self, now: Millis) {
+    pub fn remove_unlisted(&self, now: Millis) {
         let Entries {
             by_id,
             unlisted,
--- a/crates/serving/tests/notices.rs
+++ b/crates/serving/tests/notices.rs
@@ -89,13 +89,13 @@
     notices.record_report("e2", ExchangeKind::Request, &rest(3_000), 1_000);
     notices.of("e3");
     for id in ["e1", "e2", "e3"] {
-        notices.unlisted(id, 2_000);
+        notices.mark_unlisted(id, 2_000);
     }
-    notices.forget_unlisted(2_000);
+    notices.remove_unlisted(2_000);
     for id in ["e1", "e2", "e3"] {
-        notices.listed(id);
+        notices.mark_listed(id);
     }
-    notices.forget_unlisted(3_000);
+    notices.remove_unlisted(3_000);
     assert!(notices.of("e1").is_leaving());
     assert!(notices.of("e2").is_resting(3_999));
 }
@@ -105,9 +105,9 @@
     const AFTER_RETENTION: u64 = 3_600_000;
     let notices = notices();
     notices.record_report("e1", ExchangeKind::Request, &draining(), 1_000);
-    notices.listed("e1");
-    notices.unlisted("e1", 2_000);
-    notices.forget_unlisted(AFTER_RETENTION);
+    notices.mark_listed("e1");
+    notices.mark_unlisted("e1", 2_000);
+    notices.remove_unlisted(AFTER_RETENTION);
     assert!(!notices.of("e1").is_leaving());
 }
 
@@ -116,9 +116,9 @@
     const AFTER_RETENTION: u64 = 3_600_000;
     let notices = notices();
     notices.record_report("e1", ExchangeKind::Request, &draining(), 1_000);
-    notices.forget_unlisted(2_000);
+    notices.remove_unlisted(2_000);
     assert!(notices.of("e1").is_leaving());
-    notices.forget_unlisted(AFTER_RETENTION);
+    notices.remove_unlisted(AFTER_RETENTION);
     assert!(!notices.of("e1").is_leaving());
 }
 
