--- a/crates/daemon/src/call_guard.rs
+++ b/crates/daemon/src/call_guard.rs
@@ -30,8 +30,8 @@
     fn heard(&self, report: &HeadReport) {
         let until_gone = report.is_leaving.then_some(LEAVING_FOR);
         let said = SelfReport {
-            rest: report.rest.max(until_gone),
-            has_unreadable_rest: report.has_unreadable_rest,
+            backoff: report.rest.max(until_gone),
+            has_unreadable_backoff: report.has_unreadable_rest,
             limit: report.limit,
             ..SelfReport::default()
         };
--- a/crates/daemon/src/gateway/actor.rs
+++ b/crates/daemon/src/gateway/actor.rs
@@ -220,7 +220,7 @@
         self.renew_rollout_permit(now);
         self.tell_evidence_if_due(now);
         self.admit_early(now);
-        self.setup.notices.log_ended_rests(now);
+        self.setup.notices.log_ended_backoffs(now);
         self.issue_permits(now);
         let expired = self.dispatcher.expire(now);
         self.carry_out(expired, now);
@@ -233,7 +233,9 @@
             .reject_orders_without_backend(&self.dispatcher.instances);
         self.orders_finished(unstaffed, now);
         let instances = &self.dispatcher.instances;
-        let too_late = self.batcher.reject_orders_delayed_by_rest(instances, now);
+        let too_late = self
+            .batcher
+            .reject_orders_delayed_by_backoff(instances, now);
         self.orders_finished(too_late, now);
         self.choose_list_reader(now);
         self.tell_inputs_read(now);
--- a/crates/daemon/src/gateway/frees.rs
+++ b/crates/daemon/src/gateway/frees.rs
@@ -41,7 +41,7 @@
     /// Frees what makers kept while they rested.
     pub(super) fn free_delayed_results(&mut self, now: Millis) {
         let table = &self.dispatcher.instances;
-        let is_resting = |maker: &str| table.get(maker).is_some_and(|one| one.is_resting(now));
+        let is_resting = |maker: &str| table.get(maker).is_some_and(|one| one.is_in_backoff(now));
         let due = self.delayed_frees.take_due(is_resting);
         self.free(due, now);
     }
@@ -85,7 +85,7 @@
     if maker.announced_shutdown() || maker.is_limited() {
         return Fate::Never;
     }
-    match maker.is_resting(now) {
+    match maker.is_in_backoff(now) {
         true => Fate::Later,
         false => Fate::Now,
     }
--- a/crates/daemon/src/gateway/notices.rs
+++ b/crates/daemon/src/gateway/notices.rs
@@ -61,19 +61,19 @@
         let news = self.notices.record_report(instance, answer, said, now);
         let counted = &self.metrics.backend_notices;
         let count = |kind| counted.with_label_values(&[kind, path.name()]).inc();
-        if said.has_unreadable_rest {
+        if said.has_unreadable_backoff {
             count("unreadable_rest");
         }
         if said.has_unreadable_processing_time {
             count("unreadable_pace");
         }
-        if news.is_longer_rest {
+        if news.is_longer_backoff {
             count("rest");
         }
-        if news.is_leaving {
+        if news.is_draining {
             count("leaving");
         }
-        if news.is_other_limit {
+        if news.is_limit_changed {
             count("limit");
         }
         if said.limit.is_unreadable {
--- a/crates/daemon/src/node/operators.rs
+++ b/crates/daemon/src/node/operators.rs
@@ -223,7 +223,7 @@
             leaving_backends: self
                 .notices
                 .iter()
-                .flat_map(BackendNotices::leaving)
+                .flat_map(BackendNotices::draining)
                 .collect(),
             limited_backends: self.limited_backends(),
             groups,
@@ -241,7 +241,7 @@
     }
 
     fn resting_backends(&self, now: Millis) -> Vec<RestingBackend> {
-        let resting = self.notices.iter().flat_map(|one| one.resting(now));
+        let resting = self.notices.iter().flat_map(|one| one.in_backoff(now));
         resting
             .map(|(backend, for_ms)| RestingBackend { backend, for_ms })
             .collect()
--- a/crates/daemon/src/requests/actor.rs
+++ b/crates/daemon/src/requests/actor.rs
@@ -185,7 +185,7 @@
     fn deadline_tick(&mut self, cx: CX![]) {
         self.ticking = false;
         let now = cx.now();
-        self.setup.notices.log_ended_rests(self.now_millis(cx));
+        self.setup.notices.log_ended_backoffs(self.now_millis(cx));
         while let Some((deadline, number)) = self.deadlines.first().copied() {
             if deadline > now {
                 break;
--- a/crates/daemon/src/requests/dispatch.rs
+++ b/crates/daemon/src/requests/dispatch.rs
@@ -289,7 +289,7 @@
             let is_drained = backends
                 .get(&call.backend)
                 .is_none_or(|backend| backend.drain);
-            let rests = self.setup.notices.of(&call.address).is_resting(now);
+            let rests = self.setup.notices.of(&call.address).is_in_backoff(now);
             !is_drained && !state.is_leaving(&call.address) && !rests
         })
     }
--- a/crates/daemon/src/requests/rests.rs
+++ b/crates/daemon/src/requests/rests.rs
@@ -15,7 +15,7 @@
 impl RequestActor {
     /// When the rest of a back end is over; in the past where it wants none.
     pub(crate) fn rest_until(&self, backend: &Backend) -> Millis {
-        self.setup.notices.of(&backend.address).rest_until()
+        self.setup.notices.of(&backend.address).backoff_until()
     }
 
     /// When the first back end of a pool is back, where all rest beyond `deadline`.
--- a/crates/serving/examples/returns.rs
+++ b/crates/serving/examples/returns.rs
@@ -228,7 +228,7 @@
         let table = &mut self.nodes[node];
         let said = SelfReport {
             load: Some(load),
-            rest: self.asks.then_some(REST),
+            backoff: self.asks.then_some(REST),
             ..SelfReport::default()
         };
         table
--- a/crates/serving/src/batcher/backend_health.rs
+++ b/crates/serving/src/batcher/backend_health.rs
@@ -181,7 +181,7 @@
 
     /// Milliseconds until the first back end of a shard has ended its rest and this node has a
     /// permit for it; 0 if one is available.
-    pub(super) fn rest_ms(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> Millis {
+    pub(super) fn backoff_ms(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> Millis {
         let mut first_back = None;
         for backend in table
             .of_shard(shard)
@@ -286,7 +286,7 @@
             let id = &instance.listed.id;
             versions.admits(instance.role())
                 && instance.accepts_new_work()
-                && !instance.is_resting(now)
+                && !instance.is_in_backoff(now)
                 && !instance.is_limited()
                 && !self.has_failed(id)
                 && !self.is_slow(id, now)
--- a/crates/serving/src/batcher/estimate.rs
+++ b/crates/serving/src/batcher/estimate.rs
@@ -122,7 +122,7 @@
             true => call_ms(spec, spec.pieces) / (backends + 1) as f64,
             false => 0.0,
         };
-        let rest = self.backends.rest_ms(shard, table, now) as f64;
+        let rest = self.backends.backoff_ms(shard, table, now) as f64;
         let until_free = until_free.max(rest);
         let pieces_of_call = spec.pieces as f64 * self.averages_of(shard).fill_ratio;
         let call = spec.call_ms + spec.piece_ms * pieces_of_call;
--- a/crates/serving/src/batcher/outcomes.rs
+++ b/crates/serving/src/batcher/outcomes.rs
@@ -190,13 +190,13 @@
 
     /// Fails the waiting orders whose deadline passes before any back end of their shard ends
     /// its rest, so that submitters learn it at once.
-    pub fn reject_orders_delayed_by_rest(
+    pub fn reject_orders_delayed_by_backoff(
         &mut self,
         table: &InstanceTable,
         now: Millis,
     ) -> Vec<FinishedOrder> {
         let rests = self.shards.keys().map(|shard| {
-            let rest = self.backends.rest_ms(shard, table, now);
+            let rest = self.backends.backoff_ms(shard, table, now);
             (shard.clone(), rest)
         });
         let rests: BTreeMap<Shard, Millis> = rests.filter(|(_, rest)| *rest > 0).collect();
--- a/crates/serving/src/dispatcher.rs
+++ b/crates/serving/src/dispatcher.rs
@@ -6,13 +6,13 @@
 
 mod action;
 mod admission;
+mod backoff;
 mod limits;
 mod outcomes;
 mod phases;
 mod progress;
 mod regions;
 mod request;
-mod rests;
 mod sending;
 
 use crate::instances::InstanceTable;
--- a/crates/serving/src/dispatcher/rests.rs
+++ b/crates/serving/src/dispatcher/backoff.rs
@@ -80,7 +80,7 @@
         let back_in = available_at.saturating_sub(now);
         let retry_after = (back_in <= MAX_RETRY_AFTER).then_some(back_in);
         let request = self.requests.get(&number);
-        let rests = |engine: &Instance| engine.is_resting(now) || engine.is_probe_pending(now);
+        let rests = |engine: &Instance| engine.is_in_backoff(now) || engine.is_probe_pending(now);
         let code = match request.is_some_and(|request| self.engines_of(request).any(rests)) {
             true => ResultCode::BackendsResting,
             false => ResultCode::BackendsLimited,
@@ -141,7 +141,7 @@
             .filter(|engine| is_considered(engine))
         {
             let at = engine.available_at(now)?;
-            let is_waiting = engine.is_resting(now) || engine.is_probe_pending(now);
+            let is_waiting = engine.is_in_backoff(now) || engine.is_probe_pending(now);
             waits_help |= is_waiting || engine.is_limited();
             let order = (at, rendezvous_hash(hash, &engine.listed.id));
             if first.as_ref().is_none_or(|known| order < known.order) {
--- a/crates/serving/src/instances/instance.rs
+++ b/crates/serving/src/instances/instance.rs
@@ -83,31 +83,34 @@
     /// report, its zone is not evacuated and its version is not retired. A resting back end may,
     /// later.
     pub fn accepts_new_work(&self) -> bool {
-        let is_leaving = self.listed.draining || self.notice.is_leaving();
-        !is_leaving && !self.is_evacuated && self.role != VersionRole::Retired
+        let is_draining = self.listed.draining || self.notice.is_draining();
+        !is_draining && !self.is_evacuated && self.role != VersionRole::Retired
     }
 
     /// Whether it has reported that it shuts down.
     pub fn announced_shutdown(&self) -> bool {
-        self.notice.is_leaving()
+        self.notice.is_draining()
     }
 
     /// Whether it has asked for a rest that has not ended.
-    pub fn is_resting(&self, now: Millis) -> bool {
-        self.notice.is_resting(now)
+    pub fn is_in_backoff(&self, now: Millis) -> bool {
+        self.notice.is_in_backoff(now)
     }
 
     /// Milliseconds until its rest ends; 0 if it does not rest.
-    pub fn rest_ms_left(&self, now: Millis) -> Millis {
-        self.notice.rest_until().saturating_sub(now)
+    pub fn backoff_ms_left(&self, now: Millis) -> Millis {
+        self.notice.backoff_until().saturating_sub(now)
     }
 
     /// When it can be selected again, by its own reports; none if it can be now. After a rest a
     /// probe goes first, so that a rejection costs one request only.
     pub fn available_at(&self, now: Millis) -> Option<Millis> {
-        let rest_until = self.notice.rest_until().max(self.probe_pending_until(now));
+        let backoff_until = self
+            .notice
+            .backoff_until()
+            .max(self.probe_pending_until(now));
         let permit_at = self.notice.permit_at(now).unwrap_or(0);
-        let until = rest_until.max(self.full_until).max(permit_at);
+        let until = backoff_until.max(self.full_until).max(permit_at);
         Some(until).filter(|until| now < *until)
     }
 
@@ -124,7 +127,7 @@
     /// Milliseconds until its rest has ended and this node has a permit for it; 0 if both hold.
     pub fn wait_ms(&self, now: Millis) -> Millis {
         let permit_at = self.notice.permit_at(now).unwrap_or(0);
-        self.rest_ms_left(now).max(permit_at.saturating_sub(now))
+        self.backoff_ms_left(now).max(permit_at.saturating_sub(now))
     }
 
     /// Reserves a permit for a request that will be sent there.
@@ -137,7 +140,7 @@
         self.is_limited()
             && self.accepts_new_work()
             && !self.is_ejected(now)
-            && !self.is_resting(now)
+            && !self.is_in_backoff(now)
             && self.notice.permit_at(now).is_some()
     }
 
@@ -154,8 +157,8 @@
     /// Whether its rest has ended but this node still delays its resumption, to spread the
     /// nodes. It may then be used as a last resort.
     pub fn is_return_delayed(&self, now: Millis) -> bool {
-        let delay = self.resume_plan.delay(self.notice.rest_ms());
-        let returns_at = self.notice.rest_until().saturating_add(delay);
+        let delay = self.resume_plan.delay(self.notice.backoff_ms());
+        let returns_at = self.notice.backoff_until().saturating_add(delay);
         self.notice.is_unproven(now) && now < returns_at
     }
 
--- a/crates/serving/src/notices.rs
+++ b/crates/serving/src/notices.rs
@@ -81,20 +81,20 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SelfReportChanges {
     /// The back end requested a rest that ends later than all before.
-    pub is_longer_rest: bool,
+    pub is_longer_backoff: bool,
     /// The back end announced for the first time that it is draining.
-    pub is_leaving: bool,
+    pub is_draining: bool,
     /// The back end's rate limit changed.
-    pub is_other_limit: bool,
+    pub is_limit_changed: bool,
 }
 
 /// Advertised state because of which nothing may be sent to a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnavailableReason {
     /// The back-off period that it requested has not ended.
-    Resting,
+    InBackoff,
     /// It is draining.
-    Leaving,
+    Draining,
     /// It has a rate limit, and this node holds no permit.
     Limited,
 }
@@ -103,8 +103,8 @@
     /// Label value in metrics.
     pub fn name(self) -> &'static str {
         match self {
-            UnavailableReason::Resting => "resting",
-            UnavailableReason::Leaving => "leaving",
+            UnavailableReason::InBackoff => "resting",
+            UnavailableReason::Draining => "leaving",
             UnavailableReason::Limited => "limited",
         }
     }
@@ -114,7 +114,7 @@
 struct Entry {
     notice: Arc<BackendNotice>,
     /// Whether the start of a rest was logged and its end was not.
-    rest_is_logged: bool,
+    backoff_is_logged: bool,
 }
 
 #[derive(Default)]
@@ -146,7 +146,7 @@
 pub struct BackendNotices {
     entries: Arc<Mutex<Entries>>,
     /// Number of entries with a rest whose end is not logged yet; lets the check skip the lock.
-    rests_to_log: Arc<AtomicUsize>,
+    backoffs_to_log: Arc<AtomicUsize>,
     /// Number of back ends with a rate limit.
     limits: Arc<AtomicUsize>,
     /// Unknown header names that were logged.
@@ -159,7 +159,7 @@
     pub fn new(log: DecisionLog) -> Self {
         Self {
             entries: Arc::default(),
-            rests_to_log: Arc::default(),
+            backoffs_to_log: Arc::default(),
             limits: Arc::default(),
             unknown_names: Arc::default(),
             log,
@@ -191,30 +191,33 @@
         let mut entries = self.lock();
         let entry = entries.entry(id);
         let mut changes = SelfReportChanges::default();
-        if report.rest.is_none() && entry.notice.is_unproven(now) {
-            entry.notice.has_rested.store(false, Ordering::Release);
+        if report.backoff.is_none() && entry.notice.is_unproven(now) {
+            entry.notice.had_backoff.store(false, Ordering::Release);
         }
-        if let Some(rest) = report.rest {
-            let rest_ms = ceil_millis(rest);
-            let until = now.saturating_add(rest_ms);
-            changes.is_longer_rest =
-                entry.notice.rest_until.fetch_max(until, Ordering::AcqRel) < until;
-            entry.notice.has_rested.store(true, Ordering::Release);
-            if changes.is_longer_rest {
-                entry.notice.rest_ms.store(rest_ms, Ordering::Release);
-                if !std::mem::replace(&mut entry.rest_is_logged, true) {
-                    self.rests_to_log.fetch_add(1, Ordering::AcqRel);
+        if let Some(backoff) = report.backoff {
+            let backoff_ms = ceil_millis(backoff);
+            let until = now.saturating_add(backoff_ms);
+            changes.is_longer_backoff = entry
+                .notice
+                .backoff_until
+                .fetch_max(until, Ordering::AcqRel)
+                < until;
+            entry.notice.had_backoff.store(true, Ordering::Release);
+            if changes.is_longer_backoff {
+                entry.notice.backoff_ms.store(backoff_ms, Ordering::Release);
+                if !std::mem::replace(&mut entry.backoff_is_logged, true) {
+                    self.backoffs_to_log.fetch_add(1, Ordering::AcqRel);
                 }
                 self.log.record(Event::RestBegan {
                     backend: id.to_owned(),
-                    for_ms: rest_ms,
+                    for_ms: backoff_ms,
                     path: path.name().to_owned(),
                 });
             }
         }
-        if report.is_leaving {
-            changes.is_leaving = !entry.notice.is_leaving.swap(true, Ordering::AcqRel);
-            if changes.is_leaving {
+        if report.is_draining {
+            changes.is_draining = !entry.notice.is_draining.swap(true, Ordering::AcqRel);
+            if changes.is_draining {
                 self.log.record(Event::LeavingTold {
                     backend: id.to_owned(),
                     path: path.name().to_owned(),
@@ -227,7 +230,7 @@
             notice
                 .permits()
                 .record_answer(advertised, answer.permit, answer.is_success);
-        changes.is_other_limit = limit_update.is_change();
+        changes.is_limit_changed = limit_update.is_change();
         self.record_limit_update(&mut entries, id, &limit_update, path.name(), "");
         drop(entries);
         self.log_unknown_headers(id, &report.unknown);
@@ -252,36 +255,36 @@
     }
 
     /// Back ends that rest at `now`, each with the remaining milliseconds.
-    pub fn resting(&self, now: Millis) -> Vec<(InstanceId, Millis)> {
+    pub fn in_backoff(&self, now: Millis) -> Vec<(InstanceId, Millis)> {
         let entries = self.lock();
-        let resting = entries
+        let in_backoff = entries
             .by_id
             .iter()
-            .filter(|(_, entry)| entry.notice.is_resting(now));
-        resting
-            .map(|(id, entry)| (id.clone(), entry.notice.rest_until() - now))
+            .filter(|(_, entry)| entry.notice.is_in_backoff(now));
+        in_backoff
+            .map(|(id, entry)| (id.clone(), entry.notice.backoff_until() - now))
             .collect()
     }
 
     /// Back ends that are draining.
-    pub fn leaving(&self) -> Vec<InstanceId> {
+    pub fn draining(&self) -> Vec<InstanceId> {
         let entries = self.lock();
-        let leaving = entries
+        let draining = entries
             .by_id
             .iter()
-            .filter(|(_, entry)| entry.notice.is_leaving());
-        leaving.map(|(id, _)| id.clone()).collect()
+            .filter(|(_, entry)| entry.notice.is_draining());
+        draining.map(|(id, _)| id.clone()).collect()
     }
 
     /// Logs the rests that have ended by `now`.
-    pub fn log_ended_rests(&self, now: Millis) {
-        if self.rests_to_log.load(Ordering::Acquire) == 0 {
+    pub fn log_ended_backoffs(&self, now: Millis) {
+        if self.backoffs_to_log.load(Ordering::Acquire) == 0 {
             return;
         }
         for (id, entry) in self.lock().by_id.iter_mut() {
-            if entry.rest_is_logged && !entry.notice.is_resting(now) {
-                entry.rest_is_logged = false;
-                self.rests_to_log.fetch_sub(1, Ordering::AcqRel);
+            if entry.backoff_is_logged && !entry.notice.is_in_backoff(now) {
+                entry.backoff_is_logged = false;
+                self.backoffs_to_log.fetch_sub(1, Ordering::AcqRel);
                 self.log.record(Event::RestEnded {
                     backend: id.clone(),
                 });
@@ -317,11 +320,15 @@
             let is_kept = by_id.get(id).is_some_and(|entry| {
                 let notice = &entry.notice;
                 let has_active_state =
-                    notice.is_leaving() || notice.is_resting(now) || notice.is_limited();
+                    notice.is_draining() || notice.is_in_backoff(now) || notice.is_limited();
                 has_active_state && now.saturating_sub(since) < UNLISTED_RETENTION
             });
-            if !is_kept && by_id.remove(id).is_some_and(|entry| entry.rest_is_logged) {
-                self.rests_to_log.fetch_sub(1, Ordering::AcqRel);
+            if !is_kept
+                && by_id
+                    .remove(id)
+                    .is_some_and(|entry| entry.backoff_is_logged)
+            {
+                self.backoffs_to_log.fetch_sub(1, Ordering::AcqRel);
             }
             if !is_kept {
                 limited.remove(id);
--- a/crates/serving/src/notices/backend_notice.rs
+++ b/crates/serving/src/notices/backend_notice.rs
@@ -12,41 +12,41 @@
 pub struct BackendNotice {
     pub(super) is_limited: AtomicBool,
     permits: Mutex<PermitPool>,
-    pub(super) rest_until: AtomicU64,
-    pub(super) rest_ms: AtomicU64,
-    pub(super) has_rested: AtomicBool,
-    pub(super) is_leaving: AtomicBool,
+    pub(super) backoff_until: AtomicU64,
+    pub(super) backoff_ms: AtomicU64,
+    pub(super) had_backoff: AtomicBool,
+    pub(super) is_draining: AtomicBool,
 }
 
 impl BackendNotice {
     /// End of its rest in milliseconds of the local clock; in the past if it does not rest.
-    pub fn rest_until(&self) -> Millis {
-        self.rest_until.load(Ordering::Acquire)
+    pub fn backoff_until(&self) -> Millis {
+        self.backoff_until.load(Ordering::Acquire)
     }
 
     /// Length of the rest that ends last, in milliseconds; 0 if it never requested one.
-    pub fn rest_ms(&self) -> Millis {
-        self.rest_ms.load(Ordering::Acquire)
+    pub fn backoff_ms(&self) -> Millis {
+        self.backoff_ms.load(Ordering::Acquire)
     }
 
     /// Whether its back-off period is active at `now`.
-    pub fn is_resting(&self, now: Millis) -> bool {
-        now < self.rest_until()
+    pub fn is_in_backoff(&self, now: Millis) -> bool {
+        now < self.backoff_until()
     }
 
     /// Whether it requested a rest and has not answered since the end of it.
-    pub fn has_rested(&self) -> bool {
-        self.has_rested.load(Ordering::Acquire)
+    pub fn had_backoff(&self) -> bool {
+        self.had_backoff.load(Ordering::Acquire)
     }
 
     /// Whether its rest has ended and it has not answered since.
     pub fn is_unproven(&self, now: Millis) -> bool {
-        self.has_rested() && !self.is_resting(now)
+        self.had_backoff() && !self.is_in_backoff(now)
     }
 
     /// Whether it announced that it is draining.
-    pub fn is_leaving(&self) -> bool {
-        self.is_leaving.load(Ordering::Acquire)
+    pub fn is_draining(&self) -> bool {
+        self.is_draining.load(Ordering::Acquire)
     }
 
     pub(super) fn permits(&self) -> MutexGuard<'_, PermitPool> {
@@ -94,9 +94,10 @@
     /// State because of which nothing may be sent at `now`; none if it accepts requests, subject
     /// to permits.
     pub fn unavailable_reason(&self, now: Millis) -> Option<UnavailableReason> {
-        if self.is_leaving() {
-            return Some(UnavailableReason::Leaving);
+        if self.is_draining() {
+            return Some(UnavailableReason::Draining);
         }
-        self.is_resting(now).then_some(UnavailableReason::Resting)
+        self.is_in_backoff(now)
+            .then_some(UnavailableReason::InBackoff)
     }
 }
--- a/crates/serving/src/ports.rs
+++ b/crates/serving/src/ports.rs
@@ -107,13 +107,13 @@
     pub load: Option<ReportedLoad>,
     /// Back-off period that it requests from this node when it rejects a request; the longest if
     /// it advertises several.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
     /// Whether a back-off period was advertised that cannot be parsed.
-    pub has_unreadable_rest: bool,
+    pub has_unreadable_backoff: bool,
     /// Whether a processing time was advertised that cannot be parsed.
     pub has_unreadable_processing_time: bool,
     /// Whether it is draining and accepts no new requests.
-    pub is_leaving: bool,
+    pub is_draining: bool,
     /// Rate limit for all nodes together; it applies while answers advertise it.
     pub limit: AdvertisedRateLimit,
     /// Names of state headers that this version does not know.
--- a/crates/serving/tests/notices.rs
+++ b/crates/serving/tests/notices.rs
@@ -11,16 +11,16 @@
     BackendNotices::new(DecisionLog::disabled())
 }
 
-fn rest(millis: u64) -> SelfReport {
+fn backoff(millis: u64) -> SelfReport {
     SelfReport {
-        rest: Some(Duration::from_millis(millis)),
+        backoff: Some(Duration::from_millis(millis)),
         ..SelfReport::default()
     }
 }
 
 fn draining() -> SelfReport {
     SelfReport {
-        is_leaving: true,
+        is_draining: true,
         ..SelfReport::default()
     }
 }
@@ -34,40 +34,40 @@
     #[case] is_longer: bool,
 ) {
     let notices = notices();
-    notices.record_report("e1", ExchangeKind::Request, &rest(3_000), 1_000);
-    let changes = notices.record_report("e1", ExchangeKind::Batch, &rest(second), 3_500);
-    assert_eq!(changes.is_longer_rest, is_longer);
+    notices.record_report("e1", ExchangeKind::Request, &backoff(3_000), 1_000);
+    let changes = notices.record_report("e1", ExchangeKind::Batch, &backoff(second), 3_500);
+    assert_eq!(changes.is_longer_backoff, is_longer);
     let notice = notices.of("e1");
-    assert!(notice.is_resting(until - 1));
-    assert!(!notice.is_resting(until));
-    assert!(!notices.of("e2").is_resting(1_000));
+    assert!(notice.is_in_backoff(until - 1));
+    assert!(!notice.is_in_backoff(until));
+    assert!(!notices.of("e2").is_in_backoff(1_000));
 }
 
 #[test]
 fn an_answer_without_state_clears_nothing() {
     let notices = notices();
-    notices.record_report("e1", ExchangeKind::Request, &rest(3_000), 1_000);
+    notices.record_report("e1", ExchangeKind::Request, &backoff(3_000), 1_000);
     notices.record_report("e1", ExchangeKind::Request, &draining(), 1_000);
     let nothing = SelfReport::default();
     let changes = notices.record_report("e1", ExchangeKind::Request, &nothing, 1_500);
     assert_eq!(changes, SelfReportChanges::default());
-    assert!(notices.of("e1").is_resting(3_999));
-    assert!(notices.of("e1").is_leaving());
+    assert!(notices.of("e1").is_in_backoff(3_999));
+    assert!(notices.of("e1").is_draining());
     let again = notices.record_report("e1", ExchangeKind::Free, &draining(), 1_600);
-    assert!(!again.is_leaving, "draining is a change only once");
+    assert!(!again.is_draining, "draining is a change only once");
 }
 
 #[test]
 fn an_unbounded_rest_does_not_overflow() {
     let notices = notices();
-    notices.record_report("e1", ExchangeKind::Request, &rest(u64::MAX), 1_000);
+    notices.record_report("e1", ExchangeKind::Request, &backoff(u64::MAX), 1_000);
     let longest = SelfReport {
-        rest: Some(Duration::MAX),
+        backoff: Some(Duration::MAX),
         ..SelfReport::default()
     };
     notices.record_report("e2", ExchangeKind::Request, &longest, 1_000);
     for id in ["e1", "e2"] {
-        assert!(notices.of(id).is_resting(u64::MAX - 1), "{id}");
+        assert!(notices.of(id).is_in_backoff(u64::MAX - 1), "{id}");
     }
 }
 
@@ -75,18 +75,18 @@
 fn a_fraction_of_a_millisecond_is_rounded_up() {
     let notices = notices();
     let report = SelfReport {
-        rest: Some(Duration::from_micros(1_200)),
+        backoff: Some(Duration::from_micros(1_200)),
         ..SelfReport::default()
     };
     notices.record_report("e1", ExchangeKind::Request, &report, 1_000);
-    assert_eq!(notices.of("e1").rest_until(), 1_002);
+    assert_eq!(notices.of("e1").backoff_until(), 1_002);
 }
 
 #[test]
 fn state_survives_a_temporary_absence_from_the_list() {
     let notices = notices();
     notices.record_report("e1", ExchangeKind::Request, &draining(), 1_000);
-    notices.record_report("e2", ExchangeKind::Request, &rest(3_000), 1_000);
+    notices.record_report("e2", ExchangeKind::Request, &backoff(3_000), 1_000);
     notices.of("e3");
     for id in ["e1", "e2", "e3"] {
         notices.mark_unlisted(id, 2_000);
@@ -96,8 +96,8 @@
         notices.mark_listed(id);
     }
     notices.remove_unlisted(3_000);
-    assert!(notices.of("e1").is_leaving());
-    assert!(notices.of("e2").is_resting(3_999));
+    assert!(notices.of("e1").is_draining());
+    assert!(notices.of("e2").is_in_backoff(3_999));
 }
 
 #[test]
@@ -108,7 +108,7 @@
     notices.mark_listed("e1");
     notices.mark_unlisted("e1", 2_000);
     notices.remove_unlisted(AFTER_RETENTION);
-    assert!(!notices.of("e1").is_leaving());
+    assert!(!notices.of("e1").is_draining());
 }
 
 #[test]
@@ -117,9 +117,9 @@
     let notices = notices();
     notices.record_report("e1", ExchangeKind::Request, &draining(), 1_000);
     notices.remove_unlisted(2_000);
-    assert!(notices.of("e1").is_leaving());
+    assert!(notices.of("e1").is_draining());
     notices.remove_unlisted(AFTER_RETENTION);
-    assert!(!notices.of("e1").is_leaving());
+    assert!(!notices.of("e1").is_draining());
 }
 
 #[test]
@@ -134,7 +134,7 @@
     let notices = notices();
     let changes_limit = |report: &SelfReport| {
         let changes = notices.record_report("e1", ExchangeKind::Request, report, 1_000);
-        changes.is_other_limit
+        changes.is_limit_changed
     };
     assert!(changes_limit(&with_limit(1.0)));
     assert!(!changes_limit(&with_limit(1.0)));
--- a/crates/serving/tests/rest_seeds.rs
+++ b/crates/serving/tests/rest_seeds.rs
@@ -37,7 +37,7 @@
 /// State that a node has received from a back end.
 #[derive(Clone, Copy, Default)]
 struct ReceivedState {
-    rest_until: u64,
+    backoff_until: u64,
     is_draining: bool,
 }
 
@@ -75,10 +75,10 @@
         let notices = self.dispatcher.instances.notices();
         notices.record_report(id, path, report, now);
         let received = self.received.entry(id.to_owned()).or_default();
-        if let Some(rest) = report.rest {
-            received.rest_until = received.rest_until.max(now + rest.as_millis() as u64);
+        if let Some(backoff) = report.backoff {
+            received.backoff_until = received.backoff_until.max(now + backoff.as_millis() as u64);
         }
-        received.is_draining |= report.is_leaving;
+        received.is_draining |= report.is_draining;
     }
 
     fn check(&self, id: &str, now: u64, what: &str) {
@@ -87,7 +87,7 @@
             !received.is_draining,
             "{what} to {id}, which drains, at {now}"
         );
-        let until = received.rest_until;
+        let until = received.backoff_until;
         assert!(now >= until, "{what} to {id} at {now}, rests until {until}");
     }
 
@@ -117,7 +117,7 @@
         self.batcher.expire(now);
         let table = &self.dispatcher.instances;
         self.batcher.reject_orders_without_backend(table);
-        self.batcher.reject_orders_delayed_by_rest(table, now);
+        self.batcher.reject_orders_delayed_by_backoff(table, now);
         self.start_calls(now);
     }
 }
@@ -126,9 +126,9 @@
 fn random_report(random: &mut ChaCha8Rng) -> SelfReport {
     let mut report = SelfReport::default();
     match random.gen_range(0..100) {
-        0..=14 => report.rest = Some(Duration::from_millis(random.gen_range(1..3_000))),
-        15 => report.rest = Some(Duration::from_secs(random.gen_range(3..60))),
-        16 => report.is_leaving = true,
+        0..=14 => report.backoff = Some(Duration::from_millis(random.gen_range(1..3_000))),
+        15 => report.backoff = Some(Duration::from_secs(random.gen_range(3..60))),
+        16 => report.is_draining = true,
         _ => {}
     }
     report
@@ -148,7 +148,7 @@
 }
 
 fn outcome_of(report: &SelfReport, random: &mut ChaCha8Rng) -> SendOutcome {
-    if report.rest.is_some() {
+    if report.backoff.is_some() {
         return SendOutcome::NotRun(NotRunReason::Full);
     }
     match random.gen_range(0..12) {
@@ -193,7 +193,7 @@
                 .get(&plan.instance)
                 .copied()
                 .unwrap_or_default();
-            let is_withheld = state.is_draining || now < state.rest_until;
+            let is_withheld = state.is_draining || now < state.backoff_until;
             // Some sends still wait for a connection when another answer arrives.
             let outcome = match is_withheld && random.gen() {
                 true => SendOutcome::NotRun(NotRunReason::BackendUnavailable),
@@ -221,7 +221,7 @@
                 .swap_remove(random.gen_range(0..node.calls.len()));
             let report = random_report(random);
             node.record_report(&call.instance, ExchangeKind::Batch, &report, now);
-            let outcome = match report.rest {
+            let outcome = match report.backoff {
                 Some(_) => CallOutcome::NotRun,
                 None if random.gen_range(0..8) == 0 => CallOutcome::BackendUnavailable,
                 None => CallOutcome::Answered(
--- a/crates/serving/tests/rests.rs
+++ b/crates/serving/tests/rests.rs
@@ -26,19 +26,19 @@
     is_whole: true,
 };
 
-fn rest(millis: u64) -> SelfReport {
+fn backoff(millis: u64) -> SelfReport {
     SelfReport {
-        rest: Some(Duration::from_millis(millis)),
+        backoff: Some(Duration::from_millis(millis)),
         ..SelfReport::default()
     }
 }
 
 const DRAINING: SelfReport = SelfReport {
     load: None,
-    rest: None,
-    has_unreadable_rest: false,
+    backoff: None,
+    has_unreadable_backoff: false,
     has_unreadable_processing_time: false,
-    is_leaving: true,
+    is_draining: true,
     limit: AdvertisedRateLimit {
         lowest: None,
         is_unreadable: false,
@@ -86,7 +86,7 @@
 #[test]
 fn a_resting_engine_gets_no_requests_until_its_rest_ends() {
     let mut dispatcher = dispatcher();
-    report(&dispatcher.instances, &["g1"], &rest(3_000), 0);
+    report(&dispatcher.instances, &["g1"], &backoff(3_000), 0);
     let mut returned = false;
     for number in 0..20 {
         let actions = dispatcher.handle_request(number, call_of("r", "/gate/x"), 400 * number);
@@ -101,7 +101,7 @@
 #[case::unchanged_list(|_: &mut Vec<BackendListEntry>| {})]
 #[case::entry_missing_temporarily(|listed: &mut Vec<BackendListEntry>| listed.retain(|entry| entry.id != "g1"))]
 fn a_list_update_does_not_clear_advertised_state(#[case] change: fn(&mut Vec<BackendListEntry>)) {
-    for advertised in [rest(5_000), DRAINING] {
+    for advertised in [backoff(5_000), DRAINING] {
         let mut dispatcher = dispatcher();
         report(&dispatcher.instances, &["g1"], &advertised, 0);
         let mut listed = instances();
@@ -161,7 +161,7 @@
     let mut dispatcher = dispatcher();
     dispatcher.instances.record_failure("g1", 0, "test");
     dispatcher.instances.record_failure("g2", 0, "test");
-    report(&dispatcher.instances, &["g1"], &rest(3_000), 0);
+    report(&dispatcher.instances, &["g1"], &backoff(3_000), 0);
     let actions = dispatcher.handle_request(1, call_of("r", "/gate/x"), 10);
     assert_eq!(sent_to(&actions).as_deref(), Some("g2"));
 }
@@ -171,7 +171,7 @@
 fn a_withheld_send_does_not_consume_the_retry_budget() {
     let mut dispatcher = without_retries();
     let first = sent_to(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 0)).expect("sent");
-    report(&dispatcher.instances, &[&first], &rest(3_000), 5);
+    report(&dispatcher.instances, &[&first], &backoff(3_000), 5);
     let second =
         sent_to(&dispatcher.send_ended(1, BACKEND_UNAVAILABLE, None, 5)).expect("sent anew");
     assert_ne!(second, first);
@@ -184,8 +184,8 @@
 #[test]
 fn a_request_is_rejected_at_once_with_a_retry_delay_if_all_rest_beyond_its_deadline() {
     let mut dispatcher = dispatcher();
-    report(&dispatcher.instances, &["g1"], &rest(9_000), 0);
-    report(&dispatcher.instances, &["g2"], &rest(7_000), 0);
+    report(&dispatcher.instances, &["g1"], &backoff(9_000), 0);
+    report(&dispatcher.instances, &["g2"], &backoff(7_000), 0);
     let refused =
         refusal(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 1_000)).expect("refused");
     assert_eq!(refused.code, ResultCode::BackendsResting);
@@ -196,7 +196,7 @@
 #[test]
 fn an_unbounded_rest_gives_no_retry_delay() {
     let mut dispatcher = dispatcher();
-    report(&dispatcher.instances, &["g1", "g2"], &rest(u64::MAX), 0);
+    report(&dispatcher.instances, &["g1", "g2"], &backoff(u64::MAX), 0);
     let refused =
         refusal(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 10)).expect("refused");
     assert_eq!(refused.code, ResultCode::BackendsResting);
@@ -207,7 +207,12 @@
 #[test]
 fn a_request_is_rejected_before_its_phases_if_all_engines_rest_too_long() {
     let mut dispatcher = dispatcher();
-    report(&dispatcher.instances, &["e1", "e2", "e3"], &rest(60_000), 0);
+    report(
+        &dispatcher.instances,
+        &["e1", "e2", "e3"],
+        &backoff(60_000),
+        0,
+    );
     let mut staged = call_of("r", "/staged/x");
     staged.pieces = vec![1, 1, 1];
     let actions = dispatcher.handle_request(1, staged, 10);
@@ -220,8 +225,8 @@
 #[test]
 fn a_request_waits_for_an_engine_whose_rest_ends_in_time() {
     let mut dispatcher = dispatcher();
-    report(&dispatcher.instances, &["g1"], &rest(2_000), 0);
-    report(&dispatcher.instances, &["g2"], &rest(1_000), 0);
+    report(&dispatcher.instances, &["g1"], &backoff(2_000), 0);
+    report(&dispatcher.instances, &["g2"], &backoff(1_000), 0);
     assert!(dispatcher
         .handle_request(1, call_of("r", "/gate/x"), 100)
         .is_empty());
@@ -235,7 +240,7 @@
 #[test]
 fn a_waiting_request_is_sent_to_a_newly_listed_engine() {
     let mut dispatcher = dispatcher();
-    report(&dispatcher.instances, &["g1", "g2"], &rest(2_000), 0);
+    report(&dispatcher.instances, &["g1", "g2"], &backoff(2_000), 0);
     assert!(dispatcher
         .handle_request(1, call_of("r", "/gate/x"), 100)
         .is_empty());
@@ -250,7 +255,7 @@
 #[test]
 fn after_a_rest_a_single_request_probes_each_engine() {
     let mut dispatcher = dispatcher();
-    report(&dispatcher.instances, &["g1", "g2"], &rest(1_000), 0);
+    report(&dispatcher.instances, &["g1", "g2"], &backoff(1_000), 0);
     for number in 1..=4 {
         let actions = dispatcher.handle_request(number, call_of("r", "/gate/x"), 100);
         assert!(actions.is_empty());
@@ -269,7 +274,7 @@
         &SelfReport::default(),
         1_060,
     );
-    report(&dispatcher.instances, &["g2"], &rest(1_000), 1_060);
+    report(&dispatcher.instances, &["g2"], &backoff(1_000), 1_060);
     let later = dispatcher.send_waiting(1_075);
     assert_eq!(send_count(&later), 2);
     assert!(later.iter().all(|action| match action {
@@ -281,7 +286,7 @@
 #[test]
 fn an_engine_that_does_not_answer_its_probe_gets_another_request_after_a_delay() {
     let mut dispatcher = dispatcher();
-    report(&dispatcher.instances, &["g1", "g2"], &rest(500), 0);
+    report(&dispatcher.instances, &["g1", "g2"], &backoff(500), 0);
     for number in 1..=3 {
         dispatcher.handle_request(number, call_of("r", "/gate/x"), 100);
     }
@@ -301,7 +306,7 @@
             spread: 0.4,
         });
         table.replace_list(&instances());
-        report(&table, &["g1"], &rest(1_000), 0);
+        report(&table, &["g1"], &backoff(1_000), 0);
         let engine = table.get("g1").expect("listed");
         (0..3_000).find(|now| engine.is_usable(*now))
     };
@@ -320,7 +325,7 @@
 #[test]
 fn a_node_without_another_engine_returns_at_the_end_of_the_rest() {
     let mut dispatcher = dispatcher();
-    report(&dispatcher.instances, &["g1"], &rest(1_000), 0);
+    report(&dispatcher.instances, &["g1"], &backoff(1_000), 0);
     dispatcher.instances.record_failure("g2", 900, "test");
     let actions = dispatcher.handle_request(1, call_of("r", "/gate/x"), 1_000);
     assert_eq!(sent_to(&actions).as_deref(), Some("g1"));
@@ -330,7 +335,7 @@
 #[test]
 fn the_number_of_waiting_requests_is_limited_to_the_slots() {
     let mut dispatcher = dispatcher();
-    report(&dispatcher.instances, &["g1", "g2"], &rest(1_000), 0);
+    report(&dispatcher.instances, &["g1", "g2"], &backoff(1_000), 0);
     for number in 1..=8 {
         let actions = dispatcher.handle_request(number, call_of("r", "/gate/x"), 10);
         assert!(actions.is_empty(), "{number}");
@@ -344,7 +349,7 @@
 #[test]
 fn a_waiting_request_whose_caller_disconnects_is_not_sent() {
     let mut dispatcher = dispatcher();
-    report(&dispatcher.instances, &["g1", "g2"], &rest(1_000), 0);
+    report(&dispatcher.instances, &["g1", "g2"], &backoff(1_000), 0);
     dispatcher.handle_request(1, call_of("r", "/gate/x"), 10);
     dispatcher.caller_disconnected(1, 20);
     assert!(dispatcher.send_waiting(1_000).is_empty());
@@ -375,7 +380,7 @@
     let mut dispatcher = dispatcher();
     let first = sent_to(&dispatcher.handle_request(1, call_of("r", "/lookup/x"), 0)).expect("sent");
     let other = if first == "g1" { "g2" } else { "g1" };
-    report(&dispatcher.instances, &[other], &rest(1_000), 5);
+    report(&dispatcher.instances, &[other], &backoff(1_000), 5);
     let broken = SendOutcome::Unknown(UnknownReason::Broken);
     let refused = refusal(&dispatcher.send_ended(1, broken, None, 10)).expect("given up");
     assert_eq!(refused.code, ResultCode::BackendFailed);
@@ -418,7 +423,7 @@
             .submit(key(1), work(1, 8), &table, 0)
             .expect("taken");
         let before = batcher.waits(&whole(), &table, 0);
-        report(&table, &["s1"], &rest(2_000), 0);
+        report(&table, &["s1"], &backoff(2_000), 0);
         let after = batcher.waits(&whole(), &table, 0);
         assert!(after.queue_ms > before.queue_ms, "{after:?}");
         let calls = batcher.next_calls(&table, 0);
@@ -432,19 +437,21 @@
         batcher
             .submit(key(1), work(1, 1), &table, 0)
             .expect("taken");
-        report(&table, &["s1"], &rest(3_000), 0);
-        report(&table, &["s2"], &rest(2_000), 0);
+        report(&table, &["s1"], &backoff(3_000), 0);
+        report(&table, &["s2"], &backoff(2_000), 0);
         assert!(batcher.next_calls(&table, 0).is_empty());
         let waits = batcher.waits(&whole(), &table, 0);
         assert!(waits.backlog_ms[1] >= 2_000, "{waits:?}");
-        assert!(batcher.reject_orders_delayed_by_rest(&table, 10).is_empty());
+        assert!(batcher
+            .reject_orders_delayed_by_backoff(&table, 10)
+            .is_empty());
         let mut short = work(2, 1);
         short.remaining_ms = 1_500;
         let refused = batcher.submit(key(2), short, &table, 10);
         assert_eq!(refused, Err(PieceFailure::Overloaded));
         // A longer rest makes the waiting order too late.
-        report(&table, &["s1", "s2"], &rest(9_000), 100);
-        let ended = batcher.reject_orders_delayed_by_rest(&table, 110);
+        report(&table, &["s1", "s2"], &backoff(9_000), 100);
+        let ended = batcher.reject_orders_delayed_by_backoff(&table, 110);
         assert_eq!(ended.len(), 1);
         assert_eq!(ended[0].result, Err(PieceFailure::Overloaded));
     }
