--- a/crates/limits/src/issuer.rs
+++ b/crates/limits/src/issuer.rs
@@ -60,7 +60,7 @@
     /// An answer carried no limit: the rate increases until the limit is lifted.
     Recovering {
         since: Millis,
-        by: Serial,
+        lifted_serial: Serial,
     },
 }
 
@@ -115,10 +115,13 @@
     fn limit_lifted_serial(&self, now: Millis) -> Option<Serial> {
         match self.phase {
             Phase::Limited => None,
-            Phase::Recovering { since, by } => {
+            Phase::Recovering {
+                since,
+                lifted_serial,
+            } => {
                 let doubling_ms = INCREASE_INTERVAL * DOUBLING_INCREASES as Millis;
                 let has_doubled = now.saturating_sub(since) >= doubling_ms;
-                (has_doubled && self.waiting.is_empty()).then_some(by)
+                (has_doubled && self.waiting.is_empty()).then_some(lifted_serial)
             }
         }
     }
@@ -140,7 +143,7 @@
             self.limit = reported;
             let is_reimposed = match self.phase {
                 Phase::Limited => true,
-                Phase::Recovering { by, .. } => reported.serial > by,
+                Phase::Recovering { lifted_serial, .. } => reported.serial > lifted_serial,
             };
             if is_reimposed {
                 self.needs_announcement |= self.phase != Phase::Limited;
@@ -151,7 +154,7 @@
             self.refill(now);
             self.phase = Phase::Recovering {
                 since: now,
-                by: request.limit_lifted_serial,
+                lifted_serial: request.limit_lifted_serial,
             };
         }
     }
@@ -188,10 +191,14 @@
         let Some(position) = position else {
             return 0;
         };
-        let own = self.waiting[position].wanted;
-        let before = self.waiting.iter().enumerate().map(|(other, one)| {
-            let rounds = if other <= position { own } else { own - 1 };
-            u64::from(one.wanted.min(rounds))
+        let wanted = self.waiting[position].wanted;
+        let before = self.waiting.iter().enumerate().map(|(other, waiting)| {
+            let rounds = if other <= position {
+                wanted
+            } else {
+                wanted - 1
+            };
+            u64::from(waiting.wanted.min(rounds))
         });
         let missing = (before.sum::<u64>() as f64 - self.available).max(0.0);
         let pause = self.refilled_at.saturating_sub(now);
@@ -257,10 +264,10 @@
 }
 
 /// A grant without permits that reports the limit as lifted.
-fn lifted_grant(backend: &str, by: Serial) -> PermitGrant {
+fn lifted_grant(backend: &str, lifted_serial: Serial) -> PermitGrant {
     PermitGrant {
         backend: backend.to_owned(),
-        state: LimitState::Lifted(by),
+        state: LimitState::Lifted(lifted_serial),
         first_serial: 0,
         count: 0,
         wait_ms: 0,
@@ -289,8 +296,8 @@
             .or_insert_with(|| Account::new(request, now));
         account.asked_at = now;
         account.merge_report(request, now);
-        if let Some(by) = account.limit_lifted_serial(now) {
-            return vec![(from.clone(), lifted_grant(backend, by))];
+        if let Some(lifted_serial) = account.limit_lifted_serial(now) {
+            return vec![(from.clone(), lifted_grant(backend, lifted_serial))];
         }
         account.set_wanted(from, request, now);
         let issued = account.issue(now);
--- a/crates/limits/src/pool.rs
+++ b/crates/limits/src/pool.rs
@@ -173,7 +173,12 @@
     /// Returns the permit of a request that was not sent.
     pub fn return_permit(&mut self, permit: Permit) {
         let is_known = self.limit.is_some();
-        if is_known && !self.permits.iter().any(|held| held.serial == permit.serial) {
+        if is_known
+            && !self
+                .permits
+                .iter()
+                .any(|pooled| pooled.serial == permit.serial)
+        {
             self.permits.push_front(permit);
         }
     }
@@ -209,8 +214,8 @@
     /// Sets the number of requests that wait for this back end.
     pub fn set_waiting(&mut self, waiting: u32, now: Millis) {
         let preferred = u32::from(now < self.preferred_until);
-        let held = u32::try_from(self.available(now)).unwrap_or(u32::MAX);
-        self.wanted = waiting.max(preferred).saturating_sub(held);
+        let available = u32::try_from(self.available(now)).unwrap_or(u32::MAX);
+        self.wanted = waiting.max(preferred).saturating_sub(available);
         if self.wanted == 0 {
             self.expected = None;
         }
--- a/crates/limits/tests/common/mod.rs
+++ b/crates/limits/tests/common/mod.rs
@@ -146,17 +146,17 @@
             // Restart with loss of all state.
             1 => {
                 let now = self.now;
-                let one = &mut self.nodes[node];
-                one.pool = PermitPool::default();
-                one.issuer = PermitIssuer::default();
-                one.waiting.clear();
-                one.excluded_until = now + EXCLUDED_AFTER_FAULT;
+                let member = &mut self.nodes[node];
+                member.pool = PermitPool::default();
+                member.issuer = PermitIssuer::default();
+                member.waiting.clear();
+                member.excluded_until = now + EXCLUDED_AFTER_FAULT;
             }
             _ => {
                 let length = self.random.gen_range(200..3_000);
-                let one = &mut self.nodes[node];
-                one.paused_until = self.now + length;
-                one.excluded_until = one.paused_until + EXCLUDED_AFTER_FAULT;
+                let member = &mut self.nodes[node];
+                member.paused_until = self.now + length;
+                member.excluded_until = member.paused_until + EXCLUDED_AFTER_FAULT;
             }
         }
     }
@@ -165,7 +165,7 @@
         while let Some(entry) = self
             .views
             .first_entry()
-            .filter(|one| one.key().0 <= self.now)
+            .filter(|entry| entry.key().0 <= self.now)
         {
             let (observer, node, is_usable) = entry.remove();
             self.nodes[observer].view[node] = is_usable;
@@ -181,14 +181,14 @@
         let issuer = issuer_of(names, BACKEND)?;
         self.nodes
             .iter()
-            .position(|one| one.name.as_str() == issuer)
+            .position(|node| node.name.as_str() == issuer)
     }
 
     fn deliver_answers(&mut self) {
         while let Some(entry) = self
             .answers
             .first_entry()
-            .filter(|one| one.key().0 <= self.now)
+            .filter(|entry| entry.key().0 <= self.now)
         {
             let answer = entry.remove();
             let node = &mut self.nodes[answer.node];
@@ -217,12 +217,12 @@
             let (from, message) = entry.remove();
             self.handle_message(node, &from, message);
         }
-        let one = &mut self.nodes[node];
-        one.waiting.retain(|since| now - since < PERMIT_TIMEOUT);
+        let member = &mut self.nodes[node];
+        member.waiting.retain(|since| now - since < PERMIT_TIMEOUT);
         self.send_waiting(node);
-        let one = &mut self.nodes[node];
-        one.pool.set_waiting(one.waiting.len() as u32, now);
-        if let Some(request) = one.pool.request_due(BACKEND, now) {
+        let member = &mut self.nodes[node];
+        member.pool.set_waiting(member.waiting.len() as u32, now);
+        if let Some(request) = member.pool.request_due(BACKEND, now) {
             if let Some(issuer) = self.issuer_in_view_of(node) {
                 self.send(node, issuer, LimitMessage::Request(request));
             }
@@ -315,13 +315,13 @@
         if advertised.is_some() {
             self.first_advertised_at.get_or_insert(now);
         }
-        let one = &self.nodes[node];
+        let member = &self.nodes[node];
         let is_late = self
             .first_advertised_at
             .is_some_and(|at| at + COUNTED_AFTER <= now);
         self.arrivals.push(Arrival {
             at: now,
-            counts: is_late && one.excluded_until <= now,
+            counts: is_late && member.excluded_until <= now,
         });
         // Some answers are slow, so that answers arrive out of order.
         let longest = if self.random.gen_ratio(1, 5) {
@@ -343,8 +343,8 @@
 
 /// Maximum number of counted arrivals in any window.
 pub fn most_in_a_window(arrivals: &[Arrival]) -> usize {
-    let counted = arrivals.iter().filter(|one| one.counts);
-    let times: Vec<Millis> = counted.map(|one| one.at).collect();
+    let counted = arrivals.iter().filter(|arrival| arrival.counts);
+    let times: Vec<Millis> = counted.map(|arrival| arrival.at).collect();
     let mut first = 0;
     let mut most = 0;
     for (last, at) in times.iter().enumerate() {
--- a/crates/serving/src/batcher.rs
+++ b/crates/serving/src/batcher.rs
@@ -76,8 +76,8 @@
     NotRun,
     /// The connection failed before anything was sent.
     Unreachable,
-    /// Nothing was sent: after it was selected, the back end reported that it rests or shuts
-    /// down.
+    /// Nothing was sent: after it was selected, the back end requested a back-off or reported
+    /// that it is draining.
     BackendUnavailable,
     /// The call may have run.
     Unknown,
--- a/crates/serving/src/batcher/backend_health.rs
+++ b/crates/serving/src/batcher/backend_health.rs
@@ -13,28 +13,28 @@
 
 /// How long a back end that rejected a call, or lacked memory for a result, gets no calls, in
 /// milliseconds.
-const REFUSED_FOR: Millis = 80;
+const REJECTION_TIMEOUT: Millis = 80;
 /// How long a back end gets no calls after its first failure, in milliseconds; doubles with each
 /// further failure.
-const FAILED_FOR: Millis = 250;
-/// Maximum number of times that `FAILED_FOR` doubles.
+const FAILURE_TIMEOUT: Millis = 250;
+/// Maximum number of times that `FAILURE_TIMEOUT` doubles.
 const MAX_DOUBLINGS: u32 = 4;
 /// A call whose relative duration exceeds the recent median by this factor marks the back end as
 /// slow.
 const SLOW_FACTOR: f64 = 2.4;
 /// Number of recent calls of a service from which the median is taken.
-const REMEMBERED_CALLS: usize = 15;
+const MEDIAN_CALLS: usize = 15;
 /// How long a slow back end gets no calls, in milliseconds.
-const SLOW_FOR: Millis = 2_000;
+const SLOW_TIMEOUT: Millis = 2_000;
 
 /// How long calls to a back end count as at risk after a failure, in milliseconds.
-const AT_RISK_FOR: Millis = 1_000;
+const AT_RISK_PERIOD: Millis = 1_000;
 
 /// Health of one back end.
 #[derive(Default)]
 struct BackendHealth {
     failures: u32,
-    refused_until: Millis,
+    rejects_until: Millis,
     slow_until: Millis,
     at_risk_until: Millis,
 }
@@ -65,7 +65,7 @@
 
 impl RecentCalls {
     fn add(&mut self, share: f64) {
-        if self.shares.len() == REMEMBERED_CALLS {
+        if self.shares.len() == MEDIAN_CALLS {
             self.shares.pop_front();
         }
         self.shares.push_back(share);
@@ -74,7 +74,7 @@
     /// The median, but at least 1. While two nodes batch for a shard after a change of owner,
     /// calls queue and all get slower; and the median of a few calls could hide a second slow
     /// back end.
-    fn usual(&self) -> f64 {
+    fn normal_duration(&self) -> f64 {
         let mut sorted: Vec<f64> = self.shares.iter().copied().collect();
         sorted.sort_by(f64::total_cmp);
         let median = sorted.get(sorted.len() / 2).copied();
@@ -114,22 +114,22 @@
     }
 
     /// Records that a back end rejected a call or lacked memory for a result.
-    pub(super) fn refused(&mut self, id: &str, now: Millis) {
+    pub(super) fn record_rejection(&mut self, id: &str, now: Millis) {
         let backend = self.backends.entry(id.to_owned()).or_default();
-        backend.refused_until = backend.refused_until.max(now + REFUSED_FOR);
+        backend.rejects_until = backend.rejects_until.max(now + REJECTION_TIMEOUT);
     }
 
     /// Records that a back end was unreachable or its answer was incomplete.
-    fn failed(&mut self, call: &EndedCall<'_>, now: Millis) {
+    fn record_failure(&mut self, call: &EndedCall<'_>, now: Millis) {
         let id = call.backend;
         let backend = self.backends.entry(id.to_owned()).or_default();
         let doublings = backend.failures.min(MAX_DOUBLINGS);
-        backend.at_risk_until = now + AT_RISK_FOR;
+        backend.at_risk_until = now + AT_RISK_PERIOD;
         if !self.policy.pass_over_failing {
             return;
         }
         backend.failures += 1;
-        backend.refused_until = now + (FAILED_FOR << doublings);
+        backend.rejects_until = now + (FAILURE_TIMEOUT << doublings);
         self.record(call, "suspect");
     }
 
@@ -148,19 +148,20 @@
         let id = call.backend;
         match outcome {
             CallOutcome::BackendUnavailable => {}
-            CallOutcome::NotRun => self.refused(id, now),
-            CallOutcome::Unreachable | CallOutcome::Unknown => self.failed(call, now),
+            CallOutcome::NotRun => self.record_rejection(id, now),
+            CallOutcome::Unreachable | CallOutcome::Unknown => self.record_failure(call, now),
             CallOutcome::Answered(_) => {
                 let share = call.share();
                 let recent = self.recent.entry(call.service.to_owned()).or_default();
-                let is_slow = self.policy.pass_over_slow && share > recent.usual() * SLOW_FACTOR;
+                let is_slow =
+                    self.policy.pass_over_slow && share > recent.normal_duration() * SLOW_FACTOR;
                 recent.add(share);
                 if let Some(backend) = self.backends.get_mut(id) {
                     backend.failures = 0;
                 }
                 if is_slow {
                     let backend = self.backends.entry(id.to_owned()).or_default();
-                    backend.slow_until = now + SLOW_FOR;
+                    backend.slow_until = now + SLOW_TIMEOUT;
                     self.record(call, "slow");
                 }
             }
@@ -168,36 +169,39 @@
     }
 
     /// Milliseconds until the first back end of a shard may get calls again; 0 if one may now.
-    pub(super) fn refusing_ms(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> u32 {
-        let staying = table
+    pub(super) fn rejecting_ms(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> u32 {
+        let accepting = table
             .of_shard(shard)
             .filter(|instance| instance.accepts_new_work());
-        let until = staying.map(|instance| {
+        let until = accepting.map(|instance| {
             let backend = self.backends.get(&instance.listed.id);
-            backend.map_or(0, |backend| backend.refused_until.saturating_sub(now))
+            backend.map_or(0, |backend| backend.rejects_until.saturating_sub(now))
         });
         until.min().unwrap_or_default() as u32
     }
 
-    /// Milliseconds until the first back end of a shard has ended its rest and this node has a
+    /// Milliseconds until the first back end of a shard has ended its back-off and this node has a
     /// permit for it; 0 if one is available.
     pub(super) fn backoff_ms(&self, shard: &Shard, table: &InstanceTable, now: Millis) -> Millis {
-        let mut first_back = None;
+        let mut earliest_ms = None;
         for backend in table
             .of_shard(shard)
             .filter(|instance| instance.accepts_new_work())
         {
             match backend.wait_ms(now) {
                 0 => return 0,
-                left => first_back = Some(first_back.map_or(left, |known: Millis| known.min(left))),
+                remaining => {
+                    earliest_ms =
+                        Some(earliest_ms.map_or(remaining, |known: Millis| known.min(remaining)))
+                }
             }
         }
-        first_back.unwrap_or_default()
+        earliest_ms.unwrap_or_default()
     }
 
-    fn is_refusing(&self, id: &str, now: Millis) -> bool {
+    fn is_rejecting(&self, id: &str, now: Millis) -> bool {
         let backend = self.backends.get(id);
-        backend.is_some_and(|backend| backend.refused_until > now)
+        backend.is_some_and(|backend| backend.rejects_until > now)
     }
 
     fn is_slow(&self, id: &str, now: Millis) -> bool {
@@ -227,18 +231,18 @@
         let usable = admitted().filter(|instance| instance.is_usable(now));
         let mut all: Vec<&str> = usable.map(|instance| instance.listed.id.as_str()).collect();
         if all.is_empty() {
-            let at_last = admitted().filter(|instance| instance.is_usable_as_last_resort(now));
-            all.extend(at_last.map(|instance| instance.listed.id.as_str()));
+            let last_resort = admitted().filter(|instance| instance.is_usable_as_last_resort(now));
+            all.extend(last_resort.map(|instance| instance.listed.id.as_str()));
         }
-        let quick = all.iter().copied().filter(|id| !self.is_slow(id, now));
-        let quick: Vec<&str> = quick.collect();
-        let considered = if quick.len() * 2 >= all.len() {
-            quick
+        let not_slow = all.iter().copied().filter(|id| !self.is_slow(id, now));
+        let not_slow: Vec<&str> = not_slow.collect();
+        let considered = if not_slow.len() * 2 >= all.len() {
+            not_slow
         } else {
             all
         };
         let mut usable = considered;
-        usable.retain(|id| !self.is_refusing(id, now));
+        usable.retain(|id| !self.is_rejecting(id, now));
         usable
     }
 
@@ -297,7 +301,7 @@
     /// Removes back ends that are unlisted or healthy, to keep lookups cheap.
     pub(super) fn forget_healthy(&mut self, table: &InstanceTable, now: Millis) {
         let is_relevant = |backend: &BackendHealth| {
-            let until = backend.refused_until.max(backend.slow_until);
+            let until = backend.rejects_until.max(backend.slow_until);
             backend.failures > 0 || until.max(backend.at_risk_until) > now
         };
         self.backends
--- a/crates/serving/src/batcher/estimate.rs
+++ b/crates/serving/src/batcher/estimate.rs
@@ -102,9 +102,9 @@
             return 0;
         };
         let waiting = self.waiting_of(shard).map(Order::waiting_pieces).sum();
-        let refusing = self.backends.refusing_ms(shard, table, now);
+        let rejecting_ms = self.backends.rejecting_ms(shard, table, now);
         let queue = self.throughput_of(shard, spec, table, now).time_of(waiting);
-        queue.saturating_add(refusing)
+        queue.saturating_add(rejecting_ms)
     }
 
     fn throughput_of(
@@ -122,8 +122,8 @@
             true => call_ms(spec, spec.pieces) / (backends + 1) as f64,
             false => 0.0,
         };
-        let rest = self.backends.backoff_ms(shard, table, now) as f64;
-        let until_free = until_free.max(rest);
+        let backoff_ms = self.backends.backoff_ms(shard, table, now) as f64;
+        let until_free = until_free.max(backoff_ms);
         let pieces_of_call = spec.pieces as f64 * self.averages_of(shard).fill_ratio;
         let call = spec.call_ms + spec.piece_ms * pieces_of_call;
         let of_limited = self.backends.limited_calls_per_ms(shard, call, table);
@@ -144,14 +144,14 @@
     /// Updates the averages with the size of a call. `is_limited` tells that more pieces were
     /// waiting, so that result memory may have limited the call.
     pub(super) fn record_call_size(&mut self, shard: &Shard, pieces: usize, is_limited: bool) {
-        let most = self.specs[&shard.service].pieces.max(1);
-        let seen = match is_limited {
-            true => (pieces as f64 / most as f64).clamp(MIN_FILL_RATIO, 1.0),
+        let max_pieces = self.specs[&shard.service].pieces.max(1);
+        let fill_ratio = match is_limited {
+            true => (pieces as f64 / max_pieces as f64).clamp(MIN_FILL_RATIO, 1.0),
             false => 1.0,
         };
         let weight = if is_limited { 0.2 } else { 0.05 };
         let mut averages = self.averages_of(shard);
-        averages.fill_ratio += weight * (seen - averages.fill_ratio);
+        averages.fill_ratio += weight * (fill_ratio - averages.fill_ratio);
         averages.pieces += SIZE_WEIGHT * (pieces as f64 - averages.pieces);
         self.call_averages.insert(shard.clone(), averages);
     }
--- a/crates/serving/src/batcher/outcomes.rs
+++ b/crates/serving/src/batcher/outcomes.rs
@@ -114,7 +114,7 @@
                 None
             }
             Err(PieceFailure::NoRoom) => {
-                self.backends.refused(backend, now);
+                self.backends.record_rejection(backend, now);
                 order.requeue(index, false, MAX_CALLS_OF_PIECE)
             }
             Err(PieceFailure::Failed) => order.requeue(index, true, MAX_CALLS_OF_PIECE),
@@ -189,20 +189,21 @@
     }
 
     /// Fails the waiting orders whose deadline passes before any back end of their shard ends
-    /// its rest, so that submitters learn it at once.
+    /// its back-off, so that submitters learn it at once.
     pub fn reject_orders_delayed_by_backoff(
         &mut self,
         table: &InstanceTable,
         now: Millis,
     ) -> Vec<FinishedOrder> {
-        let rests = self.shards.keys().map(|shard| {
-            let rest = self.backends.backoff_ms(shard, table, now);
-            (shard.clone(), rest)
+        let backoffs = self.shards.keys().map(|shard| {
+            let backoff_ms = self.backends.backoff_ms(shard, table, now);
+            (shard.clone(), backoff_ms)
         });
-        let rests: BTreeMap<Shard, Millis> = rests.filter(|(_, rest)| *rest > 0).collect();
+        let backoffs: BTreeMap<Shard, Millis> =
+            backoffs.filter(|(_, backoff_ms)| *backoff_ms > 0).collect();
         let is_too_late = |order: &Order| {
-            let rest = rests.get(&order.work.shard).copied();
-            rest.is_some_and(|rest| now.saturating_add(rest) >= order.deadline)
+            let backoff_ms = backoffs.get(&order.work.shard).copied();
+            backoff_ms.is_some_and(|backoff_ms| now.saturating_add(backoff_ms) >= order.deadline)
         };
         let orders = self.orders.iter().filter(|(_, order)| order.is_waiting());
         let ended = orders.filter(|(_, order)| is_too_late(order));
--- a/crates/serving/src/dispatcher.rs
+++ b/crates/serving/src/dispatcher.rs
@@ -230,7 +230,7 @@
         }
         let is_quarantined = self.quarantine.refuses(&request.fingerprint);
         let lacks_allowed_backends = self.lacks_allowed_backends(&request);
-        let refused = self.admission.refuses(&request, now);
+        let refused = self.admission.rejects(&request, now);
         let available_at = self.too_late_available_at(&request, now);
         self.admission.store_forecasts(&mut request, now);
         self.requests.insert(number, request);
--- a/crates/serving/src/dispatcher/action.rs
+++ b/crates/serving/src/dispatcher/action.rs
@@ -101,7 +101,8 @@
 pub enum NotRunReason {
     /// The connection failed before anything was sent.
     Unreachable,
-    /// Nothing was sent: after it was selected, the engine reported that it rests or shuts down.
+    /// Nothing was sent: after it was selected, the engine requested a back-off or reported that
+    /// it is draining.
     BackendUnavailable,
     /// The engine reported itself full.
     Full,
--- a/crates/serving/src/dispatcher/admission.rs
+++ b/crates/serving/src/dispatcher/admission.rs
@@ -62,8 +62,8 @@
     pub(super) fn record_first_part(&mut self, route: &str, after: Millis) {
         let mean = self.first_part_averages.get(route).copied();
         let mean = mean.unwrap_or(INITIAL_FIRST_PART_MS);
-        let seen = (after as f64).min(MAX_FIRST_PART_MS);
-        let next = mean + FIRST_PART_WEIGHT * (seen - mean);
+        let measured = (after as f64).min(MAX_FIRST_PART_MS);
+        let next = mean + FIRST_PART_WEIGHT * (measured - mean);
         self.first_part_averages.insert(route.to_owned(), next);
     }
 
@@ -98,10 +98,10 @@
         let known = self.errors.get(service).copied();
         let mean = known.map_or(0.0, |error| error.present(now));
         // The forecast included the error known at that time.
-        let seen = took as f64 - forecast as f64;
-        let seen = seen.clamp(-MAX_ERROR_MS, MAX_ERROR_MS);
+        let error = took as f64 - forecast as f64;
+        let error = error.clamp(-MAX_ERROR_MS, MAX_ERROR_MS);
         let next = ForecastError {
-            mean: (mean + ERROR_WEIGHT * seen).clamp(0.0, MAX_ERROR_MS),
+            mean: (mean + ERROR_WEIGHT * error).clamp(0.0, MAX_ERROR_MS),
             at: now,
         };
         self.errors.insert(service.to_owned(), next);
@@ -118,7 +118,7 @@
 
     /// `Retry-After` in milliseconds of a request that is expected to miss its objective; none
     /// if it is admitted.
-    pub(super) fn refuses(&self, request: &ActiveRequest, now: Millis) -> Option<u64> {
+    pub(super) fn rejects(&self, request: &ActiveRequest, now: Millis) -> Option<u64> {
         if !self.policy.chain_admission {
             return None;
         }
--- a/crates/serving/src/dispatcher/backoff.rs
+++ b/crates/serving/src/dispatcher/backoff.rs
@@ -1,6 +1,6 @@
-//! Requests without an available engine, because all rest or this node lacks permits: they wait
-//! for the first engine that is available in time, or are rejected at once with the time of its
-//! return.
+//! Requests without an available engine, because all are in back-off or this node lacks permits: they
+//! wait for the first engine that is available in time, or are rejected at once with the time at
+//! which it is available.
 
 use super::request::ActiveRequest;
 use super::sending::send_hash;
@@ -11,8 +11,8 @@
 use silversail_decisions::Event;
 use silversail_model::ResultCode;
 
-/// Maximum `Retry-After` in milliseconds: whether an engine returns from a longer rest is
-/// uncertain.
+/// Maximum `Retry-After` in milliseconds: whether an engine is available after a longer
+/// back-off is uncertain.
 const MAX_RETRY_AFTER: Millis = 3_600_000;
 
 /// The engine that is available first.
@@ -69,19 +69,20 @@
         }
     }
 
-    /// Rejects a request that no engine will take in time, with the time of the first engine's
-    /// return.
+    /// Rejects a request that no engine will take in time, with the time at which the
+    /// first engine is available.
     pub(super) fn reject_until(
         &mut self,
         number: RequestNumber,
         available_at: Millis,
         now: Millis,
     ) -> Vec<Action> {
-        let back_in = available_at.saturating_sub(now);
-        let retry_after = (back_in <= MAX_RETRY_AFTER).then_some(back_in);
+        let available_in = available_at.saturating_sub(now);
+        let retry_after = (available_in <= MAX_RETRY_AFTER).then_some(available_in);
         let request = self.requests.get(&number);
-        let rests = |engine: &Instance| engine.is_in_backoff(now) || engine.is_probe_pending(now);
-        let code = match request.is_some_and(|request| self.engines_of(request).any(rests)) {
+        let is_waiting =
+            |engine: &Instance| engine.is_in_backoff(now) || engine.is_probe_pending(now);
+        let code = match request.is_some_and(|request| self.engines_of(request).any(is_waiting)) {
             true => ResultCode::BackendsResting,
             false => ResultCode::BackendsLimited,
         };
@@ -114,7 +115,7 @@
     }
 
     /// When the first matching engine becomes available; none if one is available now, or none
-    /// rests or is rate-limited.
+    /// is in back-off or rate-limited.
     fn available_at(
         &self,
         request: &ActiveRequest,
@@ -186,8 +187,8 @@
             .collect()
     }
 
-    /// Selects another engine after the selected one reported that it rests or shuts down.
-    /// Nothing was sent, so that no attempt is counted.
+    /// Selects another engine after the selected one requested a back-off or reported
+    /// that it is draining. Nothing was sent, so that no attempt is counted.
     pub(super) fn select_again(&mut self, number: RequestNumber, now: Millis) -> Vec<Action> {
         if let Some(request) = self.requests.get_mut(&number) {
             request.sends = request.sends.saturating_sub(1);
--- a/crates/serving/src/instances.rs
+++ b/crates/serving/src/instances.rs
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Sets how this node resumes sending to back ends after rests.
+    /// Sets how this node resumes sending to back ends after a back-off.
     pub fn set_resume_policy(&mut self, resume_policy: ResumePolicy) {
         self.resume_policy = resume_policy;
         self.plan_resumption();
--- a/crates/serving/src/instances/instance.rs
+++ b/crates/serving/src/instances/instance.rs
@@ -12,7 +12,7 @@
 const REPORT_LIFETIME: Millis = 4_000;
 /// How long a reported processing time is valid, in milliseconds; it changes many times per second.
 const PROCESSING_TIME_LIFETIME: Millis = 300;
-/// How long the probe after a rest keeps other requests of this node away while it is
+/// How long the probe after a back-off keeps other requests of this node away while it is
 /// unanswered, in milliseconds.
 const PROBE_TIMEOUT: Millis = 1_000;
 
@@ -42,13 +42,13 @@
     pub(super) failures: u32,
     pub(super) suspect_until: Millis,
     pub(super) full_until: Millis,
-    /// Until when it counts as gone because another one answered at its address.
+    /// Until when it counts as removed because another one answered at its address.
     pub(super) address_mismatch_until: Millis,
     /// Its self-reports.
     pub(super) notice: Arc<BackendNotice>,
-    /// How this node resumes sending to it after a rest.
+    /// How this node resumes sending to it after a back-off.
     pub(super) resume_plan: ResumePlan,
-    /// When this node sent the probe after a rest; none if none was sent.
+    /// When this node sent the probe after a back-off; none if none was sent.
     pub(super) probe_sent_at: Option<Millis>,
 }
 
@@ -80,8 +80,8 @@
     }
 
     /// Whether it may get new work in principle: it is not shutting down, by the list or its own
-    /// report, its zone is not evacuated and its version is not retired. A resting back end may,
-    /// later.
+    /// report, its zone is not evacuated and its version is not retired. A back end in back-off
+    /// may, later.
     pub fn accepts_new_work(&self) -> bool {
         let is_draining = self.listed.draining || self.notice.is_draining();
         !is_draining && !self.is_evacuated && self.role != VersionRole::Retired
@@ -92,18 +92,18 @@
         self.notice.is_draining()
     }
 
-    /// Whether it has asked for a rest that has not ended.
+    /// Whether it has requested a back-off that has not ended.
     pub fn is_in_backoff(&self, now: Millis) -> bool {
         self.notice.is_in_backoff(now)
     }
 
-    /// Milliseconds until its rest ends; 0 if it does not rest.
+    /// Milliseconds until its back-off ends; 0 if it is not in back-off.
     pub fn backoff_ms_left(&self, now: Millis) -> Millis {
         self.notice.backoff_until().saturating_sub(now)
     }
 
-    /// When it can be selected again, by its own reports; none if it can be now. After a rest a
-    /// probe goes first, so that a rejection costs one request only.
+    /// When it can be selected again, by its own reports; none if it can be now. After a back-off
+    /// a probe goes first, so that a rejection costs one request only.
     pub fn available_at(&self, now: Millis) -> Option<Millis> {
         let backoff_until = self
             .notice
@@ -124,7 +124,7 @@
         self.notice.limit()
     }
 
-    /// Milliseconds until its rest has ended and this node has a permit for it; 0 if both hold.
+    /// Milliseconds until its back-off has ended and this node has a permit for it; 0 if both hold.
     pub fn wait_ms(&self, now: Millis) -> Millis {
         let permit_at = self.notice.permit_at(now).unwrap_or(0);
         self.backoff_ms_left(now).max(permit_at.saturating_sub(now))
@@ -154,7 +154,7 @@
         self.notice.permit_expected_at(place, now)
     }
 
-    /// Whether its rest has ended but this node still delays its resumption, to spread the
+    /// Whether its back-off has ended but this node still delays its resumption, to spread the
     /// nodes. It may then be used as a last resort.
     pub fn is_return_delayed(&self, now: Millis) -> bool {
         let delay = self.resume_plan.delay(self.notice.backoff_ms());
@@ -175,7 +175,7 @@
         self.role
     }
 
-    /// Whether a probe after a rest is unanswered.
+    /// Whether a probe after a back-off is unanswered.
     pub fn is_probe_pending(&self, now: Millis) -> bool {
         now < self.probe_pending_until(now)
     }
--- a/crates/serving/src/instances/resume.rs
+++ b/crates/serving/src/instances/resume.rs
@@ -1,19 +1,19 @@
-//! How a node resumes sending after a back end asked for a rest. All nodes hear the same end of
-//! the rest, and would resume at the same time.
+//! How a node resumes sending after a back end requested a back-off. All nodes receive the same
+//! end of the back-off, and would resume at the same time.
 
 use crate::Millis;
 use serde::Deserialize;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-/// Resumption of requests to back ends after rests.
+/// Resumption of requests to back ends after a back-off.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ResumePolicy {
-    /// Whether one request goes first as a probe, and the others once its answer asks for no
-    /// further rest.
+    /// Whether one request goes first as a probe, and the others once its answer requests no
+    /// further back-off.
     pub first_alone: bool,
-    /// Share of the length of a rest over which the nodes spread their resumption after its end.
+    /// Share of the length of a back-off over which the nodes spread their resumption after its end.
     pub spread: f64,
 }
 
@@ -31,14 +31,14 @@
 pub(super) struct ResumePlan {
     /// Whether a probe request goes first.
     pub(super) first_alone: bool,
-    /// Delay after the end of a rest, as a share of its length.
+    /// Delay after the end of a back-off, as a share of its length.
     delay_share: f64,
 }
 
 impl ResumePlan {
-    /// Delay in milliseconds after the end of a rest that lasted `rest` milliseconds.
-    pub(super) fn delay(&self, rest: Millis) -> Millis {
-        (rest as f64 * self.delay_share) as Millis
+    /// Delay in milliseconds after the end of a back-off that lasted `backoff` milliseconds.
+    pub(super) fn delay(&self, backoff: Millis) -> Millis {
+        (backoff as f64 * self.delay_share) as Millis
     }
 }
 
--- a/crates/serving/src/notices.rs
+++ b/crates/serving/src/notices.rs
@@ -1,8 +1,8 @@
-//! State that back ends advertise in their answers: back-off periods (rests), draining (leaving)
-//! and rate limits for all nodes together.
+//! State that back ends advertise in their answers: back-off periods, draining and rate
+//! limits for all nodes together.
 //!
 //! The state is independent of the list of back ends, which lags by seconds: neither a list nor an
-//! answer without the state clears it. A rest ends when its time has passed; a draining back end
+//! answer without the state clears it. A back-off ends when its time has passed; a draining back end
 //! stays so until it restarts under a new identity. Threads that read answers record the state
 //! before the next send.
 
@@ -80,7 +80,7 @@
 /// Changes that a [`SelfReport`] made to the known state of a back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SelfReportChanges {
-    /// The back end requested a rest that ends later than all before.
+    /// The back end requested a back-off that ends later than all before.
     pub is_longer_backoff: bool,
     /// The back end announced for the first time that it is draining.
     pub is_draining: bool,
@@ -113,7 +113,7 @@
 #[derive(Default)]
 struct Entry {
     notice: Arc<BackendNotice>,
-    /// Whether the start of a rest was logged and its end was not.
+    /// Whether the start of a back-off was logged and its end was not.
     backoff_is_logged: bool,
 }
 
@@ -145,7 +145,7 @@
 #[derive(Clone)]
 pub struct BackendNotices {
     entries: Arc<Mutex<Entries>>,
-    /// Number of entries with a rest whose end is not logged yet; lets the check skip the lock.
+    /// Number of entries with a back-off whose end is not logged yet; lets the check skip the lock.
     backoffs_to_log: Arc<AtomicUsize>,
     /// Number of back ends with a rate limit.
     limits: Arc<AtomicUsize>,
@@ -178,7 +178,7 @@
         self.lock().entry(id).notice.clone()
     }
 
-    /// Records state that a back end advertised at `now`. Of several rests the latest end applies.
+    /// Records state that a back end advertised at `now`. Of several back-offs the latest end applies.
     pub fn record_report(
         &self,
         id: &str,
@@ -254,7 +254,7 @@
         }
     }
 
-    /// Back ends that rest at `now`, each with the remaining milliseconds.
+    /// Back ends in back-off at `now`, each with the remaining milliseconds.
     pub fn in_backoff(&self, now: Millis) -> Vec<(InstanceId, Millis)> {
         let entries = self.lock();
         let in_backoff = entries
@@ -276,7 +276,7 @@
         draining.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Logs the rests that have ended by `now`.
+    /// Logs the back-offs that have ended by `now`.
     pub fn log_ended_backoffs(&self, now: Millis) {
         if self.backoffs_to_log.load(Ordering::Acquire) == 0 {
             return;
--- a/crates/serving/src/notices/backend_notice.rs
+++ b/crates/serving/src/notices/backend_notice.rs
@@ -19,12 +19,12 @@
 }
 
 impl BackendNotice {
-    /// End of its rest in milliseconds of the local clock; in the past if it does not rest.
+    /// End of its back-off in milliseconds of the local clock; in the past if it is not in back-off.
     pub fn backoff_until(&self) -> Millis {
         self.backoff_until.load(Ordering::Acquire)
     }
 
-    /// Length of the rest that ends last, in milliseconds; 0 if it never requested one.
+    /// Length of the back-off that ends last, in milliseconds; 0 if it never requested one.
     pub fn backoff_ms(&self) -> Millis {
         self.backoff_ms.load(Ordering::Acquire)
     }
@@ -34,12 +34,12 @@
         now < self.backoff_until()
     }
 
-    /// Whether it requested a rest and has not answered since the end of it.
+    /// Whether it requested a back-off and has not answered since the end of it.
     pub fn had_backoff(&self) -> bool {
         self.had_backoff.load(Ordering::Acquire)
     }
 
-    /// Whether its rest has ended and it has not answered since.
+    /// Whether its back-off has ended and it has not answered since.
     pub fn is_unproven(&self, now: Millis) -> bool {
         self.had_backoff() && !self.is_in_backoff(now)
     }
--- a/crates/serving/src/notices/limits.rs
+++ b/crates/serving/src/notices/limits.rs
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     ///
-    /// If the back end rests or drains, or no permit is available.
+    /// If the back end is in back-off or drains, or no permit is available.
     pub fn admit(&self, id: &str, now: Millis) -> Result<Option<Permit>, UnavailableReason> {
         let notice = self.of(id);
         if let Some(reason) = notice.unavailable_reason(now) {
--- a/crates/serving/src/policy.rs
+++ b/crates/serving/src/policy.rs
@@ -17,7 +17,7 @@
 const MAX_ZONE_WAIT_MS: u64 = 2_000;
 /// Valid range of `prefill_tokens_per_ms`, in tokens per millisecond.
 const PREFILL_SPEEDS: std::ops::RangeInclusive<f64> = 0.1..=10_000.0;
-/// Valid range of `returns.spread`, as a fraction of the rest.
+/// Valid range of `returns.spread`, as a fraction of the back-off.
 const SPREADS: std::ops::RangeInclusive<f64> = 0.0..=3.0;
 /// Upper bound of `return_latest_ms`, in milliseconds.
 const MAX_RETURN_MS: u64 = 10_000;
@@ -62,7 +62,7 @@
     pub prefill_tokens_per_ms: f64,
     /// Policy for cold back ends.
     pub cold_use: ColdBackendPolicy,
-    /// Spreading of the nodes' return to a back end after its rest, which avoids a burst.
+    /// Spreading of the nodes' return to a back end after its back-off, which avoids a burst.
     pub returns: ResumePolicy,
     /// Fraction of the back ends' capacity that calls fill.
     pub room_share: f64,
--- a/crates/serving/src/selection.rs
+++ b/crates/serving/src/selection.rs
@@ -92,10 +92,10 @@
             break;
         }
         for cold_filter in ColdFilter::of(request.cold_use) {
-            let fits = |one: &Instance| {
-                request.allows(one)
-                    && eligibility.fits(one, request.tried, now)
-                    && cold_filter.fits(table, one, now)
+            let fits = |instance: &Instance| {
+                request.allows(instance)
+                    && eligibility.fits(instance, request.tried, now)
+                    && cold_filter.fits(table, instance, now)
             };
             let choices: Vec<RegionChoice> = regions
                 .iter()
@@ -123,7 +123,7 @@
 enum Eligibility {
     /// Usable at present.
     Usable,
-    /// Its rest has ended, and this node's delayed return to it is still pending.
+    /// Its back-off has ended, and this node's delayed return to it is still pending.
     Returning,
     /// It failed recently, and this request has not tried it.
     FailedUntried,
@@ -147,16 +147,18 @@
         !matches!(self, Self::Usable | Self::Returning)
     }
 
-    fn fits(self, one: &Instance, tried: &[String], now: Millis) -> bool {
-        let is_untried = || !tried.contains(&one.listed.id);
+    fn fits(self, instance: &Instance, tried: &[String], now: Millis) -> bool {
+        let is_untried = || !tried.contains(&instance.listed.id);
         match self {
-            Self::Usable => one.is_usable(now) && is_untried(),
+            Self::Usable => instance.is_usable(now) && is_untried(),
             Self::Returning => {
-                one.is_return_delayed(now) && one.is_usable_as_last_resort(now) && is_untried()
+                instance.is_return_delayed(now)
+                    && instance.is_usable_as_last_resort(now)
+                    && is_untried()
             }
-            Self::FailedUntried => one.may_be_retried(now) && is_untried(),
-            Self::TriedBefore => one.is_usable(now),
-            Self::LastResort => one.is_usable_as_last_resort(now),
+            Self::FailedUntried => instance.may_be_retried(now) && is_untried(),
+            Self::TriedBefore => instance.is_usable(now),
+            Self::LastResort => instance.is_usable_as_last_resort(now),
         }
     }
 }
@@ -182,11 +184,11 @@
         }
     }
 
-    fn fits(self, table: &InstanceTable, one: &Instance, now: Millis) -> bool {
+    fn fits(self, table: &InstanceTable, instance: &Instance, now: Millis) -> bool {
         match self {
             Self::Any => true,
-            Self::Warm => !table.is_limited(one, now),
-            Self::WithinLimit => table.cold_limit_allows(one, now),
+            Self::Warm => !table.is_limited(instance, now),
+            Self::WithinLimit => table.cold_limit_allows(instance, now),
         }
     }
 }
@@ -208,17 +210,17 @@
         });
     };
     let least_utilization = least.utilization(now);
-    let accepts = |one: &&Instance| {
-        let utilization = one.utilization(now);
+    let accepts = |instance: &&Instance| {
+        let utilization = instance.utilization(now);
         utilization <= AFFINITY_UTILIZATION || utilization <= least_utilization + AFFINITY_SLACK
     };
     let ranked = table
         .ranked(request.service, affinity)
-        .filter(|one| zones.contains(&one.listed.zone.as_str()) && fits(one));
+        .filter(|instance| zones.contains(&instance.listed.zone.as_str()) && fits(instance));
     let mut first = ranked.take(MAX_RANKED).enumerate();
-    let affine = first.find(|(_, one)| accepts(one));
+    let affine = first.find(|(_, instance)| accepts(instance));
     Some(RegionChoice {
-        chosen: affine.map_or(least, |(_, one)| one),
+        chosen: affine.map_or(least, |(_, instance)| instance),
         is_home: affine.is_some_and(|(position, _)| position == 0),
     })
 }
@@ -237,10 +239,10 @@
         true => Vec::new(),
         false => sample(table, zones, request, fits),
     };
-    let busyness = |one: &Instance| {
+    let busyness = |instance: &Instance| {
         (
-            cost(one, request, now),
-            rendezvous_hash(request.random_seed, &one.listed.id),
+            cost(instance, request, now),
+            rendezvous_hash(request.random_seed, &instance.listed.id),
         )
     };
     let is_less = |left: &&Instance, right: &&Instance| {
@@ -251,7 +253,7 @@
         let of_zones = zones
             .iter()
             .flat_map(|zone| table.in_zone(request.service, zone));
-        of_zones.filter(|one| fits(one)).min_by(is_less)
+        of_zones.filter(|instance| fits(instance)).min_by(is_less)
     })
 }
 
@@ -267,7 +269,7 @@
     let draw_in = |zone: &str, draw| {
         let value = random_value(request.random_seed, draw);
         let drawn = table.random_in_zone(request.service, zone, value);
-        drawn.filter(|one| fits(one))
+        drawn.filter(|instance| fits(instance))
     };
     let from_local_zone = sampled_zone
         .into_iter()
--- a/crates/serving/tests/batcher.rs
+++ b/crates/serving/tests/batcher.rs
@@ -47,7 +47,7 @@
     let finished = batcher.call_ended(second[0].call, made(&second[0]), 600);
     let handles = finished[0].result.clone().expect("made");
     let expected: Vec<String> = (0..11).map(|index| format!("s1:80/r1-{index}")).collect();
-    let names: Vec<&str> = handles.iter().map(|one| one.0.as_str()).collect();
+    let names: Vec<&str> = handles.iter().map(|handle| handle.0.as_str()).collect();
     assert_eq!(names, expected);
 }
 
@@ -385,7 +385,11 @@
             .expect("accepted");
     }
     let calls = batcher.next_calls(&table, 0);
-    let zone_of = |backend: &str| table.get(backend).map(|one| one.listed.zone.clone());
+    let zone_of = |backend: &str| {
+        table
+            .get(backend)
+            .map(|instance| instance.listed.zone.clone())
+    };
     let mut made_in: Vec<(Option<String>, &str)> = calls
         .iter()
         .map(|call| (zone_of(&call.instance), call.pieces[0].0.request.as_str()))
--- a/crates/serving/tests/cold.rs
+++ b/crates/serving/tests/cold.rs
@@ -125,7 +125,7 @@
     let chosen = |tables: &[InstanceTable]| -> Vec<Option<String>> {
         let choose = |table| select(table, &request(ColdBackendPolicy::Limited), 0);
         let all = tables.iter().map(choose);
-        all.map(|one| one.map(|instance| instance.listed.id.clone()))
+        all.map(|chosen| chosen.map(|instance| instance.listed.id.clone()))
             .collect()
     };
     let alone = chosen(&tables_with(&[("cold", true)]));
--- a/crates/serving/tests/common/versions.rs
+++ b/crates/serving/tests/common/versions.rs
@@ -16,7 +16,10 @@
     Directive {
         step,
         canary_permille,
-        moved_routes: moved_routes.iter().map(|one| (*one).to_owned()).collect(),
+        moved_routes: moved_routes
+            .iter()
+            .map(|route| (*route).to_owned())
+            .collect(),
     }
 }
 
@@ -55,7 +58,7 @@
 
 pub fn completed(former: &[&str]) -> RolloutState {
     RolloutState::Completed {
-        former_versions: former.iter().map(|one| (*one).to_owned()).collect(),
+        former_versions: former.iter().map(|version| (*version).to_owned()).collect(),
         verdict: verdict(),
     }
 }
--- a/crates/serving/tests/dispatcher.rs
+++ b/crates/serving/tests/dispatcher.rs
@@ -176,7 +176,7 @@
     let mut listed = instances();
     listed
         .iter_mut()
-        .for_each(|one| one.draining = one.id == "g1");
+        .for_each(|entry| entry.draining = entry.id == "g1");
     dispatcher.instances.replace_list(&listed);
     for number in 0..20 {
         let actions =
@@ -354,7 +354,7 @@
         dispatcher
             .instances
             .get(&plan.instance)
-            .map(|one| one.in_flight),
+            .map(|instance| instance.in_flight),
         Some(1)
     );
     dispatcher.caller_disconnected(1, 5);
@@ -362,7 +362,7 @@
         dispatcher
             .instances
             .get(&plan.instance)
-            .map(|one| one.in_flight),
+            .map(|instance| instance.in_flight),
         Some(0)
     );
     // A later outcome of the send is ignored.
--- a/crates/serving/tests/selection.rs
+++ b/crates/serving/tests/selection.rs
@@ -112,7 +112,10 @@
     listed[0].address = "e1:80".into();
     assert!(table.replace_list(&listed));
     assert!(table.get("e1").is_none());
-    assert_eq!(table.at_address("e1:80").map(|one| one.in_flight), Some(0));
+    assert_eq!(
+        table.at_address("e1:80").map(|instance| instance.in_flight),
+        Some(0)
+    );
     // The end of a request to the former process changes nothing.
     table.record_ended("e1", 10);
 }
