--- a/crates/daemon/src/gateway/limits.rs
+++ b/crates/daemon/src/gateway/limits.rs
@@ -104,7 +104,7 @@
         self.setup.notices.apply_grant(from.as_str(), grant, now);
         let sent = self.dispatcher.send_waiting(now);
         self.carry_out(sent, now);
-        let refused = self.dispatcher.refuse_without_permit(&grant.backend, now);
+        let refused = self.dispatcher.reject_without_permit(&grant.backend, now);
         self.carry_out(refused, now);
     }
 
--- a/crates/serving/src/dispatcher/limits.rs
+++ b/crates/serving/src/dispatcher/limits.rs
@@ -51,7 +51,7 @@
 
     /// Rejects the requests that are not expected to get a permit in time. The most urgent ones
     /// get the first permits.
-    pub fn refuse_without_permit(&mut self, engine: &str, now: Millis) -> Vec<Action> {
+    pub fn reject_without_permit(&mut self, engine: &str, now: Millis) -> Vec<Action> {
         let waiting = self.requests.iter();
         let waiting = waiting.filter(|(_, request)| request.waits_for.as_deref() == Some(engine));
         let mut waiting: Vec<(u8, Millis, RequestNumber)> = waiting
--- a/crates/serving/tests/limits.rs
+++ b/crates/serving/tests/limits.rs
@@ -207,7 +207,7 @@
             let waiting = BTreeMap::from([(engine.clone(), count)]);
             notices.permit_requests(&waiting, 10);
             notices.apply_grant("n2", &grant(&engine, 10, 0, 8_000), 20);
-            refused.extend(refusals(&dispatcher.refuse_without_permit(&engine, 20)));
+            refused.extend(refusals(&dispatcher.reject_without_permit(&engine, 20)));
         }
         assert!(!refused.is_empty());
         for (number, refusal) in &refused {
