--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -41,13 +41,23 @@
     /// A message that names the invalid value.
     pub fn validate(&self) -> Result<(), String> {
         if self.heartbeat_interval == 0 || self.heartbeat_interval * 3 > self.election_timeout {
-            return Err("election_timeout must be at least 3 heartbeat_interval".into());
+            return Err(format!(
+                "election_timeout is {} ms; it must be at least 3 times heartbeat_interval, which is {} ms \
+                 and must be above 0",
+                self.election_timeout, self.heartbeat_interval
+            ));
         }
         if self.lease_duration >= self.election_timeout {
-            return Err("lease_duration must be below election_timeout".into());
+            return Err(format!(
+                "lease_duration is {} ms; it must be below election_timeout, {} ms",
+                self.lease_duration, self.election_timeout
+            ));
         }
         if self.max_append_entries == 0 || self.max_in_flight == 0 {
-            return Err("append limits must be at least 1".into());
+            return Err(format!(
+                "max_append_entries is {} and max_in_flight is {}; both must be at least 1",
+                self.max_append_entries, self.max_in_flight
+            ));
         }
         Ok(())
     }
--- a/crates/control/src/compression.rs
+++ b/crates/control/src/compression.rs
@@ -53,7 +53,7 @@
         Ok(size) if size <= MAX_DECOMPRESSED_BYTES => Ok(size),
         _ => Err(io::Error::new(
             io::ErrorKind::InvalidData,
-            "decompressed size is unknown or exceeds 64 MiB",
+            "compressed data states no decompressed size, or one above 64 MiB",
         )),
     }
 }
--- a/crates/control/src/traffic_update.rs
+++ b/crates/control/src/traffic_update.rs
@@ -29,10 +29,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TrafficUpdateError {
     /// The update applies to a version that the node does not have.
-    #[error("traffic update for base version {0} does not match the current version")]
+    #[error(
+        "traffic update applies to version {0}, which is not the current version of this node"
+    )]
     BaseMismatch(TrafficVersion),
     /// The update cannot be decompressed or decoded.
-    #[error("traffic update cannot be decompressed or decoded")]
+    #[error("traffic update cannot be decompressed or decoded, or contains another version than it states")]
     Malformed,
 }
 
--- a/crates/control/src/view_update.rs
+++ b/crates/control/src/view_update.rs
@@ -35,7 +35,9 @@
 
 /// Error of an incremental update whose base is not the version of the current view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("view update for base {base:?} cannot be applied to current view {current:?}")]
+#[error(
+    "view update applies to version {base:?}, but the current version of this node is {current:?}"
+)]
 pub struct ViewBaseMismatch {
     /// Version of the current view.
     pub current: ViewVersion,
--- a/crates/control/tests/evidence_table.rs
+++ b/crates/control/tests/evidence_table.rs
@@ -20,14 +20,14 @@
 }
 
 fn evidence(step: u32, bad: u64, in_flight: u64) -> Evidence {
-    let mut seen = RouteEvidence::default();
-    seen.candidate.sent = bad;
-    seen.candidate.failed = bad;
+    let mut route_evidence = RouteEvidence::default();
+    route_evidence.candidate.sent = bad;
+    route_evidence.candidate.failed = bad;
     Evidence {
         rollout: 1,
         step,
         baseline_in_flight: in_flight,
-        routes: BTreeMap::from([("r".to_owned(), seen)]),
+        routes: BTreeMap::from([("r".to_owned(), route_evidence)]),
     }
 }
 
@@ -71,7 +71,9 @@
 }
 
 fn bad(sum: &Evidence) -> u64 {
-    sum.routes.get("r").map_or(0, |seen| seen.candidate.failed)
+    sum.routes
+        .get("r")
+        .map_or(0, |route_evidence| route_evidence.candidate.failed)
 }
 
 #[test]
--- a/crates/control/tests/rollouts.rs
+++ b/crates/control/tests/rollouts.rs
@@ -318,7 +318,10 @@
     assert_eq!(state.rollouts.all().count(), 300);
     publish(&mut state, 2, &names[..2]);
     assert!(state.rollouts.all().count() <= 70);
-    for kept in ["s0", "s1", "s5", "s299"] {
-        assert!(state.rollouts.latest_of_service(kept).is_some(), "{kept}");
+    for retained in ["s0", "s1", "s5", "s299"] {
+        assert!(
+            state.rollouts.latest_of_service(retained).is_some(),
+            "{retained}"
+        );
     }
 }
--- a/crates/peer/src/backend_list_update.rs
+++ b/crates/peer/src/backend_list_update.rs
@@ -36,10 +36,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BackendListUpdateError {
     /// The update applies to the given version, which the receiver does not have.
-    #[error("back-end list update applies to another version than the current one: {0:?}")]
+    #[error("back-end list update applies to version {0:?}, which is not the current version of this node")]
     BaseMismatch(BackendListVersion),
     /// The content can't be decompressed or decoded.
-    #[error("back-end list update can't be decompressed or decoded")]
+    #[error("back-end list update cannot be decompressed or decoded")]
     Malformed,
 }
 
--- a/crates/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -33,13 +33,13 @@
         target_version: String,
     },
     /// The current configuration does not contain the service.
-    #[error("no service '{0}'")]
+    #[error("service '{0}' is not in the configuration")]
     UnknownService(String),
     /// The duration is zero or longer than a day.
-    #[error("a rollout takes 1 ms to a day")]
+    #[error("the duration of a rollout must be from 1 ms to 24 h")]
     Duration,
     /// The service name or the version is empty or too long.
-    #[error("service and version take 1 to 128 characters")]
+    #[error("the names of the service and the version must have 1 to 128 characters")]
     Name,
 }
 
--- a/crates/serving/src/batcher/versions.rs
+++ b/crates/serving/src/batcher/versions.rs
@@ -91,7 +91,7 @@
     }
 
     /// Whether the baseline may have been stopped: the rollout may have completed without this
-    /// node having heard of it.
+    /// node having been informed.
     fn may_be_stopped(&self, shard: &Shard, table: &InstanceTable) -> bool {
         let is_ready = |instance: &Instance| {
             instance.role() == VersionRole::Baseline && instance.accepts_new_work()
--- a/crates/serving/src/cold.rs
+++ b/crates/serving/src/cold.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ColdSenders {
     specs: BTreeMap<String, ColdSpec>,
-    own: String,
+    local_node: String,
     nodes: Vec<String>,
 }
 
@@ -44,8 +44,8 @@
     }
 
     /// Sets the nodes that send requests, and the name of this node.
-    pub(crate) fn set_nodes(&mut self, own: &str, nodes: Vec<String>) {
-        self.own = own.to_owned();
+    pub(crate) fn set_nodes(&mut self, local_node: &str, nodes: Vec<String>) {
+        self.local_node = local_node.to_owned();
         self.nodes = nodes;
     }
 
@@ -76,9 +76,9 @@
 
     /// Whether this node is among the first `senders` nodes in the back end's rendezvous ranking.
     fn is_sender(&self, backend: &str, senders: usize) -> bool {
-        let own = rendezvous_hash(&self.own, backend);
-        let others = self.nodes.iter().filter(|node| **node != self.own);
-        let before = others.filter(|node| rendezvous_hash(node, backend) < own);
+        let local_hash = rendezvous_hash(&self.local_node, backend);
+        let others = self.nodes.iter().filter(|node| **node != self.local_node);
+        let before = others.filter(|node| rendezvous_hash(node, backend) < local_hash);
         before.take(senders).count() < senders
     }
 }
--- a/crates/serving/src/dispatcher/request.rs
+++ b/crates/serving/src/dispatcher/request.rs
@@ -292,8 +292,8 @@
             .into_iter()
             .map(|work| Action::Cancel { work })
             .collect();
-        let held = self.phases.take_results();
-        actions.extend(self.releases(held));
+        let results = self.phases.take_results();
+        actions.extend(self.releases(results));
         actions
     }
 
--- a/crates/serving/src/dispatcher/sending.rs
+++ b/crates/serving/src/dispatcher/sending.rs
@@ -110,7 +110,7 @@
     }
 
     /// Whether the baseline may have been stopped: the rollout may have completed without this
-    /// node having heard of it.
+    /// node having been informed.
     fn may_be_stopped(&self, request: &ActiveRequest, now: Millis) -> bool {
         if self.rollouts.is_permitted() {
             return false;
--- a/crates/serving/src/instances.rs
+++ b/crates/serving/src/instances.rs
@@ -60,7 +60,7 @@
     cold_senders: ColdSenders,
     notices: BackendNotices,
     resume_policy: ResumePolicy,
-    own_node: String,
+    local_node: String,
     log: DecisionLog,
 }
 
@@ -76,7 +76,7 @@
         Self {
             notices,
             resume_policy: ResumePolicy::default(),
-            own_node: String::new(),
+            local_node: String::new(),
             instances: InstanceStore::default(),
             applied: BackendListEntries::default(),
             superseded: BTreeMap::new(),
@@ -121,10 +121,10 @@
     }
 
     /// Sets the nodes that send requests, and the name of this one.
-    pub fn set_senders(&mut self, own: &str, nodes: Vec<String>) {
-        self.cold_senders.set_nodes(own, nodes);
-        if self.own_node != own {
-            self.own_node = own.to_owned();
+    pub fn set_senders(&mut self, local_node: &str, nodes: Vec<String>) {
+        self.cold_senders.set_nodes(local_node, nodes);
+        if self.local_node != local_node {
+            self.local_node = local_node.to_owned();
             self.plan_resumption();
         }
     }
@@ -138,7 +138,7 @@
     fn plan_resumption(&mut self) {
         for instance in self.instances.iter_mut() {
             let id = &instance.listed.id;
-            instance.resume_plan = self.resume_policy.plan_for(&self.own_node, id);
+            instance.resume_plan = self.resume_policy.plan_for(&self.local_node, id);
         }
     }
 
--- a/crates/serving/src/instances/listing.rs
+++ b/crates/serving/src/instances/listing.rs
@@ -17,16 +17,16 @@
     pub fn apply_list(&mut self, listed: &BackendListEntries) -> bool {
         let before = std::mem::replace(&mut self.applied, listed.clone());
         let mut changes = ListChanges::default();
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         for change in before.changes_to(listed) {
             match change {
                 EntryChange::Upserted(entry) => self.apply_entry(entry, &mut changes),
-                EntryChange::Removed(id) => gone.push(id),
+                EntryChange::Removed(id) => removed.push(id),
             }
         }
         // Removals come last: a removed process may be the earlier one of a back end that is
         // still listed.
-        for id in gone {
+        for id in removed {
             self.remove_entry(id, &mut changes);
         }
         changes.write_to(&self.log)
@@ -72,7 +72,7 @@
         self.hide_earlier_start(entry, changes);
         self.removed.retain(|id| *id != entry.id);
         let notice = self.notices.mark_listed(&entry.id);
-        let plan = self.resume_policy.plan_for(&self.own_node, &entry.id);
+        let plan = self.resume_policy.plan_for(&self.local_node, &entry.id);
         self.put(Instance::new(entry.clone(), notice, plan));
     }
 
--- a/crates/serving/tests/batcher_rollouts.rs
+++ b/crates/serving/tests/batcher_rollouts.rs
@@ -64,9 +64,13 @@
 
     /// Counted answers of the baseline and of the candidate.
     fn answers(&self) -> (ResponseCounts, ResponseCounts) {
-        let told = self.batcher.rollouts.evidence(|_| 0);
-        let seen = told[0].routes.get(BATCH_ROUTE).cloned().unwrap_or_default();
-        (seen.baseline, seen.candidate)
+        let evidence = self.batcher.rollouts.evidence(|_| 0);
+        let route_evidence = evidence[0]
+            .routes
+            .get(BATCH_ROUTE)
+            .cloned()
+            .unwrap_or_default();
+        (route_evidence.baseline, route_evidence.candidate)
     }
 
     fn in_flight_at_baseline(&self) -> u64 {
@@ -253,8 +257,8 @@
     let call = owner.calls(0).remove(0);
     owner.batcher.call_ended(call.call, made(&call), took);
     let (_, candidate) = owner.answers();
-    let seen = candidate.response_time.quantile_ms(0.5).expect("one time");
-    assert!((200.0..=290.0).contains(&seen), "{seen} ms");
+    let median_ms = candidate.response_time.quantile_ms(0.5).expect("one time");
+    assert!((200.0..=290.0).contains(&median_ms), "{median_ms} ms");
 }
 
 /// The back ends of the baseline stop when the rollout completes; results that later phases need
--- a/crates/serving/tests/rollouts.rs
+++ b/crates/serving/tests/rollouts.rs
@@ -356,10 +356,13 @@
         sent(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 100));
         dispatcher.send_ended(1, outcome, None, 130);
         let (baseline, candidate) = answers(&dispatcher, "gate");
-        let seen = if is_candidate { candidate } else { baseline };
-        assert_eq!((seen.succeeded, seen.failed), (good, bad));
+        let counts = if is_candidate { candidate } else { baseline };
+        assert_eq!((counts.succeeded, counts.failed), (good, bad));
         assert_eq!(
-            (seen.time_to_first_byte.count(), seen.response_time.count()),
+            (
+                counts.time_to_first_byte.count(),
+                counts.response_time.count()
+            ),
             (good, good)
         );
     }
@@ -372,8 +375,8 @@
     dispatcher.head_received(1, None, 1_100);
     dispatcher.send_ended(1, GOOD, None, 2_600);
     let (_, candidate) = answers(&dispatcher, "chat");
-    let within_a_bucket = |seen: Option<f64>, ms: f64| {
-        seen.is_some_and(|seen| (ms * 0.8..=ms * 1.25).contains(&seen))
+    let within_a_bucket = |measured: Option<f64>, ms: f64| {
+        measured.is_some_and(|measured| (ms * 0.8..=ms * 1.25).contains(&measured))
     };
     assert!(within_a_bucket(
         candidate.time_to_first_byte.quantile_ms(0.5),
