--- a/crates/serving/src/batcher.rs
+++ b/crates/serving/src/batcher.rs
@@ -110,7 +110,7 @@
 pub struct Batcher {
     specs: BTreeMap<String, BatchSpec>,
     orders: BTreeMap<OrderKey, Order>,
-    /// Number of orders of each shard, kept so that a message need not scan all orders.
+    /// Number of orders of each shard, so that a message need not scan all orders.
     shards: BTreeMap<Shard, usize>,
     calls: BTreeMap<CallId, CallState>,
     backends: BackendHealthTable,
@@ -213,7 +213,7 @@
     pub fn cancel(&mut self, key: &OrderKey) {
         self.announced.remove(key);
         if let Some(order) = self.remove_order(key) {
-            self.result_memory.release(&order.made());
+            self.result_memory.release(&order.results());
         }
     }
 
@@ -257,7 +257,7 @@
         self.result_memory.freed(handles);
     }
 
-    /// Takes the results that back ends have to be told to free.
+    /// Takes the results that back ends must free.
     pub fn take_releases(&mut self) -> Vec<ResultHandle> {
         self.result_memory.take_releases()
     }
--- a/crates/serving/src/batcher/estimate.rs
+++ b/crates/serving/src/batcher/estimate.rs
@@ -82,8 +82,8 @@
         let throughput = self.throughput_of(shard, spec, table, now);
         let mut pieces = self.announced.pieces_by_priority(shard, now);
         for order in self.waiting_of(shard).filter(|order| order.is_waiting()) {
-            let own_call = call_ms(spec, order.work.pieces.len()) as Millis;
-            if !order.is_late(now + own_call) {
+            let call_duration = call_ms(spec, order.work.pieces.len()) as Millis;
+            if !order.is_late(now + call_duration) {
                 pieces[order.priority()] += order.waiting_pieces();
             }
         }
--- a/crates/serving/src/batcher/order.rs
+++ b/crates/serving/src/batcher/order.rs
@@ -21,7 +21,7 @@
     /// Sent in a call that has not ended.
     InCall(CallId),
     /// Completed with a result.
-    Made(ResultHandle),
+    Completed(ResultHandle),
 }
 
 /// An order with the progress of its pieces.
@@ -42,7 +42,7 @@
     calls: Vec<u32>,
     /// When its last waiting piece was sent; none while pieces wait.
     pub(super) all_called_at: Option<Millis>,
-    /// Whether its submitter was told that its inputs are read.
+    /// Whether it was reported to its submitter that its inputs are read.
     pub(super) is_inputs_read_reported: bool,
     /// Whether a piece is likely to be run again, so that its inputs must be kept.
     pub(super) is_at_risk: bool,
@@ -102,11 +102,11 @@
     /// How many of its waiting pieces fit into `places` of a call and `free_bytes` of result
     /// memory.
     pub(super) fn fitting(&self, places: usize, free_bytes: u64) -> usize {
-        let mut left = free_bytes;
+        let mut remaining_bytes = free_bytes;
         let fits = |piece: &Piece| {
-            let rest = left.checked_sub(piece.result_bytes);
-            left = rest.unwrap_or(left);
-            rest.is_some()
+            let after_piece = remaining_bytes.checked_sub(piece.result_bytes);
+            remaining_bytes = after_piece.unwrap_or(remaining_bytes);
+            after_piece.is_some()
         };
         let waiting = self.waiting().take(places).map(|(_, piece)| piece);
         waiting.map(fits).take_while(|fits| *fits).count()
@@ -158,11 +158,11 @@
     }
 
     /// Results so far, in the order of the pieces.
-    pub(super) fn made(&self) -> Vec<ResultHandle> {
+    pub(super) fn results(&self) -> Vec<ResultHandle> {
         let states = self.states.iter();
         states
             .filter_map(|state| match state {
-                PieceState::Made(handle) => Some(handle.clone()),
+                PieceState::Completed(handle) => Some(handle.clone()),
                 PieceState::Waiting | PieceState::InCall(_) => None,
             })
             .collect()
@@ -170,16 +170,16 @@
 
     pub(super) fn is_complete(&self) -> bool {
         let mut states = self.states.iter();
-        states.all(|state| matches!(state, PieceState::Made(_)))
+        states.all(|state| matches!(state, PieceState::Completed(_)))
     }
 
-    /// Requeues a piece. `counts` tells whether the call counts against `most_calls`. Returns
+    /// Requeues a piece. `counts` tells whether the call counts against `max_calls`. Returns
     /// the failure that ends the order, if any.
     pub(super) fn requeue(
         &mut self,
         index: usize,
         counts: bool,
-        most_calls: u32,
+        max_calls: u32,
     ) -> Option<PieceFailure> {
         self.set_state(index, PieceState::Waiting);
         self.all_called_at = None;
@@ -187,6 +187,6 @@
         if counts {
             self.calls[index] += 1;
         }
-        (self.calls[index] >= most_calls).then_some(PieceFailure::Failed)
+        (self.calls[index] >= max_calls).then_some(PieceFailure::Failed)
     }
 }
--- a/crates/serving/src/batcher/outcomes.rs
+++ b/crates/serving/src/batcher/outcomes.rs
@@ -110,7 +110,7 @@
         };
         match result {
             Ok(handle) => {
-                order.set_state(index, PieceState::Made(handle));
+                order.set_state(index, PieceState::Completed(handle));
                 None
             }
             Err(PieceFailure::NoRoom) => {
@@ -136,7 +136,7 @@
 
     fn fail(&mut self, key: &OrderKey, failure: PieceFailure) -> Option<FinishedOrder> {
         let order = self.remove_order(key)?;
-        self.result_memory.release(&order.made());
+        self.result_memory.release(&order.results());
         Some(FinishedOrder {
             key: key.clone(),
             shard: order.work.shard,
@@ -157,7 +157,7 @@
             if let Some(order) = self.remove_order(key) {
                 finished.push(FinishedOrder {
                     key: key.clone(),
-                    result: Ok(order.made()),
+                    result: Ok(order.results()),
                     shard: order.work.shard,
                 });
             }
--- a/crates/serving/src/batcher/result_memory.rs
+++ b/crates/serving/src/batcher/result_memory.rs
@@ -10,7 +10,7 @@
     backend: String,
     bytes: u64,
     until: Millis,
-    /// Whether the back end was told to free it.
+    /// Whether the back end must free it.
     is_released: bool,
 }
 
@@ -109,7 +109,7 @@
         self.release(&handles);
     }
 
-    /// Takes the results that back ends have to be told to free.
+    /// Takes the results that back ends must free.
     pub(super) fn take_releases(&mut self) -> Vec<ResultHandle> {
         std::mem::take(&mut self.releases)
     }
--- a/crates/serving/src/batcher/schedule.rs
+++ b/crates/serving/src/batcher/schedule.rs
@@ -55,7 +55,7 @@
             let Some(backend) = self.take_idle_backend(idle, &waiting, table, now) else {
                 // Orders that no candidate may process, because of their inputs or regions, must
                 // not block the other back ends.
-                if idle_by_version.pass_over_candidate() {
+                if idle_by_version.exclude_candidate() {
                     continue;
                 }
                 return;
@@ -83,8 +83,8 @@
             return false;
         }
         let spec = &self.specs[&order.work.shard.service];
-        let own_call = call_ms(spec, order.waiting_pieces()) as Millis;
-        order.may_run_in(zone, own_call, now)
+        let call_duration = call_ms(spec, order.waiting_pieces()) as Millis;
+        order.may_run_in(zone, call_duration, now)
     }
 
     /// Takes the idle back end for the most urgent order that one may process: one in its
@@ -127,8 +127,8 @@
             .map(|(key, order)| {
                 let is_far = !zone.is_empty() && order.prefers_other_zone_than(zone);
                 let far = if is_far { OTHER_ZONE_DELAY } else { 0 };
-                let own_call = call_ms(spec, order.waiting_pieces()) as Millis;
-                (order.sort_key(now + own_call) + far, key)
+                let call_duration = call_ms(spec, order.waiting_pieces()) as Millis;
+                (order.sort_key(now + call_duration) + far, key)
             })
             .collect();
         waiting.sort();
--- a/crates/serving/src/batcher/versions.rs
+++ b/crates/serving/src/batcher/versions.rs
@@ -26,7 +26,7 @@
 
     /// Excludes the candidate from the calls of this round; false if none of its back ends was
     /// left.
-    pub(super) fn pass_over_candidate(&mut self) -> bool {
+    pub(super) fn exclude_candidate(&mut self) -> bool {
         !std::mem::take(&mut self.candidate).is_empty()
     }
 }
--- a/crates/serving/src/dispatcher.rs
+++ b/crates/serving/src/dispatcher.rs
@@ -61,9 +61,9 @@
     budget: RetryBudget,
     nodes: usize,
     requests: BTreeMap<RequestNumber, ActiveRequest>,
-    works: BTreeMap<WorkId, (RequestNumber, usize)>,
+    orders: BTreeMap<WorkId, (RequestNumber, usize)>,
     admission: Admission,
-    seen_prompts: PromptPopularity,
+    prompt_popularity: PromptPopularity,
     policy: Policy,
     next_work: WorkId,
     log: DecisionLog,
@@ -89,10 +89,10 @@
             budget: RetryBudget::new(limits),
             nodes: 1,
             requests: BTreeMap::new(),
-            works: BTreeMap::new(),
+            orders: BTreeMap::new(),
             admission: Admission::new(topology.clone(), policy),
             topology,
-            seen_prompts: PromptPopularity::default(),
+            prompt_popularity: PromptPopularity::default(),
             policy,
             next_work: first_work,
             log,
@@ -143,7 +143,7 @@
 
     /// Whether an order belongs to an open request.
     pub fn has_order(&self, work: WorkId) -> bool {
-        self.works.contains_key(&work)
+        self.orders.contains_key(&work)
     }
 
     /// Number of open requests.
@@ -205,32 +205,36 @@
         since: Millis,
         now: Millis,
     ) -> Vec<Action> {
-        let routed = match self.routed(&call) {
-            Ok(routed) => routed,
+        let resolved_route = match self.resolve_route(&call) {
+            Ok(resolved_route) => resolved_route,
             Err(code) => return vec![self.reject_unadmitted(number, &call, code)],
         };
-        let timeout = routed.route.timeout_ms;
+        let timeout = resolved_route.route.timeout_ms;
         let wait = call
             .deadline_ms
             .map_or(timeout, |deadline| deadline.min(timeout));
-        self.budget.record_first_attempt(&routed.service, now);
-        let mut request = ActiveRequest::new(call, routed, self.policy, since, since + wait);
+        self.budget
+            .record_first_attempt(&resolved_route.service, now);
+        let mut request =
+            ActiveRequest::new(call, resolved_route, self.policy, since, since + wait);
         self.log.record(Event::Admitted {
             request: request.call.id.clone(),
-            route: request.routed.route.name.clone(),
-            service: request.routed.service.clone(),
+            route: request.resolved_route.route.name.clone(),
+            service: request.resolved_route.service.clone(),
             version: self.version(),
             remaining_ms: request.end.saturating_sub(now),
-            phases: request.routed.route.phases.len(),
+            phases: request.resolved_route.route.phases.len(),
             fingerprint: request.fingerprint.to_string(),
         });
-        if request.routed.route.has_prefix {
+        if request.resolved_route.route.has_prefix {
             let speed = self.policy.prefill_tokens_per_ms;
-            request.shared_prompt = self.seen_prompts.record(&request.call.prefix, speed, now);
+            request.shared_prompt = self
+                .prompt_popularity
+                .record(&request.call.prefix, speed, now);
         }
         let is_quarantined = self.quarantine.refuses(&request.fingerprint);
         let lacks_allowed_backends = self.lacks_allowed_backends(&request);
-        let refused = self.admission.rejects(&request, now);
+        let retry_after_ms = self.admission.rejects(&request, now);
         let available_at = self.too_late_available_at(&request, now);
         self.admission.store_forecasts(&mut request, now);
         self.requests.insert(number, request);
@@ -243,8 +247,13 @@
         if let Some(available_at) = available_at {
             return self.reject_until(number, available_at, now);
         }
-        if let Some(come_back_in) = refused {
-            return self.end(number, ResultCode::PhaseOverloaded, Some(come_back_in), now);
+        if let Some(retry_after_ms) = retry_after_ms {
+            return self.end(
+                number,
+                ResultCode::PhaseOverloaded,
+                Some(retry_after_ms),
+                now,
+            );
         }
         let mut actions = self.advance(number, now);
         actions.extend(self.announce(number));
@@ -265,7 +274,7 @@
             self.next_work += 1;
             request.phases.announced(phase, work);
             let order = request.announced_order(phase);
-            let regions = request.routed.regions.clone();
+            let regions = request.resolved_route.regions.clone();
             actions.push(Action::Announce {
                 work,
                 order,
@@ -279,7 +288,7 @@
         self.routes.as_ref().map_or(0, RouteTable::version)
     }
 
-    fn routed(&self, call: &CallAttributes) -> Result<ResolvedRoute, ResultCode> {
+    fn resolve_route(&self, call: &CallAttributes) -> Result<ResolvedRoute, ResultCode> {
         let Some(routes) = &self.routes else {
             return Err(ResultCode::NoTrafficConfiguration);
         };
@@ -329,13 +338,15 @@
         let selection = request.selection(&self.topology, &inputs);
         let zone = select(&self.instances, &selection, now)
             .map_or_else(String::new, |engine| engine.listed.zone.clone());
-        let first_part = self.admission.first_part_ms(&request.routed.route.name);
+        let first_part = self
+            .admission
+            .first_part_ms(&request.resolved_route.route.name);
         let mut actions = Vec::new();
         for phase in request.phases.startable() {
             let announced = request.phases.take_announced(phase);
             let work = announced.unwrap_or(self.next_work);
             self.next_work = self.next_work.max(work + 1);
-            self.works.insert(work, (number, phase));
+            self.orders.insert(work, (number, phase));
             request.phases.submitted(phase, work, now);
             actions.push(Action::Submit {
                 work,
@@ -365,7 +376,7 @@
             self.instances.record_answer(&active_send.instance);
             if is_first && request.sends == 1 {
                 let after = now.saturating_sub(active_send.began_at);
-                let route = &request.routed.route.name;
+                let route = &request.resolved_route.route.name;
                 self.admission.record_first_part(route, after);
             }
         }
@@ -388,15 +399,15 @@
             return Vec::new();
         };
         let code = request.corrected_code(code);
-        let may_come_back = code.http_status() == SERVICE_UNAVAILABLE;
+        let may_retry = code.http_status() == SERVICE_UNAVAILABLE;
         let refusal = Refusal {
             code,
-            retry_after_ms: retry_after_ms.filter(|_| may_come_back),
+            retry_after_ms: retry_after_ms.filter(|_| may_retry),
         };
         let after_ms = now.saturating_sub(request.arrived_at);
         self.log_refusal(&request.call.id, &refusal, after_ms, request.sends);
         let mut actions = request.drop_phases();
-        self.forget_works(&actions);
+        self.forget_orders(&actions);
         actions.push(Action::Answer { number, refusal });
         actions
     }
@@ -416,7 +427,7 @@
             sends: request.sends,
         });
         let actions = request.drop_phases();
-        self.forget_works(&actions);
+        self.forget_orders(&actions);
         actions
     }
 
--- a/crates/serving/src/dispatcher/admission.rs
+++ b/crates/serving/src/dispatcher/admission.rs
@@ -109,8 +109,8 @@
 
     /// Stores the forecast of each phase in an admitted request.
     pub(super) fn store_forecasts(&self, request: &mut ActiveRequest, now: Millis) {
-        let priority = request.routed.priority;
-        let specs = &request.routed.route.phases;
+        let priority = request.resolved_route.priority;
+        let specs = &request.resolved_route.route.phases;
         let end_of =
             |phase: usize, begin: u64| self.end_of(&specs[phase].service, priority, begin, now);
         request.phases.set_forecasts(end_of);
@@ -122,14 +122,14 @@
         if !self.policy.chain_admission {
             return None;
         }
-        let priority = request.routed.priority;
-        let specs = &request.routed.route.phases;
+        let priority = request.resolved_route.priority;
+        let specs = &request.resolved_route.route.phases;
         let end_of =
             |phase: usize, begin: u64| self.end_of(&specs[phase].service, priority, begin, now);
-        let first_part = self.first_part_ms(&request.routed.route.name);
+        let first_part = self.first_part_ms(&request.resolved_route.route.name);
         let expected = request.phases.expected_end(end_of)? + first_part;
         let share = self.policy.admitted_shares[usize::from(priority).min(PRIORITY_LEVELS - 1)];
-        let objective = (request.routed.route.objective_ms as f64 * share) as u64;
+        let objective = (request.resolved_route.route.objective_ms as f64 * share) as u64;
         if expected <= objective {
             return None;
         }
--- a/crates/serving/src/dispatcher/backoff.rs
+++ b/crates/serving/src/dispatcher/backoff.rs
@@ -63,7 +63,7 @@
         if request.waits_until.replace(available_at).is_none() {
             self.log.record(Event::WaitsForRest {
                 request: request.call.id.clone(),
-                service: request.routed.service.clone(),
+                service: request.resolved_route.service.clone(),
                 for_ms: available_at.saturating_sub(now),
             });
         }
@@ -101,7 +101,9 @@
     }
 
     pub(super) fn is_too_late(&self, request: &ActiveRequest, available_at: Millis) -> bool {
-        let first_part = self.admission.first_part_ms(&request.routed.route.name);
+        let first_part = self
+            .admission
+            .first_part_ms(&request.resolved_route.route.name);
         available_at.saturating_add(first_part) > request.end
     }
 
@@ -110,7 +112,7 @@
         &'a self,
         request: &'a ActiveRequest,
     ) -> impl Iterator<Item = &'a Instance> {
-        let engines = self.instances.of_service(&request.routed.service);
+        let engines = self.instances.of_service(&request.resolved_route.service);
         engines.filter(|engine| engine.accepts_new_work() && request.allows(engine, &self.topology))
     }
 
@@ -163,7 +165,8 @@
             .map(|engine| engine.listed.slots.max(1) as usize)
             .sum();
         let others = self.requests.values().filter(|other| {
-            other.waits_until.is_some() && other.routed.service == request.routed.service
+            other.waits_until.is_some()
+                && other.resolved_route.service == request.resolved_route.service
         });
         others.count() < places
     }
@@ -176,7 +179,7 @@
         };
         let due = self.requests.iter().filter(|(_, request)| is_due(request));
         let mut due: Vec<(u8, Millis, RequestNumber)> = due
-            .map(|(number, request)| (request.routed.priority, request.end, *number))
+            .map(|(number, request)| (request.resolved_route.priority, request.end, *number))
             .collect();
         due.sort_unstable();
         let numbers = due.into_iter().map(|(_, _, number)| number);
--- a/crates/serving/src/dispatcher/limits.rs
+++ b/crates/serving/src/dispatcher/limits.rs
@@ -55,7 +55,7 @@
         let waiting = self.requests.iter();
         let waiting = waiting.filter(|(_, request)| request.waits_for.as_deref() == Some(engine));
         let mut waiting: Vec<(u8, Millis, RequestNumber)> = waiting
-            .map(|(number, request)| (request.routed.priority, request.end, *number))
+            .map(|(number, request)| (request.resolved_route.priority, request.end, *number))
             .collect();
         waiting.sort_unstable();
         let Some(instance) = self.instances.get(engine) else {
--- a/crates/serving/src/dispatcher/outcomes.rs
+++ b/crates/serving/src/dispatcher/outcomes.rs
@@ -214,7 +214,7 @@
 
     pub(super) fn is_idempotent(&self, number: RequestNumber) -> bool {
         let request = self.requests.get(&number);
-        request.is_some_and(|request| request.routed.route.kind.is_idempotent())
+        request.is_some_and(|request| request.resolved_route.route.kind.is_idempotent())
     }
 
     /// Takes a retry from the budget; returns a code if it is exhausted.
@@ -222,7 +222,7 @@
         let request = self.requests.get(&number)?;
         if !self
             .budget
-            .try_take_retry(&request.routed.service, self.nodes, now)
+            .try_take_retry(&request.resolved_route.service, self.nodes, now)
         {
             return Some(ResultCode::RetryBudgetSpent);
         }
--- a/crates/serving/src/dispatcher/phases.rs
+++ b/crates/serving/src/dispatcher/phases.rs
@@ -13,7 +13,7 @@
     /// Submitted as an order.
     Submitted(WorkId),
     /// Done; the results are kept until they are freed.
-    Made(Vec<ResultHandle>),
+    Completed(Vec<ResultHandle>),
 }
 
 struct Phase {
@@ -65,7 +65,7 @@
 
     fn is_over(&self, phase: usize) -> bool {
         let state = &self.phases[phase].state;
-        matches!(state, PhaseState::Skipped | PhaseState::Made(_))
+        matches!(state, PhaseState::Skipped | PhaseState::Completed(_))
     }
 
     pub(super) fn all_done(&self) -> bool {
@@ -73,7 +73,7 @@
     }
 
     /// Phases that can start now. A result uses memory until it is consumed, so a phase off the
-    /// critical path starts only when the rest of that path is no longer than its own.
+    /// critical path starts only when the remainder of that path is no longer than its own.
     pub(super) fn startable(&self) -> Vec<usize> {
         let unfinished = (0..self.phases.len()).filter(|phase| !self.is_over(*phase));
         let longest = unfinished
@@ -155,8 +155,8 @@
         now.saturating_sub(self.phases[phase].submitted_at)
     }
 
-    pub(super) fn made(&mut self, phase: usize, handles: Vec<ResultHandle>) {
-        self.phases[phase].state = PhaseState::Made(handles);
+    pub(super) fn complete(&mut self, phase: usize, handles: Vec<ResultHandle>) {
+        self.phases[phase].state = PhaseState::Completed(handles);
     }
 
     /// Source of the pieces of a phase.
@@ -173,7 +173,7 @@
         let states = phases.map(|phase| &self.phases[phase].state);
         states
             .filter_map(|state| match state {
-                PhaseState::Made(handles) => Some(handles.clone()),
+                PhaseState::Completed(handles) => Some(handles.clone()),
                 _ => None,
             })
             .flatten()
@@ -208,7 +208,7 @@
     pub(super) fn last_results_by_phase(&self) -> Vec<(usize, &Vec<ResultHandle>)> {
         let last = (0..self.phases.len()).filter(|phase| self.followers(*phase).count() == 0);
         last.filter_map(|phase| match &self.phases[phase].state {
-            PhaseState::Made(handles) => Some((phase, handles)),
+            PhaseState::Completed(handles) => Some((phase, handles)),
             _ => None,
         })
         .collect()
@@ -219,25 +219,25 @@
         let before = self.phases[phase].after.iter();
         before
             .filter_map(|before| match &self.phases[*before].state {
-                PhaseState::Made(handles) => Some((*before, handles)),
+                PhaseState::Completed(handles) => Some((*before, handles)),
                 _ => None,
             })
             .collect()
     }
 
     /// Takes the results that all following phases have used.
-    pub(super) fn take_used_up(&mut self) -> Vec<(usize, Vec<ResultHandle>)> {
-        let is_made = |phase: &Phase| matches!(phase.state, PhaseState::Made(_));
-        let used_up: Vec<usize> = (0..self.phases.len())
+    pub(super) fn take_consumed(&mut self) -> Vec<(usize, Vec<ResultHandle>)> {
+        let is_completed = |phase: &Phase| matches!(phase.state, PhaseState::Completed(_));
+        let consumed: Vec<usize> = (0..self.phases.len())
             .filter(|phase| self.followers(*phase).count() > 0)
-            .filter(|phase| self.followers(*phase).all(is_made))
+            .filter(|phase| self.followers(*phase).all(is_completed))
             .collect();
-        self.take(used_up)
+        self.take(consumed)
     }
 
     /// Takes the results that no phase but `phase` still needs.
     pub(super) fn take_inputs(&mut self, phase: usize) -> Vec<(usize, Vec<ResultHandle>)> {
-        let is_over = |phase: &Phase| matches!(phase.state, PhaseState::Made(_));
+        let is_over = |phase: &Phase| matches!(phase.state, PhaseState::Completed(_));
         let inputs: Vec<usize> = self.phases[phase]
             .after
             .iter()
@@ -263,7 +263,7 @@
         phases
             .into_iter()
             .filter_map(|phase| match &mut self.phases[phase].state {
-                PhaseState::Made(handles) => Some((phase, std::mem::take(handles))),
+                PhaseState::Completed(handles) => Some((phase, std::mem::take(handles))),
                 _ => None,
             })
             .collect()
--- a/crates/serving/src/dispatcher/progress.rs
+++ b/crates/serving/src/dispatcher/progress.rs
@@ -17,7 +17,7 @@
         result: Result<Vec<ResultHandle>, PieceFailure>,
         now: Millis,
     ) -> Vec<Action> {
-        let Some((number, phase)) = self.works.remove(&work) else {
+        let Some((number, phase)) = self.orders.remove(&work) else {
             return Vec::new();
         };
         let Some(request) = self.requests.get_mut(&number) else {
@@ -35,11 +35,11 @@
         match result {
             Ok(handles) => {
                 if let Some(forecast) = request.phases.forecast_ms(phase) {
-                    let service = &request.routed.route.phases[phase].service;
+                    let service = &request.resolved_route.route.phases[phase].service;
                     let took = request.phases.took_ms(phase, now);
                     self.admission.record_phase(service, forecast, took, now);
                 }
-                let mut actions = request.phase_made(phase, handles);
+                let mut actions = request.complete_phase(phase, handles);
                 actions.extend(self.advance(number, now));
                 actions
             }
@@ -54,7 +54,7 @@
 
     /// Frees the inputs of a phase, which its back ends have read.
     pub fn inputs_read(&mut self, work: WorkId) -> Vec<Action> {
-        let Some((number, phase)) = self.works.get(&work) else {
+        let Some((number, phase)) = self.orders.get(&work) else {
             return Vec::new();
         };
         let request = self.requests.get_mut(number);
@@ -72,15 +72,15 @@
         request.restarts += 1;
         let mut actions = request.drop_phases();
         request.reset_phases();
-        self.forget_works(&actions);
+        self.forget_orders(&actions);
         actions.extend(self.advance(number, now));
         actions
     }
 
-    pub(super) fn forget_works(&mut self, actions: &[Action]) {
+    pub(super) fn forget_orders(&mut self, actions: &[Action]) {
         for action in actions {
             if let Action::Cancel { work, .. } = action {
-                self.works.remove(work);
+                self.orders.remove(work);
             }
         }
     }
--- a/crates/serving/src/dispatcher/regions.rs
+++ b/crates/serving/src/dispatcher/regions.rs
@@ -21,14 +21,14 @@
 
     /// Regions that may process an order now; none if its request has ended.
     pub fn regions_of_work(&self, work: WorkId) -> Option<&RegionFilter> {
-        let (number, _) = self.works.get(&work)?;
-        Some(&self.requests.get(number)?.routed.regions)
+        let (number, _) = self.orders.get(&work)?;
+        Some(&self.requests.get(number)?.resolved_route.regions)
     }
 
     /// Whether a service that the request needs has no available back end in the regions to
     /// which it is restricted.
     pub(super) fn lacks_allowed_backends(&self, request: &ActiveRequest) -> bool {
-        request.routed.regions.is_restricted() && !self.has_allowed_backends(request)
+        request.resolved_route.regions.is_restricted() && !self.has_allowed_backends(request)
     }
 
     fn has_allowed_backends(&self, request: &ActiveRequest) -> bool {
--- a/crates/serving/src/dispatcher/request.rs
+++ b/crates/serving/src/dispatcher/request.rs
@@ -49,7 +49,7 @@
     pub(super) call: CallAttributes,
     /// Identifies the content, independently of the request's identifier.
     pub(super) fingerprint: RequestFingerprint,
-    pub(super) routed: ResolvedRoute,
+    pub(super) resolved_route: ResolvedRoute,
     policy: Policy,
     pub(super) arrived_at: Millis,
     /// Deadline: the caller's or the route's timeout.
@@ -77,16 +77,20 @@
 impl ActiveRequest {
     pub(super) fn new(
         call: CallAttributes,
-        routed: ResolvedRoute,
+        resolved_route: ResolvedRoute,
         policy: Policy,
         now: Millis,
         end: Millis,
     ) -> Self {
-        let phases = PhaseSet::new(&routed.route.phases, &call.pieces, policy.late_start);
+        let phases = PhaseSet::new(
+            &resolved_route.route.phases,
+            &call.pieces,
+            policy.late_start,
+        );
         Self {
-            fingerprint: RequestFingerprint::of(routed.tenant.as_deref(), &call.content),
+            fingerprint: RequestFingerprint::of(resolved_route.tenant.as_deref(), &call.content),
             call,
-            routed,
+            resolved_route,
             policy,
             arrived_at: now,
             end,
@@ -124,29 +128,29 @@
     }
 
     pub(super) fn has_attempts_left(&self) -> bool {
-        self.sends < self.routed.route.max_attempts
+        self.sends < self.resolved_route.route.max_attempts
     }
 
     /// Updates the allowed regions from a new traffic configuration. A request whose route or
     /// key no longer exists keeps its regions.
     pub(super) fn update_regions(&mut self, routes: &RouteTable) {
-        if let Ok(routed) = routes.route(&self.call) {
-            self.routed.regions = routed.regions;
+        if let Ok(resolved_route) = routes.route(&self.call) {
+            self.resolved_route.regions = resolved_route.regions;
         }
     }
 
     /// Whether a back end is in an allowed region.
     pub(super) fn allows(&self, instance: &Instance, topology: &Topology) -> bool {
         let region = topology.region_of(&instance.listed.zone);
-        self.routed.regions.allows(region)
+        self.resolved_route.regions.allows(region)
     }
 
     /// Services that the request needs.
     pub(super) fn needed_services(&self) -> impl Iterator<Item = &String> {
-        let phases = self.routed.route.phases.iter().enumerate();
+        let phases = self.resolved_route.route.phases.iter().enumerate();
         let has_pieces = |(phase, _): &(usize, _)| self.phases.pieces(*phase) > 0;
         let of_phases = phases.filter(has_pieces).map(|(_, spec)| &spec.service);
-        of_phases.chain([&self.routed.service])
+        of_phases.chain([&self.resolved_route.service])
     }
 
     /// Corrects a code that claims that the request did not run, if an earlier send may have
@@ -160,7 +164,7 @@
 
     /// Code for the lack of a usable back end.
     pub(super) fn no_backend_code(&self) -> ResultCode {
-        match self.routed.regions.is_restricted() {
+        match self.resolved_route.regions.is_restricted() {
             true => ResultCode::NoAllowedBackend,
             false => ResultCode::NoBackend,
         }
@@ -172,7 +176,7 @@
 
     pub(super) fn reset_phases(&mut self) {
         self.phases = PhaseSet::new(
-            &self.routed.route.phases,
+            &self.resolved_route.route.phases,
             &self.call.pieces,
             self.policy.late_start,
         );
@@ -189,13 +193,13 @@
         if !self.policy.zone_of_results {
             return PreferredZone::default();
         }
-        let spec = &self.routed.route.phases[phase];
+        let spec = &self.resolved_route.route.phases[phase];
         let pieces = u64::from(self.phases.pieces(phase));
         let inputs = self.phases.inputs(phase);
         let fetched: u64 = inputs
             .iter()
             .map(|(before, handles)| {
-                self.routed.route.phases[*before].result_bytes * handles.len() as u64
+                self.resolved_route.route.phases[*before].result_bytes * handles.len() as u64
             })
             .sum();
         let fetched = fetched * pieces;
@@ -210,11 +214,11 @@
             };
         }
         let is_last = self.phases.phases_after(phase) == 0;
-        let made = spec.result_bytes * pieces;
-        if is_last && made >= LARGE_TRANSFER_BYTES {
+        let result_bytes = spec.result_bytes * pieces;
+        if is_last && result_bytes >= LARGE_TRANSFER_BYTES {
             return PreferredZone {
                 zone: engine_zone.to_owned(),
-                moved_bytes: made,
+                moved_bytes: result_bytes,
             };
         }
         PreferredZone {
@@ -233,7 +237,7 @@
         first_part: Millis,
         now: Millis,
     ) -> PhaseWork {
-        let spec = &self.routed.route.phases[phase];
+        let spec = &self.resolved_route.route.phases[phase];
         let source = self.phases.source(phase, &self.call.piece_key);
         let pieces = (0..self.phases.pieces(phase))
             .map(|index| Piece {
@@ -245,7 +249,7 @@
             })
             .collect();
         let later = self.phases.phases_after(phase) as Millis;
-        let objective = self.arrived_at + self.routed.route.objective_ms;
+        let objective = self.arrived_at + self.resolved_route.route.objective_ms;
         let after_phase = MIN_PHASE_DURATION * later + first_part;
         let wanted_at = objective.saturating_sub(after_phase);
         let place = self.preferred_zone(phase, engine_zone, instances);
@@ -253,10 +257,10 @@
             shard: Shard::whole_service(&spec.service),
             pieces,
             fingerprint: self.fingerprint,
-            priority: self.routed.priority,
+            priority: self.resolved_route.priority,
             zone: place.zone,
             moved_bytes: place.moved_bytes,
-            regions: self.routed.regions.clone(),
+            regions: self.resolved_route.regions.clone(),
             target_remaining_ms: wanted_at.saturating_sub(now),
             remaining_ms: self.end.saturating_sub(now),
         }
@@ -265,17 +269,21 @@
     /// Creates the announcement of a phase.
     pub(super) fn announced_order(&self, phase: usize) -> AnnouncedOrder {
         AnnouncedOrder {
-            shard: Shard::whole_service(&self.routed.route.phases[phase].service),
+            shard: Shard::whole_service(&self.resolved_route.route.phases[phase].service),
             pieces: self.phases.pieces(phase) as usize,
-            priority: self.routed.priority,
+            priority: self.resolved_route.priority,
         }
     }
 
     /// Stores the results of a phase and releases results that are no longer needed.
-    pub(super) fn phase_made(&mut self, phase: usize, handles: Vec<ResultHandle>) -> Vec<Action> {
-        self.phases.made(phase, handles);
-        let used_up = self.phases.take_used_up();
-        self.releases(used_up)
+    pub(super) fn complete_phase(
+        &mut self,
+        phase: usize,
+        handles: Vec<ResultHandle>,
+    ) -> Vec<Action> {
+        self.phases.complete(phase, handles);
+        let consumed = self.phases.take_consumed();
+        self.releases(consumed)
     }
 
     /// Releases the inputs of a phase, which its back ends have read.
@@ -302,7 +310,7 @@
             .into_iter()
             .filter(|(_, handles)| !handles.is_empty())
             .map(|(phase, handles)| Action::Release {
-                service: self.routed.route.phases[phase].service.clone(),
+                service: self.resolved_route.route.phases[phase].service.clone(),
                 handles,
             })
             .collect()
@@ -313,7 +321,7 @@
         let last = self.phases.last_results_by_phase();
         let of_phase = |(phase, handles): (usize, &Vec<ResultHandle>)| {
             let holder = handles.iter().find_map(|handle| instances.holder(handle))?;
-            let bytes = self.routed.route.phases[phase].result_bytes * handles.len() as u64;
+            let bytes = self.resolved_route.route.phases[phase].result_bytes * handles.len() as u64;
             Some(ZoneInputs {
                 zone: holder.listed.zone.clone(),
                 bytes,
@@ -328,15 +336,15 @@
         topology: &'a Topology,
         inputs: &'a [ZoneInputs],
     ) -> SelectionRequest<'a> {
-        let affinity = match self.routed.route.has_prefix && self.policy.prefix_affinity {
+        let affinity = match self.resolved_route.route.has_prefix && self.policy.prefix_affinity {
             true => affinity_key(&self.call.prefix),
             false => None,
         };
         SelectionRequest {
-            service: &self.routed.service,
+            service: &self.resolved_route.service,
             versions: VersionChoice::Any,
             topology,
-            regions: &self.routed.regions,
+            regions: &self.resolved_route.regions,
             region_affinity: self.policy.region_affinity,
             affinity,
             shared_prompt: self.shared_prompt,
@@ -358,12 +366,12 @@
         SendAttributes {
             instance: instance.to_owned(),
             remaining_ms: self.end.saturating_sub(now),
-            tenant: self.routed.tenant.clone(),
+            tenant: self.resolved_route.tenant.clone(),
             priority: self
-                .routed
+                .resolved_route
                 .route
                 .has_prefix
-                .then_some(self.routed.priority.min(9)),
+                .then_some(self.resolved_route.priority.min(9)),
             inputs: self.phases.last_results(),
         }
     }
--- a/crates/serving/src/dispatcher/sending.rs
+++ b/crates/serving/src/dispatcher/sending.rs
@@ -31,7 +31,7 @@
         self.log_sent(request, instance, plan.distance, now);
         let role = instance.role();
         let tokens = request.tokens();
-        let route = &request.routed.route.name;
+        let route = &request.resolved_route.route.name;
         let counted = self.rollouts.record_send(&plan.service, route, role);
         self.instances.record_sent(&plan.instance, tokens, now);
         if let Some(request) = self.requests.get_mut(&number) {
@@ -98,11 +98,11 @@
 
     /// Selects the versions for one send; each retry counts against the canary share again.
     fn versions_for(&self, request: &ActiveRequest) -> VersionChoice {
-        let routed = &request.routed;
+        let resolved_route = &request.resolved_route;
         let hash = || send_hash(&request.call.id, request.sends);
         match self
             .rollouts
-            .choose(&routed.service, &routed.route.name, hash)
+            .choose(&resolved_route.service, &resolved_route.route.name, hash)
         {
             VersionChoice::Candidate if request.failed_at_candidate => VersionChoice::Baseline,
             choice => choice,
@@ -120,7 +120,7 @@
             let is_allowed = request.allows(engine, &self.topology);
             is_baseline && is_allowed && engine.accepts_new_work() && !engine.is_suspect(now)
         };
-        let mut engines = self.instances.of_service(&request.routed.service);
+        let mut engines = self.instances.of_service(&request.resolved_route.service);
         request.unreached >= UNREACHED_UNTIL_STOPPED || !engines.any(is_ready)
     }
 
@@ -129,7 +129,7 @@
         let is_admitted = |engine: &Instance| {
             !request.failed_at_candidate || engine.role() != VersionRole::Candidate
         };
-        let mut engines = self.instances.of_service(&request.routed.service);
+        let mut engines = self.instances.of_service(&request.resolved_route.service);
         engines.any(|engine| {
             engine.accepts_new_work()
                 && is_admitted(engine)
@@ -161,8 +161,8 @@
         let Some(answer) = counted_answer(outcome, active_send.began_at, first_part_at, now) else {
             return;
         };
-        let service = &request.routed.service;
-        let route = &request.routed.route.name;
+        let service = &request.resolved_route.service;
+        let route = &request.resolved_route.route.name;
         self.rollouts.record_answer(service, route, counted, answer);
     }
 }
@@ -173,7 +173,7 @@
     topology: &Topology,
     now: Millis,
 ) -> SendPlan {
-    let route = &request.routed.route;
+    let route = &request.resolved_route.route;
     let listed = &instance.listed;
     SendPlan {
         instance: listed.id.clone(),
--- a/crates/serving/src/instances/list_changes.rs
+++ b/crates/serving/src/instances/list_changes.rs
@@ -14,7 +14,7 @@
     Ready,
     Cold,
     Draining,
-    Gone,
+    Removed,
 }
 
 impl ListedState {
@@ -32,7 +32,7 @@
             Self::Ready => "ready",
             Self::Cold => "cold",
             Self::Draining => "draining",
-            Self::Gone => "gone",
+            Self::Removed => "gone",
         }
     }
 }
@@ -47,12 +47,12 @@
 
 impl ListChanges {
     /// Records a change that is not logged.
-    pub(super) fn note_change(&mut self) {
+    pub(super) fn record_unlogged_change(&mut self) {
         self.has_changes = true;
     }
 
     /// Records that a back end was added or removed, or changed its state.
-    pub(super) fn note(&mut self, listed: &BackendListEntry, state: ListedState) {
+    pub(super) fn record(&mut self, listed: &BackendListEntry, state: ListedState) {
         self.has_changes = true;
         let counted = (listed.service.clone(), state);
         *self.counts.entry(counted).or_default() += 1;
--- a/crates/serving/src/instances/listing.rs
+++ b/crates/serving/src/instances/listing.rs
@@ -57,10 +57,10 @@
         changes: &mut ListChanges,
     ) {
         if is_in_other_state(&known.listed, entry) {
-            changes.note(entry, ListedState::of(entry));
+            changes.record(entry, ListedState::of(entry));
         }
         if known.listed.address != entry.address {
-            changes.note_change();
+            changes.record_unlogged_change();
             known.address_mismatch_until = 0;
         }
         known.listed = entry.clone();
@@ -68,7 +68,7 @@
     }
 
     fn add(&mut self, entry: &Arc<BackendListEntry>, changes: &mut ListChanges) {
-        changes.note(entry, ListedState::of(entry));
+        changes.record(entry, ListedState::of(entry));
         self.hide_earlier_start(entry, changes);
         self.removed.retain(|id| *id != entry.id);
         let notice = self.notices.mark_listed(&entry.id);
@@ -138,7 +138,7 @@
     fn remove_instance(&mut self, listed: &BackendListEntry, changes: &mut ListChanges) {
         self.instances.remove(&listed.id);
         self.removed.push(listed.id.clone());
-        changes.note(listed, ListedState::Gone);
+        changes.record(listed, ListedState::Removed);
     }
 }
 
