--- a/crates/serving/examples/back_end_count.rs
+++ b/crates/serving/examples/back_end_count.rs
@@ -72,28 +72,32 @@
     let topology = Topology::new("a", regions, RoundTrips::default()).expect("valid");
     let any_region = RegionFilter::any();
     let mut updates = BackendListHistory::default();
-    let listing = Arc::new(BackendList {
+    let list = Arc::new(BackendList {
         version: version(1),
         entries: (0..count).map(entry).collect(),
     });
-    updates.set_latest(listing.clone());
-    let whole = updates.update_since(None).expect("a list");
-    let mut next = (*listing).clone();
+    updates.set_latest(list.clone());
+    let full = updates.update_since(None).expect("a list");
+    let mut next = (*list).clone();
     next.version = version(2);
     next.entries.remove(&entry(5).id);
     updates.set_latest(Arc::new(next));
     let difference = updates.update_since(Some(version(1))).expect("a change");
 
     let before = private_kilobytes();
-    let current = whole.apply_to(None).expect("it is whole");
+    let current = full.apply_to(None).expect("a full update needs no base");
     let mut table = InstanceTable::new(DecisionLog::disabled());
     table.apply_list(&current.entries);
     let memory = private_kilobytes().saturating_sub(before);
 
     let applied = microseconds(|| {
-        difference.apply_to(Some(&current)).expect("it fits");
+        difference
+            .apply_to(Some(&current))
+            .expect("the base is current");
     });
-    let changed = difference.apply_to(Some(&current)).expect("it fits");
+    let changed = difference
+        .apply_to(Some(&current))
+        .expect("the base is current");
     let table_update = microseconds(|| {
         table.apply_list(&changed.entries);
         table.apply_list(&current.entries);
@@ -118,7 +122,7 @@
     };
     println!(
         "| {count} | {} | {applied:.1} | {table_update:.1} | {:.1} | {:.1} | {:.1} |",
-        whole.size(),
+        full.size(),
         selection(Some(77)),
         selection(None),
         memory as f64 / 1e3
@@ -126,7 +130,7 @@
 }
 
 fn main() {
-    println!("| back ends | whole list, bytes | apply a change, us | take it in, us | choice by prompt, us | choice by load, us | list and table, MB |");
+    println!("| back ends | full list, bytes | apply a change, us | update the table, us | selection by prompt, us | selection by load, us | list and table, MB |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for count in COUNTS {
         measure(count);
--- a/crates/serving/examples/told_pace.rs
+++ b/crates/serving/examples/told_pace.rs
@@ -1,17 +1,18 @@
-//! Simulates whether reported processing times (paces) improve the choice of back ends, when other
-//! load on their machines changes the pace many times a second. Many nodes send requests without
-//! affinity to a few back ends, each of which draws a new pace every 100 ms. A node knows the pace of
-//! a back end from its last answer, or queries two back ends before it sends.
+//! Simulates whether reported processing times improve the selection of back ends, when other load on
+//! their machines changes the processing time many times a second. Many nodes send requests without
+//! affinity to a few back ends, each of which draws a new factor on its processing time every 100 ms.
+//! A node knows the factor from the last answer of a back end, or queries two back ends before it
+//! sends.
 //!
 //! `cargo run --release -p silversail-serving --example told_pace`
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Interval between changes of a back end's pace, in milliseconds.
-const PACE_INTERVAL_MS: u64 = 100;
-/// Possible paces, as multiples of the normal processing time.
-const PACES: [f64; 4] = [0.6, 1.0, 1.6, 2.5];
+/// Interval between changes of a back end's processing time, in milliseconds.
+const CHANGE_INTERVAL_MS: u64 = 100;
+/// Possible processing times, as multiples of the normal one.
+const TIME_FACTORS: [f64; 4] = [0.6, 1.0, 1.6, 2.5];
 const SLOTS: usize = 6;
 const SIMULATED_MS: u64 = 120_000;
 const SEEDS: u64 = 20;
@@ -21,10 +22,10 @@
 enum Information {
     /// The load alone.
     Load,
-    /// The load and the pace, if the pace was reported at most `within_ms` milliseconds ago.
-    ReportedPace { within_ms: u64 },
-    /// The pace of two back ends, which are queried first; this takes two milliseconds.
-    QueriedPace,
+    /// The load and the processing time, if it was reported at most `within_ms` milliseconds ago.
+    ReportedTime { within_ms: u64 },
+    /// The processing time of two back ends, which are queried first; this takes two milliseconds.
+    QueriedTime,
 }
 
 struct Deployment {
@@ -40,7 +41,7 @@
 struct BackEnd {
     /// End of each request in progress, in milliseconds.
     ends: Vec<f64>,
-    pace: f64,
+    time_factor: f64,
 }
 
 /// Last state of a back end that a node has received.
@@ -48,7 +49,7 @@
 struct BackEndState {
     at: f64,
     running: usize,
-    pace: f64,
+    time_factor: f64,
 }
 
 fn simulate(deployment: &Deployment, information: Information, seed: u64) -> (f64, f64) {
@@ -57,16 +58,16 @@
     let unknown = BackEndState {
         at: f64::NEG_INFINITY,
         running: 0,
-        pace: 1.0,
+        time_factor: 1.0,
     };
     let mut known_states = vec![vec![unknown; deployment.back_ends]; deployment.nodes];
     let mut answers: Vec<(f64, usize, usize)> = Vec::new();
     let (mut count, mut in_time, mut total) = (0.0, 0.0, 0.0);
     for now in 0..SIMULATED_MS {
         let now = now as f64;
-        if (now as u64).is_multiple_of(PACE_INTERVAL_MS) {
+        if (now as u64).is_multiple_of(CHANGE_INTERVAL_MS) {
             for back_end in &mut back_ends {
-                back_end.pace = PACES[random.gen_range(0..PACES.len())];
+                back_end.time_factor = TIME_FACTORS[random.gen_range(0..TIME_FACTORS.len())];
             }
         }
         for back_end in &mut back_ends {
@@ -79,7 +80,7 @@
             known_states[*node][*back_end] = BackEndState {
                 at: now,
                 running: back_ends[*back_end].ends.len(),
-                pace: back_ends[*back_end].pace,
+                time_factor: back_ends[*back_end].time_factor,
             };
             false
         });
@@ -93,8 +94,12 @@
                 true => known.running as f64 / SLOTS as f64,
                 false => 0.0,
             };
-            let is_current = matches!(information, Information::ReportedPace { within_ms } if now - known.at <= within_ms as f64);
-            load + if is_current { known.pace - 1.0 } else { 0.0 }
+            let is_current = matches!(information, Information::ReportedTime { within_ms } if now - known.at <= within_ms as f64);
+            load + if is_current {
+                known.time_factor - 1.0
+            } else {
+                0.0
+            }
         };
         let tie_breakers: Vec<f64> = back_ends.iter().map(|_| random.gen()).collect();
         let mut order: Vec<usize> = (0..deployment.back_ends).collect();
@@ -103,15 +108,16 @@
             by_cost.then(tie_breakers[*left].total_cmp(&tie_breakers[*right]))
         });
         let (chosen, sent_at) = match information {
-            Information::QueriedPace => {
+            Information::QueriedTime => {
                 let queried = &order[..2.min(order.len())];
-                let quickest = queried
-                    .iter()
-                    .copied()
-                    .min_by(|left, right| back_ends[*left].pace.total_cmp(&back_ends[*right].pace));
-                (quickest.unwrap_or_default(), now + 2.0)
+                let fastest = queried.iter().copied().min_by(|left, right| {
+                    back_ends[*left]
+                        .time_factor
+                        .total_cmp(&back_ends[*right].time_factor)
+                });
+                (fastest.unwrap_or_default(), now + 2.0)
             }
-            Information::Load | Information::ReportedPace { .. } => (order[0], now),
+            Information::Load | Information::ReportedTime { .. } => (order[0], now),
         };
         let back_end = &mut back_ends[chosen];
         let mut ends = back_end.ends.clone();
@@ -120,7 +126,7 @@
             true => ends[ends.len() - SLOTS],
             false => sent_at,
         };
-        let end = begins.max(sent_at) + deployment.work_ms * back_end.pace;
+        let end = begins.max(sent_at) + deployment.work_ms * back_end.time_factor;
         back_end.ends.push(end);
         answers.push((end, node, chosen));
         count += 1.0;
@@ -160,20 +166,20 @@
     let variants = [
         ("load only", Information::Load),
         (
-            "pace told 100 ms ago",
-            Information::ReportedPace { within_ms: 100 },
+            "processing time reported within 100 ms",
+            Information::ReportedTime { within_ms: 100 },
         ),
         (
-            "pace told 300 ms ago",
-            Information::ReportedPace { within_ms: 300 },
+            "processing time reported within 300 ms",
+            Information::ReportedTime { within_ms: 300 },
         ),
         (
-            "pace told 4 s ago",
-            Information::ReportedPace { within_ms: 4_000 },
+            "processing time reported within 4 s",
+            Information::ReportedTime { within_ms: 4_000 },
         ),
-        ("two asked", Information::QueriedPace),
+        ("two queried", Information::QueriedTime),
     ];
-    println!("| deployment | heeds | mean ms | in twice the usual time |");
+    println!("| deployment | information | mean ms | within twice the normal time |");
     println!("| --- | --- | --- | --- |");
     for deployment in &deployments {
         for (name, information) in variants {
--- a/crates/serving/src/batcher/backend_health.rs
+++ b/crates/serving/src/batcher/backend_health.rs
@@ -40,7 +40,7 @@
 }
 
 /// A finished call, from which the back end's health is updated.
-pub(super) struct EndedCall<'a> {
+pub(super) struct FinishedCall<'a> {
     pub(super) backend: &'a str,
     pub(super) service: &'a str,
     /// Software version of the back end.
@@ -50,9 +50,9 @@
     pub(super) expected_ms: f64,
 }
 
-impl EndedCall<'_> {
+impl FinishedCall<'_> {
     /// Measured duration relative to the configured one.
-    pub(super) fn share(&self) -> f64 {
+    pub(super) fn relative_duration(&self) -> f64 {
         self.took_ms as f64 / self.expected_ms
     }
 }
@@ -60,22 +60,22 @@
 /// Relative durations of the latest calls of a service.
 #[derive(Default)]
 struct RecentCalls {
-    shares: VecDeque<f64>,
+    relative_durations: VecDeque<f64>,
 }
 
 impl RecentCalls {
-    fn add(&mut self, share: f64) {
-        if self.shares.len() == MEDIAN_CALLS {
-            self.shares.pop_front();
+    fn add(&mut self, relative_duration: f64) {
+        if self.relative_durations.len() == MEDIAN_CALLS {
+            self.relative_durations.pop_front();
         }
-        self.shares.push_back(share);
+        self.relative_durations.push_back(relative_duration);
     }
 
     /// The median, but at least 1. While two nodes batch for a shard after a change of owner,
     /// calls queue and all get slower; and the median of a few calls could hide a second slow
     /// back end.
     fn normal_duration(&self) -> f64 {
-        let mut sorted: Vec<f64> = self.shares.iter().copied().collect();
+        let mut sorted: Vec<f64> = self.relative_durations.iter().copied().collect();
         sorted.sort_by(f64::total_cmp);
         let median = sorted.get(sorted.len() / 2).copied();
         median.unwrap_or_default().max(1.0)
@@ -120,7 +120,7 @@
     }
 
     /// Records that a back end was unreachable or its answer was incomplete.
-    fn record_failure(&mut self, call: &EndedCall<'_>, now: Millis) {
+    fn record_failure(&mut self, call: &FinishedCall<'_>, now: Millis) {
         let id = call.backend;
         let backend = self.backends.entry(id.to_owned()).or_default();
         let doublings = backend.failures.min(MAX_DOUBLINGS);
@@ -133,7 +133,7 @@
         self.record(call, "suspect");
     }
 
-    fn record(&self, call: &EndedCall<'_>, state: &str) {
+    fn record(&self, call: &FinishedCall<'_>, state: &str) {
         self.log.record(Event::Backend {
             backend: call.backend.to_owned(),
             service: call.service.to_owned(),
@@ -144,18 +144,23 @@
     }
 
     /// Updates the health of a back end from a finished call.
-    pub(super) fn call_ended(&mut self, call: &EndedCall<'_>, outcome: &CallOutcome, now: Millis) {
+    pub(super) fn call_ended(
+        &mut self,
+        call: &FinishedCall<'_>,
+        outcome: &CallOutcome,
+        now: Millis,
+    ) {
         let id = call.backend;
         match outcome {
             CallOutcome::BackendUnavailable => {}
             CallOutcome::NotRun => self.record_rejection(id, now),
             CallOutcome::Unreachable | CallOutcome::Unknown => self.record_failure(call, now),
             CallOutcome::Answered(_) => {
-                let share = call.share();
+                let relative_duration = call.relative_duration();
                 let recent = self.recent.entry(call.service.to_owned()).or_default();
-                let is_slow =
-                    self.policy.pass_over_slow && share > recent.normal_duration() * SLOW_FACTOR;
-                recent.add(share);
+                let is_slow = self.policy.pass_over_slow
+                    && relative_duration > recent.normal_duration() * SLOW_FACTOR;
+                recent.add(relative_duration);
                 if let Some(backend) = self.backends.get_mut(id) {
                     backend.failures = 0;
                 }
--- a/crates/serving/src/batcher/outcomes.rs
+++ b/crates/serving/src/batcher/outcomes.rs
@@ -1,7 +1,7 @@
 //! Completion and failure of orders: outcomes of calls, deadlines, unavailable back ends.
 
 use super::{Batcher, CallId, CallOutcome, CallState, FinishedOrder, Order, OrderKey, PieceState};
-use crate::batcher::backend_health::{call_ms, EndedCall};
+use crate::batcher::backend_health::{call_ms, FinishedCall};
 use crate::instances::InstanceTable;
 use crate::ports::PieceResults;
 use crate::quarantine::RequestQuarantine;
@@ -47,7 +47,7 @@
         let Some(spec) = self.specs.get(&call.shard.service) else {
             return;
         };
-        let ended = EndedCall {
+        let ended = FinishedCall {
             backend: &call.instance,
             service: &call.shard.service,
             version: &call.version,
@@ -56,9 +56,9 @@
         };
         self.backends.call_ended(&ended, outcome, now);
         if let Some(counted) = call.counted {
-            let usual_ms = spec.call_ms;
+            let normal_ms = spec.call_ms;
             self.rollouts
-                .count_call_end(counted, &ended, usual_ms, outcome);
+                .count_call_end(counted, &ended, normal_ms, outcome);
         }
     }
 
--- a/crates/serving/src/batcher/versions.rs
+++ b/crates/serving/src/batcher/versions.rs
@@ -1,7 +1,7 @@
 //! Rollouts of a batched service: which version gets the next call, how calls are counted, and
 //! what still runs at the baseline.
 
-use super::backend_health::EndedCall;
+use super::backend_health::FinishedCall;
 use super::{Batcher, CallOutcome};
 use crate::instances::{Instance, InstanceTable};
 use crate::rollouts::{CountedAnswer, CountedSend, RolloutTracker, VersionChoice, VersionRole};
@@ -153,12 +153,12 @@
 
 impl RolloutTracker {
     /// Counts the outcome of a call for the rollout. As calls differ in size, durations are
-    /// scaled to a call that takes `usual_ms` by the configured cost model.
+    /// scaled to a call that takes `normal_ms` by the configured cost model.
     pub(super) fn count_call_end(
         &mut self,
         counted: CountedSend,
-        call: &EndedCall<'_>,
-        usual_ms: f64,
+        call: &FinishedCall<'_>,
+        normal_ms: f64,
         outcome: &CallOutcome,
     ) {
         let answer = match outcome {
@@ -170,7 +170,7 @@
                 CountedAnswer::Bad
             }
             CallOutcome::Answered(_) => {
-                let time_ms = (call.share() * usual_ms) as Millis;
+                let time_ms = (call.relative_duration() * normal_ms) as Millis;
                 CountedAnswer::Good {
                     first_part_ms: time_ms,
                     whole_ms: time_ms,
--- a/crates/serving/tests/rest_seeds.rs
+++ b/crates/serving/tests/rest_seeds.rs
@@ -1,6 +1,6 @@
-//! Seeded simulation of nodes and back ends that rest or drain, with stale and incomplete lists, moves
-//! of batch owners, paused nodes and requests in flight. A node must never choose a back end that
-//! rests or drains according to the reports that the node has received.
+//! Seeded simulation of nodes and back ends that request a back-off or drain, with stale and
+//! incomplete lists, changes of shard owners, paused nodes and requests in flight. A node must never
+//! select a back end that is in back-off or drains according to the reports that it has received.
 //!
 //! `SEEDS=1000 cargo test --release -p silversail-serving --test rest_seeds`
 
@@ -88,7 +88,10 @@
             "{what} to {id}, which drains, at {now}"
         );
         let until = received.backoff_until;
-        assert!(now >= until, "{what} to {id} at {now}, rests until {until}");
+        assert!(
+            now >= until,
+            "{what} to {id} at {now}, in back-off until {until}"
+        );
     }
 
     fn apply_actions(&mut self, actions: Vec<Action>, now: u64) {
@@ -122,7 +125,7 @@
     }
 }
 
-/// Random state for an answer: mostly none, otherwise a rest or draining.
+/// Random state for an answer: mostly none, otherwise a back-off or draining.
 fn random_report(random: &mut ChaCha8Rng) -> SelfReport {
     let mut report = SelfReport::default();
     match random.gen_range(0..100) {
@@ -193,9 +196,9 @@
                 .get(&plan.instance)
                 .copied()
                 .unwrap_or_default();
-            let is_withheld = state.is_draining || now < state.backoff_until;
+            let is_unavailable = state.is_draining || now < state.backoff_until;
             // Some sends still wait for a connection when another answer arrives.
-            let outcome = match is_withheld && random.gen() {
+            let outcome = match is_unavailable && random.gen() {
                 true => SendOutcome::NotRun(NotRunReason::BackendUnavailable),
                 false => {
                     node.record_report(&plan.instance, ExchangeKind::Request, &report, now);
@@ -269,7 +272,7 @@
 }
 
 #[test]
-fn resting_and_draining_back_ends_get_no_requests() {
+fn back_ends_in_backoff_or_draining_get_no_requests() {
     let seeds = std::env::var("SEEDS")
         .ok()
         .and_then(|text| text.parse().ok());
--- a/crates/serving/tests/rests.rs
+++ b/crates/serving/tests/rests.rs
@@ -1,5 +1,5 @@
-//! Tests of back ends that request a rest (back-off) or announce that they are draining: exclusion
-//! from sends, return after the rest, and waiting or rejected requests.
+//! Tests of back ends that request a back-off or announce that they are draining: exclusion
+//! from sends, return after the back-off, and waiting or rejected requests.
 
 mod common;
 
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_resting_engine_gets_no_requests_until_its_rest_ends() {
+fn an_engine_in_backoff_gets_no_requests_until_the_backoff_ends() {
     let mut dispatcher = dispatcher();
     report(&dispatcher.instances, &["g1"], &backoff(3_000), 0);
     let mut returned = false;
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_resting_engine_is_not_a_last_resort_when_the_others_failed() {
+fn an_engine_in_backoff_is_not_a_last_resort_when_the_others_failed() {
     let mut dispatcher = dispatcher();
     dispatcher.instances.record_failure("g1", 0, "test");
     dispatcher.instances.record_failure("g2", 0, "test");
@@ -166,9 +166,9 @@
     assert_eq!(sent_to(&actions).as_deref(), Some("g2"));
 }
 
-/// The engine advertised its rest between the choice and the send, so nothing was sent.
+/// The engine advertised its back-off between the choice and the send, so nothing was sent.
 #[test]
-fn a_withheld_send_does_not_consume_the_retry_budget() {
+fn a_send_to_an_unavailable_engine_does_not_consume_the_retry_budget() {
     let mut dispatcher = without_retries();
     let first = sent_to(&dispatcher.handle_request(1, call_of("r", "/gate/x"), 0)).expect("sent");
     report(&dispatcher.instances, &[&first], &backoff(3_000), 5);
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_request_is_rejected_at_once_with_a_retry_delay_if_all_rest_beyond_its_deadline() {
+fn a_request_is_rejected_at_once_with_a_retry_delay_if_all_back_off_beyond_its_deadline() {
     let mut dispatcher = dispatcher();
     report(&dispatcher.instances, &["g1"], &backoff(9_000), 0);
     report(&dispatcher.instances, &["g2"], &backoff(7_000), 0);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn an_unbounded_rest_gives_no_retry_delay() {
+fn an_unbounded_backoff_gives_no_retry_delay() {
     let mut dispatcher = dispatcher();
     report(&dispatcher.instances, &["g1", "g2"], &backoff(u64::MAX), 0);
     let refused =
@@ -205,7 +205,7 @@
 
 /// The results of its phases would be unused.
 #[test]
-fn a_request_is_rejected_before_its_phases_if_all_engines_rest_too_long() {
+fn a_request_is_rejected_before_its_phases_if_all_engines_back_off_too_long() {
     let mut dispatcher = dispatcher();
     report(
         &dispatcher.instances,
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_request_waits_for_an_engine_whose_rest_ends_in_time() {
+fn a_request_waits_for_an_engine_whose_backoff_ends_in_time() {
     let mut dispatcher = dispatcher();
     report(&dispatcher.instances, &["g1"], &backoff(2_000), 0);
     report(&dispatcher.instances, &["g2"], &backoff(1_000), 0);
@@ -253,7 +253,7 @@
 
 /// The first request serves as a probe; the others are sent once it is answered.
 #[test]
-fn after_a_rest_a_single_request_probes_each_engine() {
+fn after_a_backoff_a_single_request_probes_each_engine() {
     let mut dispatcher = dispatcher();
     report(&dispatcher.instances, &["g1", "g2"], &backoff(1_000), 0);
     for number in 1..=4 {
@@ -267,7 +267,7 @@
     };
     assert_eq!(send_count(&first), 2, "one to each engine");
     assert_eq!(send_count(&dispatcher.send_waiting(1_050)), 0);
-    // One engine answers without a rest, the other requests another rest.
+    // One engine answers without a back-off, the other requests another one.
     report(
         &dispatcher.instances,
         &["g1"],
@@ -297,7 +297,7 @@
 
 /// A simultaneous return of all nodes would overload the engine again.
 #[test]
-fn the_return_of_nodes_is_spread_over_a_fraction_of_the_rest() {
+fn the_return_of_nodes_is_spread_over_a_fraction_of_the_backoff() {
     let returns_at = |node: &str| {
         let mut table = InstanceTable::new(DecisionLog::disabled());
         table.set_senders(node, vec![node.to_owned()]);
@@ -323,7 +323,7 @@
 
 /// A node without an alternative skips its spread delay.
 #[test]
-fn a_node_without_another_engine_returns_at_the_end_of_the_rest() {
+fn a_node_without_another_engine_returns_at_the_end_of_the_backoff() {
     let mut dispatcher = dispatcher();
     report(&dispatcher.instances, &["g1"], &backoff(1_000), 0);
     dispatcher.instances.record_failure("g2", 900, "test");
@@ -417,7 +417,7 @@
     use silversail_serving::batcher::CallOutcome;
 
     #[test]
-    fn a_resting_back_end_gets_no_calls_and_does_not_count_as_capacity() {
+    fn a_back_end_in_backoff_gets_no_calls_and_does_not_count_as_capacity() {
         let (table, mut batcher) = (table(&[("s1", "a"), ("s2", "a")]), batcher());
         batcher
             .submit(key(1), work(1, 8), &table, 0)
@@ -432,7 +432,7 @@
     }
 
     #[test]
-    fn if_all_back_ends_rest_wait_estimates_include_it_and_late_orders_are_rejected() {
+    fn if_all_back_ends_back_off_wait_estimates_include_it_and_late_orders_are_rejected() {
         let (table, mut batcher) = (table(&[("s1", "a"), ("s2", "a")]), batcher());
         batcher
             .submit(key(1), work(1, 1), &table, 0)
@@ -449,7 +449,7 @@
         short.remaining_ms = 1_500;
         let refused = batcher.submit(key(2), short, &table, 10);
         assert_eq!(refused, Err(PieceFailure::Overloaded));
-        // A longer rest makes the waiting order too late.
+        // A longer back-off makes the waiting order too late.
         report(&table, &["s1", "s2"], &backoff(9_000), 100);
         let ended = batcher.reject_orders_delayed_by_backoff(&table, 110);
         assert_eq!(ended.len(), 1);
@@ -457,7 +457,7 @@
     }
 
     #[test]
-    fn a_withheld_call_counts_neither_as_an_attempt_nor_as_a_failure() {
+    fn a_call_to_an_unavailable_back_end_counts_neither_as_an_attempt_nor_as_a_failure() {
         let (table, mut batcher) = (table(&[("s1", "a"), ("s2", "a")]), batcher());
         batcher
             .submit(key(1), work(1, 2), &table, 0)
