--- a/crates/control/src/view_update.rs
+++ b/crates/control/src/view_update.rs
@@ -145,8 +145,8 @@
         });
     }
 
-    /// Builds the update from version `current` to `latest`, the view after the last recorded change:
-    /// incremental if all changes since `current` are recorded, otherwise the full view.
+    /// Builds the update from version `current` to `latest`, the view after the last recorded
+    /// change: incremental if all changes since `current` are recorded, otherwise the full view.
     pub fn update_since(&self, current: ViewVersion, latest: &ClusterView) -> ViewUpdate {
         let Some(first) = self
             .changes
--- a/crates/serving/examples/told_pace.rs
+++ b/crates/serving/examples/told_pace.rs
@@ -1,8 +1,8 @@
-//! Simulates whether reported processing times improve the selection of back ends, when other load on
-//! their machines changes the processing time many times a second. Many nodes send requests without
-//! affinity to a few back ends, each of which draws a new factor on its processing time every 100 ms.
-//! A node knows the factor from the last answer of a back end, or queries two back ends before it
-//! sends.
+//! Simulates whether reported processing times improve the selection of back ends, when other load
+//! on their machines changes the processing time many times a second. Many nodes send requests
+//! without affinity to a few back ends, each of which draws a new factor on its processing time
+//! every 100 ms. A node knows the factor from the last answer of a back end, or queries two back
+//! ends before it sends.
 //!
 //! `cargo run --release -p silversail-serving --example told_pace`
 
--- a/crates/serving/src/dispatcher/backoff.rs
+++ b/crates/serving/src/dispatcher/backoff.rs
@@ -1,6 +1,6 @@
-//! Requests without an available engine, because all are in back-off or this node lacks permits: they
-//! wait for the first engine that is available in time, or are rejected at once with the time at
-//! which it is available.
+//! Requests without an available engine, because all are in back-off or this node lacks permits:
+//! they wait for the first engine that is available in time, or are rejected at once with the time
+//! at which it is available.
 
 use super::request::ActiveRequest;
 use super::sending::send_hash;
--- a/crates/serving/src/instances/resume.rs
+++ b/crates/serving/src/instances/resume.rs
@@ -13,7 +13,8 @@
     /// Whether one request goes first as a probe, and the others once its answer requests no
     /// further back-off.
     pub first_alone: bool,
-    /// Share of the length of a back-off over which the nodes spread their resumption after its end.
+    /// Share of the length of a back-off over which the nodes spread their resumption after
+    /// its end.
     pub spread: f64,
 }
 
--- a/crates/serving/src/notices.rs
+++ b/crates/serving/src/notices.rs
@@ -2,8 +2,8 @@
 //! limits for all nodes together.
 //!
 //! The state is independent of the list of back ends, which lags by seconds: neither a list nor an
-//! answer without the state clears it. A back-off ends when its time has passed; a draining back end
-//! stays so until it restarts under a new identity. Threads that read answers record the state
+//! answer without the state clears it. A back-off ends when its time has passed; a draining back
+//! end stays so until it restarts under a new identity. Threads that read answers record the state
 //! before the next send.
 
 mod backend_notice;
@@ -178,7 +178,8 @@
         self.lock().entry(id).notice.clone()
     }
 
-    /// Records state that a back end advertised at `now`. Of several back-offs the latest end applies.
+    /// Records state that a back end advertised at `now`. Of several back-offs the latest end
+    /// applies.
     pub fn record_report(
         &self,
         id: &str,
--- a/crates/serving/src/notices/backend_notice.rs
+++ b/crates/serving/src/notices/backend_notice.rs
@@ -19,7 +19,8 @@
 }
 
 impl BackendNotice {
-    /// End of its back-off in milliseconds of the local clock; in the past if it is not in back-off.
+    /// End of its back-off in milliseconds of the local clock; in the past if it is not in
+    /// back-off.
     pub fn backoff_until(&self) -> Millis {
         self.backoff_until.load(Ordering::Acquire)
     }
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -34,7 +34,8 @@
         self.list.refused.contains(fingerprint) || self.local_evidence.is_refused(fingerprint)
     }
 
-    /// Records that a back end crashed while it ran these requests; returns the suspects among them.
+    /// Records that a back end crashed while it ran these requests; returns the suspects among
+    /// them.
     pub fn record_crash(
         &mut self,
         backend: &str,
--- a/crates/serving/src/rollouts.rs
+++ b/crates/serving/src/rollouts.rs
@@ -65,7 +65,7 @@
         self.directive = directive.clone();
     }
 
-    fn answers(&mut self, route: &str, to_candidate: bool) -> &mut ResponseCounts {
+    fn response_counts(&mut self, route: &str, to_candidate: bool) -> &mut ResponseCounts {
         // The lookup avoids a copy of the route name for known routes.
         if !self.evidence.routes.contains_key(route) {
             let routes = &mut self.evidence.routes;
@@ -138,8 +138,8 @@
         self.active.contains_key(service)
     }
 
-    /// Selects the versions that a request of a route may use. `random_value` returns a uniformly random
-    /// value that differs between requests.
+    /// Selects the versions that a request of a route may use. `random_value` returns a
+    /// uniformly random value that differs between requests.
     pub fn choose(
         &self,
         service: &str,
@@ -176,7 +176,7 @@
         let active = self.active.get_mut(service)?;
         let to_candidate = role == VersionRole::Candidate;
         active.budget.record_sent(to_candidate);
-        active.answers(route, to_candidate).sent += 1;
+        active.response_counts(route, to_candidate).sent += 1;
         Some(CountedSend {
             rollout: active.evidence.rollout,
             to_candidate,
@@ -195,16 +195,16 @@
         let Some(active) = active.filter(|rollout| rollout.evidence.rollout == send.rollout) else {
             return;
         };
-        let answers = active.answers(route, send.to_candidate);
+        let response_counts = active.response_counts(route, send.to_candidate);
         match answer {
-            CountedAnswer::Bad => answers.failed += 1,
+            CountedAnswer::Bad => response_counts.failed += 1,
             CountedAnswer::Good {
                 first_part_ms,
                 whole_ms,
             } => {
-                answers.succeeded += 1;
-                answers.time_to_first_byte.record(first_part_ms);
-                answers.response_time.record(whole_ms);
+                response_counts.succeeded += 1;
+                response_counts.time_to_first_byte.record(first_part_ms);
+                response_counts.response_time.record(whole_ms);
             }
         }
     }
--- a/crates/serving/src/selection.rs
+++ b/crates/serving/src/selection.rs
@@ -225,9 +225,9 @@
     })
 }
 
-/// The least busy back end of a random sample, most of it from the local zone, or of all if there are
-/// few or the sample contains no eligible one. Ties are broken at random, so that nodes without load
-/// information do not all choose the same back end.
+/// The least busy back end of a random sample, most of it from the local zone, or of all if there
+/// are few or the sample contains no eligible one. Ties are broken at random, so that nodes
+/// without load information do not all choose the same back end.
 fn least_busy<'a>(
     table: &'a InstanceTable,
     zones: &[&str],
--- a/crates/serving/src/waits.rs
+++ b/crates/serving/src/waits.rs
@@ -61,12 +61,12 @@
     }
 
     /// Records a reported estimate, unless a newer one is known.
-    pub fn update(&mut self, waits: ShardWaitEstimates, now: Millis) {
-        let reported_at = now.saturating_sub(waits.age_ms);
-        let known = self.estimates.get(&waits.shard);
+    pub fn update(&mut self, estimate: ShardWaitEstimates, now: Millis) {
+        let reported_at = now.saturating_sub(estimate.age_ms);
+        let known = self.estimates.get(&estimate.shard);
         if known.is_none_or(|(_, at)| *at <= reported_at) {
             self.estimates
-                .insert(waits.shard.clone(), (waits, reported_at));
+                .insert(estimate.shard.clone(), (estimate, reported_at));
         }
     }
 
@@ -74,9 +74,9 @@
     pub fn of_service(&self, service: &str, now: Millis) -> Vec<ShardWaitEstimates> {
         let known = self.current(service, now);
         known
-            .map(|(waits, age_ms)| ShardWaitEstimates {
+            .map(|(estimate, age_ms)| ShardWaitEstimates {
                 age_ms,
-                ..waits.clone()
+                ..estimate.clone()
             })
             .collect()
     }
@@ -88,24 +88,24 @@
     ) -> impl Iterator<Item = (&'a ShardWaitEstimates, Millis)> {
         let estimates = self.estimates.values();
         estimates
-            .filter(move |(waits, _)| waits.shard.service == service)
-            .map(move |(waits, at)| (waits, now.saturating_sub(*at)))
+            .filter(move |(estimate, _)| estimate.shard.service == service)
+            .map(move |(estimate, at)| (estimate, now.saturating_sub(*at)))
             .filter(|(_, age)| *age <= ESTIMATE_LIFETIME)
     }
 
     fn queue_ms(&self, shard: &Shard, now: Millis) -> Option<u32> {
-        let (waits, at) = self.estimates.get(shard)?;
+        let (estimate, at) = self.estimates.get(shard)?;
         let is_current = now.saturating_sub(*at) <= ESTIMATE_LIFETIME;
-        is_current.then_some(waits.queue_ms)
+        is_current.then_some(estimate.queue_ms)
     }
 
     /// Expected wait of an order that is submitted now: the mean over the shards that random
     /// placement would choose. None without valid estimates.
     pub fn expected(&self, service: &str, priority: u8, now: Millis) -> Option<ExpectedWait> {
-        let known = self.current(service, now).map(|(waits, _)| waits);
+        let known = self.current(service, now).map(|(estimate, _)| estimate);
         let local_zone = self.topology.local_zone();
         let (near, far): (Vec<_>, Vec<_>) =
-            known.partition(|waits| self.is_near(&waits.shard, local_zone));
+            known.partition(|estimate| self.is_near(&estimate.shard, local_zone));
         if far.is_empty() {
             return mean_wait(&near, priority, 0);
         }
@@ -114,17 +114,17 @@
             return mean_wait(&far, priority, network_ms);
         }
         let margin = self.leaving_region_ms(0);
-        let mut waits = Vec::new();
+        let mut expected_waits = Vec::new();
         for in_region in shorter_of_pairs(&near) {
             for elsewhere in &far {
                 let leaves = u64::from(elsewhere.queue_ms) + margin < u64::from(in_region.queue_ms);
-                waits.push(match leaves {
+                expected_waits.push(match leaves {
                     true => wait_at(elsewhere, priority, network_ms),
                     false => wait_at(in_region, priority, 0),
                 });
             }
         }
-        mean(&waits)
+        mean(&expected_waits)
     }
 
     /// Whether a shard is in the region of a zone, as far as the regions are known.
@@ -230,33 +230,39 @@
 }
 
 /// The wait at a shard with `network_ms` added to the queue time.
-fn wait_at(waits: &ShardWaitEstimates, priority: u8, network_ms: u64) -> ExpectedWait {
+fn wait_at(estimate: &ShardWaitEstimates, priority: u8, network_ms: u64) -> ExpectedWait {
     ExpectedWait {
-        backlog_ms: backlog_ms_at(waits, priority) + network_ms,
-        call_ms: u64::from(waits.call_ms),
+        backlog_ms: backlog_ms_at(estimate, priority) + network_ms,
+        call_ms: u64::from(estimate.call_ms),
     }
 }
 
 fn mean_wait(known: &[&ShardWaitEstimates], priority: u8, network_ms: u64) -> Option<ExpectedWait> {
-    let waits: Vec<ExpectedWait> = known
+    let expected_waits: Vec<ExpectedWait> = known
         .iter()
         .map(|estimate| wait_at(estimate, priority, network_ms))
         .collect();
-    mean(&waits)
+    mean(&expected_waits)
 }
 
-fn mean(waits: &[ExpectedWait]) -> Option<ExpectedWait> {
-    let count = waits.len() as u64;
-    let backlog_ms = waits.iter().map(|wait| wait.backlog_ms).sum::<u64>();
-    let call_ms = waits.iter().map(|wait| wait.call_ms).sum::<u64>();
+fn mean(expected_waits: &[ExpectedWait]) -> Option<ExpectedWait> {
+    let count = expected_waits.len() as u64;
+    let backlog_ms = expected_waits
+        .iter()
+        .map(|expected| expected.backlog_ms)
+        .sum::<u64>();
+    let call_ms = expected_waits
+        .iter()
+        .map(|expected| expected.call_ms)
+        .sum::<u64>();
     (count > 0).then(|| ExpectedWait {
         backlog_ms: backlog_ms / count,
         call_ms: call_ms / count,
     })
 }
 
-fn backlog_ms_at(waits: &ShardWaitEstimates, priority: u8) -> u64 {
-    u64::from(waits.backlog_ms[usize::from(priority).min(PRIORITY_LEVELS - 1)])
+fn backlog_ms_at(estimate: &ShardWaitEstimates, priority: u8) -> u64 {
+    u64::from(estimate.backlog_ms[usize::from(priority).min(PRIORITY_LEVELS - 1)])
 }
 
 /// The shard that draw number `draw` of a random value selects; none if `shards` is empty.
