--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -16,7 +16,7 @@
     pub succeeded: u64,
     /// Number of failures: error statuses, interrupted or malformed responses, and timeouts.
     pub failed: u64,
-    /// Time to the first part of successful responses, in milliseconds.
+    /// Time to the first byte of successful responses, in milliseconds.
     pub time_to_first_byte: LatencyHistogram,
     /// Time to the end of successful responses, in milliseconds.
     pub response_time: LatencyHistogram,
--- a/crates/serving/src/batcher/versions.rs
+++ b/crates/serving/src/batcher/versions.rs
@@ -172,8 +172,8 @@
             CallOutcome::Answered(_) => {
                 let time_ms = (call.relative_duration() * normal_ms) as Millis;
                 CountedAnswer::Good {
-                    first_part_ms: time_ms,
-                    whole_ms: time_ms,
+                    time_to_first_byte_ms: time_ms,
+                    response_time_ms: time_ms,
                 }
             }
         };
--- a/crates/serving/src/dispatcher.rs
+++ b/crates/serving/src/dispatcher.rs
@@ -338,9 +338,9 @@
         let selection = request.selection(&self.topology, &inputs);
         let zone = select(&self.instances, &selection, now)
             .map_or_else(String::new, |engine| engine.listed.zone.clone());
-        let first_part = self
+        let time_to_first_byte = self
             .admission
-            .first_part_ms(&request.resolved_route.route.name);
+            .time_to_first_byte_ms(&request.resolved_route.route.name);
         let mut actions = Vec::new();
         for phase in request.phases.startable() {
             let announced = request.phases.take_announced(phase);
@@ -351,7 +351,7 @@
             actions.push(Action::Submit {
                 work,
                 request: request.call.id.clone(),
-                phase: request.phase_work(phase, &zone, &self.instances, first_part, now),
+                phase: request.phase_work(phase, &zone, &self.instances, time_to_first_byte, now),
             });
         }
         actions
@@ -377,7 +377,7 @@
             if is_first && request.sends == 1 {
                 let after = now.saturating_sub(active_send.began_at);
                 let route = &request.resolved_route.route.name;
-                self.admission.record_first_part(route, after);
+                self.admission.record_time_to_first_byte(route, after);
             }
         }
         request.drop_phases()
--- a/crates/serving/src/dispatcher/admission.rs
+++ b/crates/serving/src/dispatcher/admission.rs
@@ -10,13 +10,13 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Initial estimate of the time from the send to the first part of an answer, in milliseconds.
-const INITIAL_FIRST_PART_MS: f64 = 150.0;
+/// Initial estimate of the time from the send to the first byte of an answer, in milliseconds.
+const INITIAL_TIME_TO_FIRST_BYTE_MS: f64 = 150.0;
 /// Weight of a new answer in the moving average of that time.
-const FIRST_PART_WEIGHT: f64 = 0.1;
+const TIME_TO_FIRST_BYTE_WEIGHT: f64 = 0.1;
 /// Cap on the time of one answer in that average, in milliseconds, so that a stuck one does not
 /// distort it.
-const MAX_FIRST_PART_MS: f64 = 1_000.0;
+const MAX_TIME_TO_FIRST_BYTE_MS: f64 = 1_000.0;
 
 /// Weight of a phase in the moving average of a service's forecast errors.
 const ERROR_WEIGHT: f64 = 0.15;
@@ -45,7 +45,7 @@
     policy: Policy,
     errors: BTreeMap<String, ForecastError>,
     pub(super) waits: ShardWaitTable,
-    first_part_averages: BTreeMap<String, f64>,
+    time_to_first_byte_averages: BTreeMap<String, f64>,
 }
 
 impl Admission {
@@ -54,23 +54,24 @@
             policy,
             errors: BTreeMap::new(),
             waits: ShardWaitTable::new(topology, policy.near_shards),
-            first_part_averages: BTreeMap::new(),
+            time_to_first_byte_averages: BTreeMap::new(),
         }
     }
 
-    /// Records the time from a send to the first part of the answer, in milliseconds.
-    pub(super) fn record_first_part(&mut self, route: &str, after: Millis) {
-        let mean = self.first_part_averages.get(route).copied();
-        let mean = mean.unwrap_or(INITIAL_FIRST_PART_MS);
-        let measured = (after as f64).min(MAX_FIRST_PART_MS);
-        let next = mean + FIRST_PART_WEIGHT * (measured - mean);
-        self.first_part_averages.insert(route.to_owned(), next);
+    /// Records the time from a send to the first byte of the answer, in milliseconds.
+    pub(super) fn record_time_to_first_byte(&mut self, route: &str, after: Millis) {
+        let mean = self.time_to_first_byte_averages.get(route).copied();
+        let mean = mean.unwrap_or(INITIAL_TIME_TO_FIRST_BYTE_MS);
+        let measured = (after as f64).min(MAX_TIME_TO_FIRST_BYTE_MS);
+        let next = mean + TIME_TO_FIRST_BYTE_WEIGHT * (measured - mean);
+        self.time_to_first_byte_averages
+            .insert(route.to_owned(), next);
     }
 
-    /// Average time from a send to the first part of an answer of a route, in milliseconds.
-    pub(super) fn first_part_ms(&self, route: &str) -> u64 {
-        let mean = self.first_part_averages.get(route).copied();
-        mean.unwrap_or(INITIAL_FIRST_PART_MS) as u64
+    /// Average time from a send to the first byte of an answer of a route, in milliseconds.
+    pub(super) fn time_to_first_byte_ms(&self, route: &str) -> u64 {
+        let mean = self.time_to_first_byte_averages.get(route).copied();
+        mean.unwrap_or(INITIAL_TIME_TO_FIRST_BYTE_MS) as u64
     }
 
     /// When an order that is submitted in `begin` milliseconds ends, in milliseconds from now.
@@ -126,8 +127,8 @@
         let specs = &request.resolved_route.route.phases;
         let end_of =
             |phase: usize, begin: u64| self.end_of(&specs[phase].service, priority, begin, now);
-        let first_part = self.first_part_ms(&request.resolved_route.route.name);
-        let expected = request.phases.expected_end(end_of)? + first_part;
+        let time_to_first_byte = self.time_to_first_byte_ms(&request.resolved_route.route.name);
+        let expected = request.phases.expected_end(end_of)? + time_to_first_byte;
         let share = self.policy.admitted_shares[usize::from(priority).min(PRIORITY_LEVELS - 1)];
         let objective = (request.resolved_route.route.objective_ms as f64 * share) as u64;
         if expected <= objective {
--- a/crates/serving/src/dispatcher/backoff.rs
+++ b/crates/serving/src/dispatcher/backoff.rs
@@ -101,10 +101,10 @@
     }
 
     pub(super) fn is_too_late(&self, request: &ActiveRequest, available_at: Millis) -> bool {
-        let first_part = self
+        let time_to_first_byte = self
             .admission
-            .first_part_ms(&request.resolved_route.route.name);
-        available_at.saturating_add(first_part) > request.end
+            .time_to_first_byte_ms(&request.resolved_route.route.name);
+        available_at.saturating_add(time_to_first_byte) > request.end
     }
 
     /// Engines that may get the request now or later.
--- a/crates/serving/src/dispatcher/request.rs
+++ b/crates/serving/src/dispatcher/request.rs
@@ -228,13 +228,13 @@
     }
 
     /// Creates the order of a phase. The engine is expected in `engine_zone`, and to take
-    /// `first_part` milliseconds until the first part of its answer.
+    /// `time_to_first_byte` milliseconds until the first byte of its answer.
     pub(super) fn phase_work(
         &self,
         phase: usize,
         engine_zone: &str,
         instances: &InstanceTable,
-        first_part: Millis,
+        time_to_first_byte: Millis,
         now: Millis,
     ) -> PhaseWork {
         let spec = &self.resolved_route.route.phases[phase];
@@ -250,7 +250,7 @@
             .collect();
         let later = self.phases.phases_after(phase) as Millis;
         let objective = self.arrived_at + self.resolved_route.route.objective_ms;
-        let after_phase = MIN_PHASE_DURATION * later + first_part;
+        let after_phase = MIN_PHASE_DURATION * later + time_to_first_byte;
         let wanted_at = objective.saturating_sub(after_phase);
         let place = self.preferred_zone(phase, engine_zone, instances);
         PhaseWork {
--- a/crates/serving/src/dispatcher/sending.rs
+++ b/crates/serving/src/dispatcher/sending.rs
@@ -157,8 +157,8 @@
         };
         let is_delivered = matches!(outcome, SendOutcome::Delivered { .. });
         request.failed_at_candidate |= counted.is_to_candidate() && !is_delivered;
-        let first_part_at = request.head_at.unwrap_or(now);
-        let Some(answer) = counted_answer(outcome, active_send.began_at, first_part_at, now) else {
+        let first_byte_at = request.head_at.unwrap_or(now);
+        let Some(answer) = counted_answer(outcome, active_send.began_at, first_byte_at, now) else {
             return;
         };
         let service = &request.resolved_route.service;
@@ -193,7 +193,7 @@
 fn counted_answer(
     outcome: SendOutcome,
     began_at: Millis,
-    first_part_at: Millis,
+    first_byte_at: Millis,
     now: Millis,
 ) -> Option<CountedAnswer> {
     match outcome {
@@ -202,8 +202,8 @@
             status,
             is_whole: true,
         } if status < 500 => Some(CountedAnswer::Good {
-            first_part_ms: first_part_at.saturating_sub(began_at),
-            whole_ms: now.saturating_sub(began_at),
+            time_to_first_byte_ms: first_byte_at.saturating_sub(began_at),
+            response_time_ms: now.saturating_sub(began_at),
         }),
         SendOutcome::Delivered { .. } | SendOutcome::Unknown(_) | SendOutcome::Failed { .. } => {
             Some(CountedAnswer::Bad)
--- a/crates/serving/src/rollouts.rs
+++ b/crates/serving/src/rollouts.rs
@@ -31,10 +31,10 @@
 pub enum CountedAnswer {
     /// A complete answer that is no failure.
     Good {
-        /// Milliseconds from the send to the answer's first part.
-        first_part_ms: Millis,
+        /// Milliseconds from the send to the answer's first byte.
+        time_to_first_byte_ms: Millis,
         /// Milliseconds from the send to the answer's end.
-        whole_ms: Millis,
+        response_time_ms: Millis,
     },
     /// An error status, a truncated or malformed answer, or a timeout.
     Bad,
@@ -199,12 +199,14 @@
         match answer {
             CountedAnswer::Bad => response_counts.failed += 1,
             CountedAnswer::Good {
-                first_part_ms,
-                whole_ms,
+                time_to_first_byte_ms,
+                response_time_ms,
             } => {
                 response_counts.succeeded += 1;
-                response_counts.time_to_first_byte.record(first_part_ms);
-                response_counts.response_time.record(whole_ms);
+                response_counts
+                    .time_to_first_byte
+                    .record(time_to_first_byte_ms);
+                response_counts.response_time.record(response_time_ms);
             }
         }
     }
--- a/crates/serving/tests/dispatcher.rs
+++ b/crates/serving/tests/dispatcher.rs
@@ -428,7 +428,7 @@
 }
 
 #[test]
-fn slow_first_parts_of_answers_tighten_admission_of_their_route() {
+fn slow_first_bytes_of_answers_tighten_admission_of_their_route() {
     let mut dispatcher = dispatcher_with(admitting(0.8));
     let mut request = call_of("r", "/staged/x");
     request.pieces = vec![0, 0, 0];
--- a/crates/serving/tests/rollouts.rs
+++ b/crates/serving/tests/rollouts.rs
@@ -369,7 +369,7 @@
 }
 
 #[test]
-fn latencies_are_measured_from_the_send_to_the_first_part_and_to_the_end() {
+fn latencies_are_measured_from_the_send_to_the_first_byte_and_to_the_end() {
     let mut dispatcher = with_rollout("pool", directive(1, 0, &["chat"]));
     sent(&dispatcher.handle_request(1, call("r"), 1_000));
     dispatcher.head_received(1, None, 1_100);
