--- a/crates/daemon/src/call_guard.rs
+++ b/crates/daemon/src/call_guard.rs
@@ -31,8 +31,8 @@
     fn heard(&self, report: &HeadReport) {
         let shutdown_back_off = report.is_leaving.then_some(SHUTDOWN_BACK_OFF);
         let self_report = SelfReport {
-            rest: report.rest.max(shutdown_back_off),
-            has_unreadable_rest: report.has_unreadable_rest,
+            backoff: report.rest.max(shutdown_back_off),
+            has_unreadable_backoff: report.has_unreadable_rest,
             limit: report.limit,
             ..SelfReport::default()
         };
--- a/crates/daemon/src/crashes.rs
+++ b/crates/daemon/src/crashes.rs
@@ -78,7 +78,7 @@
         }
         let backend = &diagnosis.instance;
         let sends = diagnosis.sends.iter().map(|send| send.fingerprint);
-        let suspects = quarantine.crashed(backend, sends, now);
+        let suspects = quarantine.record_crash(backend, sends, now);
         if suspects.is_empty() {
             return false;
         }
@@ -95,7 +95,7 @@
         fingerprint: RequestFingerprint,
         quarantine: &mut RequestQuarantine,
     ) {
-        if quarantine.ended_well(fingerprint) {
+        if quarantine.record_success(fingerprint) {
             let news = &mut self.state.borrow_mut().pending_crash_reports;
             news.record_completed_request(fingerprint);
         }
--- a/crates/daemon/src/gateway/actor.rs
+++ b/crates/daemon/src/gateway/actor.rs
@@ -220,7 +220,7 @@
         self.renew_rollout_permit(now);
         self.report_evidence_if_due(now);
         self.dispatch_queued_requests(now);
-        self.setup.notices.log_ended_rests(now);
+        self.setup.notices.log_ended_backoffs(now);
         self.issue_permits(now);
         let expired = self.dispatcher.expire(now);
         self.apply_actions(expired, now);
@@ -233,7 +233,9 @@
             .reject_orders_without_backend(&self.dispatcher.instances);
         self.handle_finished_orders(without_backend, now);
         let instances = &self.dispatcher.instances;
-        let delayed_by_back_off = self.batcher.reject_orders_delayed_by_rest(instances, now);
+        let delayed_by_back_off = self
+            .batcher
+            .reject_orders_delayed_by_backoff(instances, now);
         self.handle_finished_orders(delayed_by_back_off, now);
         self.update_list_reader(now);
         self.report_inputs_read(now);
--- a/crates/daemon/src/gateway/allowed_locations.rs
+++ b/crates/daemon/src/gateway/allowed_locations.rs
@@ -37,7 +37,7 @@
     fn is_owner_allowed(&self, owner: &NodeName) -> bool {
         let status = self.view.nodes.iter().find(|status| status.node == *owner);
         let region = status.and_then(|status| self.topology.region_of(&status.zone));
-        let is_local_region = region.is_some() && region == self.topology.own_region();
+        let is_local_region = region.is_some() && region == self.topology.local_region();
         is_local_region || self.regions.allows(region)
     }
 
--- a/crates/daemon/src/gateway/batching.rs
+++ b/crates/daemon/src/gateway/batching.rs
@@ -175,8 +175,8 @@
         let placement_request = PlacementRequest {
             zone: "",
             moved_bytes: 0,
-            rank: order.priority,
-            lot: work,
+            priority: order.priority,
+            random_seed: work,
         };
         let Some((shard, owner)) =
             self.choose_shard(&order.shard.service, &placement_request, regions, now)
--- a/crates/daemon/src/gateway/calls.rs
+++ b/crates/daemon/src/gateway/calls.rs
@@ -203,7 +203,7 @@
                 }
             }
             Err(CallError::NotSent(_)) => CallOutcome::Unreachable,
-            Err(CallError::BackendUnavailable(_)) => CallOutcome::Withheld,
+            Err(CallError::BackendUnavailable(_)) => CallOutcome::BackendUnavailable,
             Ok(_) | Err(CallError::NoAnswer(_)) => CallOutcome::Unknown,
         }
     }
--- a/crates/daemon/src/gateway/limits.rs
+++ b/crates/daemon/src/gateway/limits.rs
@@ -105,7 +105,7 @@
         self.setup.notices.apply_grant(from.as_str(), grant, now);
         let sends = self.dispatcher.send_waiting(now);
         self.apply_actions(sends, now);
-        let refusals = self.dispatcher.refuse_without_permit(&grant.backend, now);
+        let refusals = self.dispatcher.reject_without_permit(&grant.backend, now);
         self.apply_actions(refusals, now);
     }
 
--- a/crates/daemon/src/gateway/notices.rs
+++ b/crates/daemon/src/gateway/notices.rs
@@ -70,19 +70,19 @@
         let changes = self.notices.record_report(instance, answer, report, now);
         let counter = &self.metrics.backend_notices;
         let count = |kind| counter.with_label_values(&[kind, path.name()]).inc();
-        if report.has_unreadable_rest {
+        if report.has_unreadable_backoff {
             count("unreadable_rest");
         }
-        if report.has_unreadable_pace {
+        if report.has_unreadable_processing_time {
             count("unreadable_pace");
         }
-        if changes.is_longer_rest {
+        if changes.is_longer_backoff {
             count("rest");
         }
-        if changes.is_leaving {
+        if changes.is_draining {
             count("leaving");
         }
-        if changes.is_other_limit {
+        if changes.is_limit_changed {
             count("limit");
         }
         if report.limit.is_unreadable {
--- a/crates/daemon/src/gateway/placement.rs
+++ b/crates/daemon/src/gateway/placement.rs
@@ -67,8 +67,8 @@
         let order = PlacementRequest {
             zone: &phase.zone,
             moved_bytes: phase.moved_bytes,
-            rank: phase.priority,
-            lot: work,
+            priority: phase.priority,
+            random_seed: work,
         };
         let regions = self.allowed_regions_of(work, phase);
         self.choose_shard(&phase.shard.service, &order, regions, now)
@@ -84,7 +84,7 @@
         let owner = placement.map(|(_, owner)| owner.0.clone());
         let shard = placement.map_or(&phase.shard, |(shard, _)| shard);
         let topology = &self.setup.topology;
-        let own_zone = topology.own_zone();
+        let own_zone = topology.local_zone();
         let distance = (!shard.is_whole_service()).then(|| shard.distance(own_zone, topology));
         self.setup.log.record(LogEvent::PhaseSubmitted {
             request: request.to_owned(),
--- a/crates/daemon/src/gateway/request_sender.rs
+++ b/crates/daemon/src/gateway/request_sender.rs
@@ -59,7 +59,7 @@
 
 impl From<UnavailableReason> for FailedSend {
     fn from(_: UnavailableReason) -> Self {
-        SendOutcome::NotRun(NotRunReason::Withheld).into()
+        SendOutcome::NotRun(NotRunReason::BackendUnavailable).into()
     }
 }
 
--- a/crates/daemon/src/gateway/result_freeing.rs
+++ b/crates/daemon/src/gateway/result_freeing.rs
@@ -46,7 +46,7 @@
         let is_resting = |backend: &str| {
             table
                 .get(backend)
-                .is_some_and(|instance| instance.is_resting(now))
+                .is_some_and(|instance| instance.is_in_backoff(now))
         };
         let due = self.delayed_frees.take_due(is_resting);
         self.free_at_backends(due, now);
@@ -92,7 +92,7 @@
     if backend.announced_shutdown() || backend.is_limited() {
         return FreeTiming::Never;
     }
-    match backend.is_resting(now) {
+    match backend.is_in_backoff(now) {
         true => FreeTiming::Later,
         false => FreeTiming::Now,
     }
--- a/crates/daemon/src/node/operators.rs
+++ b/crates/daemon/src/node/operators.rs
@@ -226,7 +226,7 @@
             leaving_backends: self
                 .notices
                 .iter()
-                .flat_map(BackendNotices::leaving)
+                .flat_map(BackendNotices::draining)
                 .collect(),
             limited_backends: self.limited_backends(),
             groups,
@@ -244,7 +244,10 @@
     }
 
     fn resting_backends(&self, now: Millis) -> Vec<RestingBackend> {
-        let resting = self.notices.iter().flat_map(|notices| notices.resting(now));
+        let resting = self
+            .notices
+            .iter()
+            .flat_map(|notices| notices.in_backoff(now));
         resting
             .map(|(backend, for_ms)| RestingBackend { backend, for_ms })
             .collect()
--- a/crates/daemon/src/requests/actor.rs
+++ b/crates/daemon/src/requests/actor.rs
@@ -192,7 +192,7 @@
     fn check_deadlines(&mut self, cx: CX![]) {
         self.is_tick_scheduled = false;
         let now = cx.now();
-        self.setup.notices.log_ended_rests(self.now_millis(cx));
+        self.setup.notices.log_ended_backoffs(self.now_millis(cx));
         while let Some((deadline, number)) = self.deadlines.first().copied() {
             if deadline > now {
                 break;
--- a/crates/daemon/src/requests/backoff.rs
+++ b/crates/daemon/src/requests/backoff.rs
@@ -16,7 +16,7 @@
 impl RequestActor {
     /// Time at which a back end's back-off ends; in the past if there is none.
     pub(crate) fn backoff_until(&self, backend: &Backend) -> Millis {
-        self.setup.notices.of(&backend.address).rest_until()
+        self.setup.notices.of(&backend.address).backoff_until()
     }
 
     /// Time at which the first back end of a pool becomes available, if that is not before
--- a/crates/daemon/src/requests/crashes.rs
+++ b/crates/daemon/src/requests/crashes.rs
@@ -61,7 +61,7 @@
     pub(crate) fn apply_quarantine_list(&mut self) {
         let list = self.setup.state.borrow().quarantine.clone();
         if let Some(list) = list {
-            self.quarantine.take(list);
+            self.quarantine.update(list);
         }
     }
 }
--- a/crates/daemon/src/requests/dispatch.rs
+++ b/crates/daemon/src/requests/dispatch.rs
@@ -308,7 +308,7 @@
             let is_drained = backends
                 .get(&call.backend)
                 .is_none_or(|backend| backend.drain);
-            let is_resting = self.setup.notices.of(&call.address).is_resting(now);
+            let is_resting = self.setup.notices.of(&call.address).is_in_backoff(now);
             !is_drained && !state.is_leaving(&call.address) && !is_resting
         })
     }
--- a/crates/daemon/src/session/node_state.rs
+++ b/crates/daemon/src/session/node_state.rs
@@ -105,7 +105,7 @@
         if !self.accepts_backend_list_version(update.version, now) {
             return false;
         }
-        match update.applied_to(self.backend_list.as_deref()) {
+        match update.apply_to(self.backend_list.as_deref()) {
             Ok(backend_list) => self.apply_backend_list(Arc::new(backend_list), now),
             Err(error) => {
                 // The next heartbeat carries the version held here, so that the relay repairs it.
--- a/crates/daemon/src/session/relay.rs
+++ b/crates/daemon/src/session/relay.rs
@@ -297,7 +297,9 @@
     }
 
     fn reply(&mut self, heartbeat: &SessionHeartbeat, now: Millis) -> SessionReply {
-        let backend_list = self.backend_list_history.since(heartbeat.backend_list);
+        let backend_list = self
+            .backend_list_history
+            .update_since(heartbeat.backend_list);
         let wants_view = self.view.version > heartbeat.view;
         let control = self.setup.machine.borrow();
         let machine = &control.configuration;
--- a/crates/daemon/src/session/relay_backend_list.rs
+++ b/crates/daemon/src/session/relay_backend_list.rs
@@ -77,7 +77,7 @@
         self.apply_backend_list(backend_list, now);
         // The other relays usually hold the former version; a relay that does not is repaired after
         // its next reports.
-        if let Some(update) = self.backend_list_history.since(former) {
+        if let Some(update) = self.backend_list_history.update_since(former) {
             self.send_to_other_relays(SessionMessage::BackendList(update));
         }
     }
@@ -93,7 +93,7 @@
             self.apply_backend_list(held.backend_list.clone(), now);
             return;
         }
-        match update.applied_to(held.map(|held| &*held.backend_list)) {
+        match update.apply_to(held.map(|held| &*held.backend_list)) {
             Ok(backend_list) => self.apply_backend_list(Arc::new(backend_list), now),
             // The next reports carry the version held here, so that the leader repairs it.
             Err(error) => log::info!(event = "listing_update_refused"; "{error}"),
@@ -125,7 +125,7 @@
             return;
         }
         self.backends_by_zone = count_backends_by_zone(&backend_list.entries);
-        self.backend_list_history.follow(backend_list);
+        self.backend_list_history.set_latest(backend_list);
         self.push_backend_list(now);
     }
 
@@ -137,7 +137,7 @@
             if now.saturating_sub(session.last_heartbeat_at) > SESSION_TIMEOUT {
                 continue;
             }
-            let update = self.backend_list_history.since(session.backend_list);
+            let update = self.backend_list_history.update_since(session.backend_list);
             let large_updates = &mut session.large_updates;
             let update = update.filter(|update| {
                 large_updates.try_start_send(UpdateKind::BackendList, update.size(), now)
@@ -166,7 +166,7 @@
         if self.membership_table.is_none() || was_repaired {
             return;
         }
-        let Some(update) = self.backend_list_history.since(held) else {
+        let Some(update) = self.backend_list_history.update_since(held) else {
             return;
         };
         self.backend_list_repaired_at.insert(relay.clone(), now);
--- a/crates/serving/examples/returns.rs
+++ b/crates/serving/examples/returns.rs
@@ -14,7 +14,7 @@
 use silversail_serving::cold::ColdBackendPolicy;
 use silversail_serving::instances::{InstanceTable, ResumePolicy};
 use silversail_serving::notices::{BackendNotices, ExchangeKind};
-use silversail_serving::ports::{Pace, ReportedLoad, SelfReport};
+use silversail_serving::ports::{RelativeProcessingTime, ReportedLoad, SelfReport};
 use silversail_serving::regions::{RegionAffinity, SharedPrefixCost};
 use silversail_serving::rollouts::VersionChoice;
 use silversail_serving::selection::{select, SelectionRequest};
@@ -166,7 +166,7 @@
                 inputs: &[],
                 tried: &tried,
                 cold_use: ColdBackendPolicy::Unlimited,
-                lot: 0,
+                random_seed: 0,
             };
             let chosen = select(&self.nodes[node], &request, now);
             let Some(id) = chosen.map(|one| one.listed.id.clone()) else {
@@ -214,7 +214,7 @@
             running: all.min(SLOTS),
             waiting: all.saturating_sub(SLOTS),
             slots: SLOTS,
-            pace: Pace::NORMAL,
+            processing_time: RelativeProcessingTime::NORMAL,
         }
     }
 
@@ -228,7 +228,7 @@
         let table = &mut self.nodes[node];
         let said = SelfReport {
             load: Some(load),
-            rest: self.asks.then_some(REST),
+            backoff: self.asks.then_some(REST),
             ..SelfReport::default()
         };
         table
--- a/crates/serving/src/dispatcher/limits.rs
+++ b/crates/serving/src/dispatcher/limits.rs
@@ -5,7 +5,7 @@
 use super::sending::send_hash;
 use super::{Action, Dispatcher, RequestNumber};
 use crate::instances::{Instance, InstanceId};
-use crate::selection::rank;
+use crate::selection::rendezvous_hash;
 use crate::Millis;
 use std::collections::BTreeMap;
 
@@ -43,19 +43,19 @@
         };
         let hash = send_hash(&request.call.id, request.sends);
         let less_busy = self.engines_of(request).filter(is_less_busy);
-        let preferred = less_busy.max_by_key(|engine| rank(hash, &engine.listed.id));
+        let preferred = less_busy.max_by_key(|engine| rendezvous_hash(hash, &engine.listed.id));
         if let Some(preferred) = preferred {
-            preferred.prefer(now);
+            preferred.request_permit(now);
         }
     }
 
     /// Rejects the requests that are not expected to get a permit in time. The most urgent ones
     /// get the first permits.
-    pub fn refuse_without_permit(&mut self, engine: &str, now: Millis) -> Vec<Action> {
+    pub fn reject_without_permit(&mut self, engine: &str, now: Millis) -> Vec<Action> {
         let waiting = self.requests.iter();
         let waiting = waiting.filter(|(_, request)| request.waits_for.as_deref() == Some(engine));
         let mut waiting: Vec<(u8, Millis, RequestNumber)> = waiting
-            .map(|(number, request)| (request.routed.priority, request.end, *number))
+            .map(|(number, request)| (request.resolved_route.priority, request.end, *number))
             .collect();
         waiting.sort_unstable();
         let Some(instance) = self.instances.get(engine) else {
--- a/crates/serving/src/instances.rs
+++ b/crates/serving/src/instances.rs
@@ -60,7 +60,7 @@
     cold_senders: ColdSenders,
     notices: BackendNotices,
     resume_policy: ResumePolicy,
-    own_node: String,
+    local_node: String,
     log: DecisionLog,
 }
 
@@ -76,7 +76,7 @@
         Self {
             notices,
             resume_policy: ResumePolicy::default(),
-            own_node: String::new(),
+            local_node: String::new(),
             instances: InstanceStore::default(),
             applied: BackendListEntries::default(),
             superseded: BTreeMap::new(),
@@ -98,9 +98,9 @@
     /// Removes the self-reports of back ends that have been unlisted for long.
     pub fn forget_removed(&mut self, now: Millis) {
         for id in self.removed.drain(..) {
-            self.notices.unlisted(&id, now);
+            self.notices.mark_unlisted(&id, now);
         }
-        self.notices.forget_unlisted(now);
+        self.notices.remove_unlisted(now);
     }
 
     /// Replaces the set of evacuated zones.
@@ -121,15 +121,15 @@
     }
 
     /// Sets the nodes that send requests, and the name of this one.
-    pub fn set_senders(&mut self, own: &str, nodes: Vec<String>) {
-        self.cold_senders.set_nodes(own, nodes);
-        if self.own_node != own {
-            self.own_node = own.to_owned();
+    pub fn set_senders(&mut self, local_node: &str, nodes: Vec<String>) {
+        self.cold_senders.set_nodes(local_node, nodes);
+        if self.local_node != local_node {
+            self.local_node = local_node.to_owned();
             self.plan_resumption();
         }
     }
 
-    /// Sets how this node resumes sending to back ends after rests.
+    /// Sets how this node resumes sending to back ends after a back-off.
     pub fn set_resume_policy(&mut self, resume_policy: ResumePolicy) {
         self.resume_policy = resume_policy;
         self.plan_resumption();
@@ -138,7 +138,7 @@
     fn plan_resumption(&mut self) {
         for instance in self.instances.iter_mut() {
             let id = &instance.listed.id;
-            instance.resume_plan = self.resume_policy.plan_for(&self.own_node, id);
+            instance.resume_plan = self.resume_policy.plan_for(&self.local_node, id);
         }
     }
 
@@ -181,7 +181,7 @@
             if instance.notice.is_unproven(now) {
                 instance.probe_sent_at = Some(now);
             }
-            instance.choose_permit(now);
+            instance.reserve_permit(now);
             instance.in_flight += 1;
             instance.tokens_in_flight += tokens;
             instance.sent_since_report += 1;
--- a/crates/serving/src/instances/instance.rs
+++ b/crates/serving/src/instances/instance.rs
@@ -1,7 +1,7 @@
 //! One back end with its load and health as this node sees it.
 
 use super::resume::ResumePlan;
-use crate::notices::Notice;
+use crate::notices::BackendNotice;
 use crate::ports::{BackendListEntry, ReportedLoad};
 use crate::rollouts::VersionRole;
 use crate::Millis;
@@ -10,9 +10,9 @@
 
 /// How long a load report is valid, in milliseconds.
 const REPORT_LIFETIME: Millis = 4_000;
-/// How long a reported pace is valid, in milliseconds; it changes many times per second.
-const PACE_LIFETIME: Millis = 300;
-/// How long the probe after a rest keeps other requests of this node away while it is
+/// How long a reported processing time is valid, in milliseconds; it changes many times per second.
+const PROCESSING_TIME_LIFETIME: Millis = 300;
+/// How long the probe after a back-off keeps other requests of this node away while it is
 /// unanswered, in milliseconds.
 const PROBE_TIMEOUT: Millis = 1_000;
 
@@ -42,20 +42,20 @@
     pub(super) failures: u32,
     pub(super) suspect_until: Millis,
     pub(super) full_until: Millis,
-    /// Until when it counts as gone because another one answered at its address.
+    /// Until when it counts as removed because another one answered at its address.
     pub(super) address_mismatch_until: Millis,
     /// Its self-reports.
-    pub(super) notice: Arc<Notice>,
-    /// How this node resumes sending to it after a rest.
+    pub(super) notice: Arc<BackendNotice>,
+    /// How this node resumes sending to it after a back-off.
     pub(super) resume_plan: ResumePlan,
-    /// When this node sent the probe after a rest; none if none was sent.
+    /// When this node sent the probe after a back-off; none if none was sent.
     pub(super) probe_sent_at: Option<Millis>,
 }
 
 impl Instance {
     pub(super) fn new(
         listed: Arc<BackendListEntry>,
-        notice: Arc<Notice>,
+        notice: Arc<BackendNotice>,
         resume_plan: ResumePlan,
     ) -> Self {
         Self {
@@ -80,34 +80,37 @@
     }
 
     /// Whether it may get new work in principle: it is not shutting down, by the list or its own
-    /// report, its zone is not evacuated and its version is not retired. A resting back end may,
-    /// later.
+    /// report, its zone is not evacuated and its version is not retired. A back end in back-off
+    /// may, later.
     pub fn accepts_new_work(&self) -> bool {
-        let is_leaving = self.listed.draining || self.notice.is_leaving();
-        !is_leaving && !self.is_evacuated && self.role != VersionRole::Retired
+        let is_draining = self.listed.draining || self.notice.is_draining();
+        !is_draining && !self.is_evacuated && self.role != VersionRole::Retired
     }
 
     /// Whether it has reported that it shuts down.
     pub fn announced_shutdown(&self) -> bool {
-        self.notice.is_leaving()
+        self.notice.is_draining()
     }
 
-    /// Whether it has asked for a rest that has not ended.
-    pub fn is_resting(&self, now: Millis) -> bool {
-        self.notice.is_resting(now)
+    /// Whether it has requested a back-off that has not ended.
+    pub fn is_in_backoff(&self, now: Millis) -> bool {
+        self.notice.is_in_backoff(now)
     }
 
-    /// Milliseconds until its rest ends; 0 if it does not rest.
-    pub fn rest_ms_left(&self, now: Millis) -> Millis {
-        self.notice.rest_until().saturating_sub(now)
+    /// Milliseconds until its back-off ends; 0 if it is not in back-off.
+    pub fn backoff_ms_left(&self, now: Millis) -> Millis {
+        self.notice.backoff_until().saturating_sub(now)
     }
 
-    /// When it can be selected again, by its own reports; none if it can be now. After a rest a
-    /// probe goes first, so that a rejection costs one request only.
+    /// When it can be selected again, by its own reports; none if it can be now. After a back-off
+    /// a probe goes first, so that a rejection costs one request only.
     pub fn available_at(&self, now: Millis) -> Option<Millis> {
-        let rest_until = self.notice.rest_until().max(self.probe_pending_until(now));
+        let backoff_until = self
+            .notice
+            .backoff_until()
+            .max(self.probe_pending_until(now));
         let permit_at = self.notice.permit_at(now).unwrap_or(0);
-        let until = rest_until.max(self.full_until).max(permit_at);
+        let until = backoff_until.max(self.full_until).max(permit_at);
         Some(until).filter(|until| now < *until)
     }
 
@@ -121,14 +124,14 @@
         self.notice.limit()
     }
 
-    /// Milliseconds until its rest has ended and this node has a permit for it; 0 if both hold.
+    /// Milliseconds until its back-off has ended and this node has a permit for it; 0 if both hold.
     pub fn wait_ms(&self, now: Millis) -> Millis {
         let permit_at = self.notice.permit_at(now).unwrap_or(0);
-        self.rest_ms_left(now).max(permit_at.saturating_sub(now))
+        self.backoff_ms_left(now).max(permit_at.saturating_sub(now))
     }
 
     /// Reserves a permit for a request that will be sent there.
-    pub(crate) fn choose_permit(&self, now: Millis) {
+    pub(crate) fn reserve_permit(&self, now: Millis) {
         self.notice.reserve_permit(now);
     }
 
@@ -137,13 +140,13 @@
         self.is_limited()
             && self.accepts_new_work()
             && !self.is_ejected(now)
-            && !self.is_resting(now)
+            && !self.is_in_backoff(now)
             && self.notice.permit_at(now).is_some()
     }
 
     /// Records that a request would have gone there with a permit.
-    pub(crate) fn prefer(&self, now: Millis) {
-        self.notice.prefer(now);
+    pub(crate) fn request_permit(&self, now: Millis) {
+        self.notice.request_permit(now);
     }
 
     /// When the `place`-th waiting request of this node is expected to get a permit.
@@ -151,11 +154,11 @@
         self.notice.permit_expected_at(place, now)
     }
 
-    /// Whether its rest has ended but this node still delays its resumption, to spread the
+    /// Whether its back-off has ended but this node still delays its resumption, to spread the
     /// nodes. It may then be used as a last resort.
     pub fn is_return_delayed(&self, now: Millis) -> bool {
-        let delay = self.resume_plan.delay(self.notice.rest_ms());
-        let returns_at = self.notice.rest_until().saturating_add(delay);
+        let delay = self.resume_plan.delay(self.notice.backoff_ms());
+        let returns_at = self.notice.backoff_until().saturating_add(delay);
         self.notice.is_unproven(now) && now < returns_at
     }
 
@@ -172,7 +175,7 @@
         self.role
     }
 
-    /// Whether a probe after a rest is unanswered.
+    /// Whether a probe after a back-off is unanswered.
     pub fn is_probe_pending(&self, now: Millis) -> bool {
         now < self.probe_pending_until(now)
     }
@@ -231,8 +234,10 @@
     /// By how much work takes longer there than normal, relative to the normal duration; 0
     /// without a recent report.
     pub fn slowness(&self, now: Millis) -> f64 {
-        let recent = self.report(now).filter(|(_, age)| *age <= PACE_LIFETIME);
-        recent.map_or(0.0, |(load, _)| load.pace.excess_over_normal())
+        let recent = self
+            .report(now)
+            .filter(|(_, age)| *age <= PROCESSING_TIME_LIFETIME);
+        recent.map_or(0.0, |(load, _)| load.processing_time.excess_over_normal())
     }
 
     /// Estimated number of requests running and waiting there: the reported number plus requests
--- a/crates/serving/src/instances/listing.rs
+++ b/crates/serving/src/instances/listing.rs
@@ -17,16 +17,16 @@
     pub fn apply_list(&mut self, listed: &BackendListEntries) -> bool {
         let before = std::mem::replace(&mut self.applied, listed.clone());
         let mut changes = ListChanges::default();
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         for change in before.changes_to(listed) {
             match change {
                 EntryChange::Upserted(entry) => self.apply_entry(entry, &mut changes),
-                EntryChange::Removed(id) => gone.push(id),
+                EntryChange::Removed(id) => removed.push(id),
             }
         }
         // Removals come last: a removed process may be the earlier one of a back end that is
         // still listed.
-        for id in gone {
+        for id in removed {
             self.remove_entry(id, &mut changes);
         }
         changes.write_to(&self.log)
@@ -57,10 +57,10 @@
         changes: &mut ListChanges,
     ) {
         if is_in_other_state(&known.listed, entry) {
-            changes.note(entry, ListedState::of(entry));
+            changes.record(entry, ListedState::of(entry));
         }
         if known.listed.address != entry.address {
-            changes.note_change();
+            changes.record_unlogged_change();
             known.address_mismatch_until = 0;
         }
         known.listed = entry.clone();
@@ -68,11 +68,11 @@
     }
 
     fn add(&mut self, entry: &Arc<BackendListEntry>, changes: &mut ListChanges) {
-        changes.note(entry, ListedState::of(entry));
+        changes.record(entry, ListedState::of(entry));
         self.hide_earlier_start(entry, changes);
         self.removed.retain(|id| *id != entry.id);
-        let notice = self.notices.listed(&entry.id);
-        let plan = self.resume_policy.plan_for(&self.own_node, &entry.id);
+        let notice = self.notices.mark_listed(&entry.id);
+        let plan = self.resume_policy.plan_for(&self.local_node, &entry.id);
         self.put(Instance::new(entry.clone(), notice, plan));
     }
 
@@ -138,7 +138,7 @@
     fn remove_instance(&mut self, listed: &BackendListEntry, changes: &mut ListChanges) {
         self.instances.remove(&listed.id);
         self.removed.push(listed.id.clone());
-        changes.note(listed, ListedState::Gone);
+        changes.record(listed, ListedState::Removed);
     }
 }
 
--- a/crates/serving/src/selection.rs
+++ b/crates/serving/src/selection.rs
@@ -28,8 +28,8 @@
 
 /// Maximum number of back ends of a service for which all are compared; above it a sample is drawn.
 const MAX_COMPARED: usize = 64;
-/// Sample size from the own zone.
-const OWN_ZONE_SAMPLES: u64 = 12;
+/// Sample size from the local zone.
+const LOCAL_ZONE_SAMPLES: u64 = 12;
 /// Additional sample size from all zones.
 const ANY_ZONE_SAMPLES: u64 = 4;
 /// Maximum number of back ends that are checked in rendezvous order for a prefix.
@@ -58,8 +58,8 @@
     pub tried: &'a [String],
     /// Policy for cold back ends.
     pub cold_use: ColdBackendPolicy,
-    /// Random value that breaks ties between equally busy back ends.
-    pub lot: u64,
+    /// Seed of the random sample, and of the order of equally busy back ends.
+    pub random_seed: u64,
 }
 
 impl SelectionRequest<'_> {
@@ -92,10 +92,10 @@
             break;
         }
         for cold_filter in ColdFilter::of(request.cold_use) {
-            let fits = |one: &Instance| {
-                request.allows(one)
-                    && eligibility.fits(one, request.tried, now)
-                    && cold_filter.fits(table, one, now)
+            let fits = |instance: &Instance| {
+                request.allows(instance)
+                    && eligibility.fits(instance, request.tried, now)
+                    && cold_filter.fits(table, instance, now)
             };
             let choices: Vec<RegionChoice> = regions
                 .iter()
@@ -123,7 +123,7 @@
 enum Eligibility {
     /// Usable at present.
     Usable,
-    /// Its rest has ended, and this node's delayed return to it is still pending.
+    /// Its back-off has ended, and this node's delayed return to it is still pending.
     Returning,
     /// It failed recently, and this request has not tried it.
     FailedUntried,
@@ -147,16 +147,18 @@
         !matches!(self, Self::Usable | Self::Returning)
     }
 
-    fn fits(self, one: &Instance, tried: &[String], now: Millis) -> bool {
-        let is_untried = || !tried.contains(&one.listed.id);
+    fn fits(self, instance: &Instance, tried: &[String], now: Millis) -> bool {
+        let is_untried = || !tried.contains(&instance.listed.id);
         match self {
-            Self::Usable => one.is_usable(now) && is_untried(),
+            Self::Usable => instance.is_usable(now) && is_untried(),
             Self::Returning => {
-                one.is_return_delayed(now) && one.is_usable_as_last_resort(now) && is_untried()
+                instance.is_return_delayed(now)
+                    && instance.is_usable_as_last_resort(now)
+                    && is_untried()
             }
-            Self::FailedUntried => one.may_be_retried(now) && is_untried(),
-            Self::TriedBefore => one.is_usable(now),
-            Self::LastResort => one.is_usable_as_last_resort(now),
+            Self::FailedUntried => instance.may_be_retried(now) && is_untried(),
+            Self::TriedBefore => instance.is_usable(now),
+            Self::LastResort => instance.is_usable_as_last_resort(now),
         }
     }
 }
@@ -182,11 +184,11 @@
         }
     }
 
-    fn fits(self, table: &InstanceTable, one: &Instance, now: Millis) -> bool {
+    fn fits(self, table: &InstanceTable, instance: &Instance, now: Millis) -> bool {
         match self {
             Self::Any => true,
-            Self::Warm => !table.is_limited(one, now),
-            Self::WithinLimit => table.cold_limit_allows(one, now),
+            Self::Warm => !table.is_limited(instance, now),
+            Self::WithinLimit => table.cold_limit_allows(instance, now),
         }
     }
 }
@@ -208,24 +210,24 @@
         });
     };
     let least_utilization = least.utilization(now);
-    let accepts = |one: &&Instance| {
-        let utilization = one.utilization(now);
+    let accepts = |instance: &&Instance| {
+        let utilization = instance.utilization(now);
         utilization <= AFFINITY_UTILIZATION || utilization <= least_utilization + AFFINITY_SLACK
     };
     let ranked = table
         .ranked(request.service, affinity)
-        .filter(|one| zones.contains(&one.listed.zone.as_str()) && fits(one));
+        .filter(|instance| zones.contains(&instance.listed.zone.as_str()) && fits(instance));
     let mut first = ranked.take(MAX_RANKED).enumerate();
-    let affine = first.find(|(_, one)| accepts(one));
+    let affine = first.find(|(_, instance)| accepts(instance));
     Some(RegionChoice {
-        chosen: affine.map_or(least, |(_, one)| one),
+        chosen: affine.map_or(least, |(_, instance)| instance),
         is_home: affine.is_some_and(|(position, _)| position == 0),
     })
 }
 
-/// The least busy back end of a random sample, most of it from the own zone, or of all if there are
-/// few or the sample contains no eligible one. Ties are broken at random, so that nodes without load
-/// information do not all choose the same back end.
+/// The least busy back end of a random sample, most of it from the local zone, or of all if there
+/// are few or the sample contains no eligible one. Ties are broken at random, so that nodes
+/// without load information do not all choose the same back end.
 fn least_busy<'a>(
     table: &'a InstanceTable,
     zones: &[&str],
@@ -237,7 +239,12 @@
         true => Vec::new(),
         false => sample(table, zones, request, fits),
     };
-    let busyness = |one: &Instance| (cost(one, request, now), rank(request.lot, &one.listed.id));
+    let busyness = |instance: &Instance| {
+        (
+            cost(instance, request, now),
+            rendezvous_hash(request.random_seed, &instance.listed.id),
+        )
+    };
     let is_less = |left: &&Instance, right: &&Instance| {
         let (left, right) = (busyness(left), busyness(right));
         left.0.total_cmp(&right.0).then(left.1.cmp(&right.1))
@@ -246,49 +253,50 @@
         let of_zones = zones
             .iter()
             .flat_map(|zone| table.in_zone(request.service, zone));
-        of_zones.filter(|one| fits(one)).min_by(is_less)
+        of_zones.filter(|instance| fits(instance)).min_by(is_less)
     })
 }
 
-/// Random sample of eligible back ends from the own zone and from all zones.
+/// Random sample of eligible back ends from the local zone and from all zones.
 fn sample<'a>(
     table: &'a InstanceTable,
     zones: &[&str],
     request: &SelectionRequest<'_>,
     fits: &dyn Fn(&Instance) -> bool,
 ) -> Vec<&'a Instance> {
-    let own_zone = request.topology.own_zone();
-    let sampled_zone = zones.contains(&own_zone).then_some(own_zone);
+    let local_zone = request.topology.local_zone();
+    let sampled_zone = zones.contains(&local_zone).then_some(local_zone);
     let draw_in = |zone: &str, draw| {
-        let lot = random_value(request.lot, draw);
-        let drawn = table.random_in_zone(request.service, zone, lot);
-        drawn.filter(|one| fits(one))
+        let value = random_value(request.random_seed, draw);
+        let drawn = table.random_in_zone(request.service, zone, value);
+        drawn.filter(|instance| fits(instance))
     };
-    let from_own_zone = sampled_zone
+    let from_local_zone = sampled_zone
         .into_iter()
-        .flat_map(|zone| (0..OWN_ZONE_SAMPLES).filter_map(move |draw| draw_in(zone, draw)));
+        .flat_map(|zone| (0..LOCAL_ZONE_SAMPLES).filter_map(move |draw| draw_in(zone, draw)));
     let from_any_zone =
-        (OWN_ZONE_SAMPLES..OWN_ZONE_SAMPLES + ANY_ZONE_SAMPLES).filter_map(|draw| {
-            let position = random_value(request.lot, draw).checked_rem(zones.len() as u64)?;
+        (LOCAL_ZONE_SAMPLES..LOCAL_ZONE_SAMPLES + ANY_ZONE_SAMPLES).filter_map(|draw| {
+            let position =
+                random_value(request.random_seed, draw).checked_rem(zones.len() as u64)?;
             draw_in(zones[position as usize], draw)
         });
-    from_own_zone.chain(from_any_zone).collect()
+    from_local_zone.chain(from_any_zone).collect()
 }
 
-fn random_value(lot: u64, draw: u64) -> u64 {
+fn random_value(random_seed: u64, draw: u64) -> u64 {
     let mut hasher = DefaultHasher::new();
-    ("draw", lot, draw).hash(&mut hasher);
+    ("draw", random_seed, draw).hash(&mut hasher);
     hasher.finish()
 }
 
 fn cost(instance: &Instance, request: &SelectionRequest<'_>, now: Millis) -> f64 {
-    let is_near = instance.listed.zone == request.topology.own_zone();
+    let is_near = instance.listed.zone == request.topology.local_zone();
     let distance = if is_near { 0.0 } else { OTHER_ZONE_PENALTY };
     instance.utilization(now) + instance.slowness(now) + distance
 }
 
 /// Rendezvous hash of a back end for a key; the highest ranks first.
-pub fn rank(key: u64, id: &str) -> u64 {
+pub fn rendezvous_hash(key: u64, id: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     (key, id).hash(&mut hasher);
     hasher.finish()
--- a/crates/serving/tests/limits.rs
+++ b/crates/serving/tests/limits.rs
@@ -12,7 +12,7 @@
 use silversail_serving::ports::SelfReport;
 use std::collections::BTreeMap;
 
-const WITHHELD: SendOutcome = SendOutcome::NotRun(NotRunReason::Withheld);
+const BACKEND_UNAVAILABLE: SendOutcome = SendOutcome::NotRun(NotRunReason::BackendUnavailable);
 const NONE_WAITING: BTreeMap<String, u32> = BTreeMap::new();
 
 fn rate(per_second: f64) -> RequestRate {
@@ -39,17 +39,17 @@
     table.notices().permit_requests(&NONE_WAITING, 0);
 }
 
-fn grant(backend: &str, first: Serial, count: u32, wait_ms: u64) -> PermitGrant {
+fn grant(backend: &str, first_serial: Serial, count: u32, wait_ms: u64) -> PermitGrant {
     PermitGrant {
         backend: backend.into(),
         state: LimitState::Limited(KnownLimit {
             rate: rate(1.0),
             serial: 1,
         }),
-        first,
+        first_serial,
         count,
         wait_ms,
-        echo: 0,
+        request_sent_at: 0,
     }
 }
 
@@ -110,7 +110,8 @@
     advertise_limit(&dispatcher.instances, &[&first], 1.0);
     let admitted = dispatcher.instances.notices().admit(&first, 5);
     assert_eq!(admitted, Err(UnavailableReason::Limited));
-    let second = sent_to(&dispatcher.send_ended(1, WITHHELD, None, 5)).expect("sent anew");
+    let second =
+        sent_to(&dispatcher.send_ended(1, BACKEND_UNAVAILABLE, None, 5)).expect("sent anew");
     assert_ne!(second, first);
 }
 
@@ -132,7 +133,7 @@
     let dispatcher = dispatcher();
     let notices = dispatcher.instances.notices();
     advertise_limit(&dispatcher.instances, &["g1"], 1.0);
-    let lifted_by = |permit, is_success| {
+    let limit_lifted_serial = |permit, is_success| {
         let answer = AnswerContext {
             path: ExchangeKind::Request,
             permit,
@@ -140,11 +141,11 @@
         };
         notices.record_report("g1", answer, &SelfReport::default(), 20);
         let requests = notices.permit_requests(&NONE_WAITING, 20);
-        requests.first().map(|request| request.lifted_by)
+        requests.first().map(|request| request.limit_lifted_serial)
     };
-    assert_eq!(lifted_by(None, true), None);
-    assert_eq!(lifted_by(Some(10), false), None);
-    assert_eq!(lifted_by(Some(10), true), Some(10));
+    assert_eq!(limit_lifted_serial(None, true), None);
+    assert_eq!(limit_lifted_serial(Some(10), false), None);
+    assert_eq!(limit_lifted_serial(Some(10), true), Some(10));
 }
 
 mod all_engines_limited {
@@ -206,7 +207,7 @@
             let waiting = BTreeMap::from([(engine.clone(), count)]);
             notices.permit_requests(&waiting, 10);
             notices.apply_grant("n2", &grant(&engine, 10, 0, 8_000), 20);
-            refused.extend(refusals(&dispatcher.refuse_without_permit(&engine, 20)));
+            refused.extend(refusals(&dispatcher.reject_without_permit(&engine, 20)));
         }
         assert!(!refused.is_empty());
         for (number, refusal) in &refused {
--- a/crates/serving/tests/waits.rs
+++ b/crates/serving/tests/waits.rs
@@ -34,12 +34,12 @@
     waits
 }
 
-fn order(zone: &str, moved_bytes: u64, lot: u64) -> PlacementRequest<'_> {
+fn order(zone: &str, moved_bytes: u64, random_seed: u64) -> PlacementRequest<'_> {
     PlacementRequest {
         zone,
         moved_bytes,
-        rank: 1,
-        lot,
+        priority: 1,
+        random_seed,
     }
 }
 
@@ -47,8 +47,8 @@
 fn zones_chosen(waits: &ShardWaitTable, zone: &str, now: u64) -> BTreeSet<String> {
     let all = shards();
     let all: Vec<&Shard> = all.iter().collect();
-    let choose = |lot| {
-        let order = order(zone, 0, lot);
+    let choose = |random_seed| {
+        let order = order(zone, 0, random_seed);
         let chosen = waits.choose(&all, &order, now).expect("there are shards");
         match &chosen.scope {
             ShardScope::Zone(zone) => zone.clone(),
@@ -168,7 +168,7 @@
 
 /// Each random draw counts with the shard that it would choose.
 #[rstest]
-#[case::shorter_queue_of_own_region(&[("a", 900), ("b", 100), ("c", 50), ("d", 900)], 100)]
+#[case::shorter_queue_of_local_region(&[("a", 900), ("b", 100), ("c", 50), ("d", 900)], 100)]
 #[case::all_orders_leave(&[("a", 900), ("b", 900), ("c", 100), ("d", 200)], 190)]
 #[case::half_of_the_orders_leave(&[("a", 500), ("b", 500), ("c", 100), ("d", 900)], 320)]
 #[case::only_other_region_known(&[("c", 100), ("d", 200)], 190)]
