--- a/crates/backend/src/agent.rs
+++ b/crates/backend/src/agent.rs
@@ -54,12 +54,12 @@
 }
 
 /// What a transport error proves about the call.
-pub fn transport_failure(error: &Transport) -> CallFailure {
+pub fn classify_transport_error(error: &Transport) -> CallFailure {
     match error.kind() {
         // The connection was never made, so nothing was sent.
         ErrorKind::ConnectionFailed | ErrorKind::Dns | ErrorKind::InvalidUrl => {
             CallFailure::NotRun(error.to_string())
         }
-        _ => CallFailure::Lost(error.to_string()),
+        _ => CallFailure::AnswerLost(error.to_string()),
     }
 }
--- a/crates/backend/src/call.rs
+++ b/crates/backend/src/call.rs
@@ -70,13 +70,13 @@
     Protocol(String),
     /// The call was sent and no whole answer came.
     #[error("lost: {0}")]
-    Lost(String),
+    AnswerLost(String),
     /// The deadline passed after the call was sent.
     #[error("deadline passed")]
-    Deadline,
+    DeadlineExceeded,
     /// Nothing was sent, as the back end rests or leaves by its own word.
     #[error("withheld: the back end rests or leaves")]
-    Withheld,
+    BackendUnavailable,
     /// The call was cancelled.
     #[error("cancelled")]
     Cancelled,
--- a/crates/backend/src/engine.rs
+++ b/crates/backend/src/engine.rs
@@ -5,7 +5,7 @@
 //! `sequence` and `choices[0].text`; the last one carries `finish_reason` and
 //! `usage`, and `data: [DONE]` ends the stream.
 
-use crate::agent::{transport_failure, Agents};
+use crate::agent::{classify_transport_error, Agents};
 use crate::call::{CallFailure, StageCall, StageOutput, TokenSink};
 use crate::guard::{send_guarded, CallGuard, Sent};
 use serde::{Deserialize, Serialize};
@@ -104,15 +104,15 @@
             Ok(response) => read_stream(response, call, &mut progress)?,
             // A refused resume leaves what was received unfinished.
             Err(CallFailure::NotRun(detail)) if resumes > 0 => StreamEnd::Broken(detail),
-            Err(failure @ CallFailure::Withheld) if resumes > 0 => {
-                return Err(CallFailure::Lost(failure.to_string()));
+            Err(failure @ CallFailure::BackendUnavailable) if resumes > 0 => {
+                return Err(CallFailure::AnswerLost(failure.to_string()));
             }
             Err(failure) => return Err(failure),
         };
         match end {
             StreamEnd::Complete => return Ok(progress.into_output()),
             StreamEnd::Broken(detail) if resumes == MAX_RESUMES => {
-                return Err(CallFailure::Lost(detail))
+                return Err(CallFailure::AnswerLost(detail))
             }
             StreamEnd::Broken(_) => resumes += 1,
         }
@@ -151,7 +151,7 @@
     }
     let remaining = call.remaining();
     if remaining.is_zero() {
-        return Err(CallFailure::Deadline);
+        return Err(CallFailure::DeadlineExceeded);
     }
     let body = CompletionBody {
         request_id: &call.attempt,
@@ -174,7 +174,7 @@
             Err(CallFailure::NotRun(format!("status {status}")))
         }
         Sent::Refused(status, _) => Err(CallFailure::Failed(format!("status {status}"))),
-        Sent::Unanswered(error) => Err(transport_failure(&error)),
+        Sent::Unanswered(error) => Err(classify_transport_error(&error)),
     }
 }
 
@@ -190,7 +190,7 @@
         }
         let line = match line {
             Ok(line) => line,
-            Err(_) if call.remaining().is_zero() => return Err(CallFailure::Deadline),
+            Err(_) if call.remaining().is_zero() => return Err(CallFailure::DeadlineExceeded),
             Err(error) => return Ok(StreamEnd::Broken(error.to_string())),
         };
         let Some(data) = line.strip_prefix(DATA_FIELD) else {
@@ -257,7 +257,7 @@
 }
 
 /// Asks an engine for its load.
-pub fn load(
+pub fn fetch_load(
     agents: &Agents,
     address: &str,
     guard: &dyn CallGuard,
@@ -267,10 +267,10 @@
     let response = match send_guarded(guard, request, None)? {
         Sent::Succeeded(response) => response,
         Sent::Refused(status, _) => return Err(CallFailure::Failed(format!("status {status}"))),
-        Sent::Unanswered(error) => return Err(CallFailure::Lost(error.to_string())),
+        Sent::Unanswered(error) => return Err(CallFailure::AnswerLost(error.to_string())),
     };
     let text = response
         .into_string()
-        .map_err(|error| CallFailure::Lost(error.to_string()))?;
+        .map_err(|error| CallFailure::AnswerLost(error.to_string()))?;
     serde_json::from_str(&text).map_err(|error| CallFailure::Protocol(error.to_string()))
 }
--- a/crates/backend/src/guard.rs
+++ b/crates/backend/src/guard.rs
@@ -14,7 +14,7 @@
 
 /// What a back end says of itself in the head of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct HeadReport {
+pub struct BackendSelfReport {
     /// How long it wants nothing.
     pub rest: Option<Duration>,
     /// Whether it names a rest that can't be read.
@@ -28,10 +28,10 @@
 /// Stands between calls and one back end.
 pub trait CallGuard {
     /// Whether the back end takes calls, by its own word.
-    fn takes_calls(&self) -> bool;
+    fn accepts_calls(&self) -> bool;
 
     /// The back end said so in an answer.
-    fn heard(&self, report: &HeadReport);
+    fn record_report(&self, report: &BackendSelfReport);
 }
 
 /// What came of a request that was sent.
@@ -51,8 +51,8 @@
     request: ureq::Request,
     body: Option<&[u8]>,
 ) -> Result<Sent, CallFailure> {
-    if !guard.takes_calls() {
-        return Err(CallFailure::Withheld);
+    if !guard.accepts_calls() {
+        return Err(CallFailure::BackendUnavailable);
     }
     let answer = match body {
         Some(body) => request.send_bytes(body),
@@ -64,17 +64,17 @@
         Err(ureq::Error::Transport(error)) => Sent::Unanswered(Box::new(error)),
     };
     if let Sent::Succeeded(head) | Sent::Refused(_, head) = &sent {
-        guard.heard(&report_of(head));
+        guard.record_report(&report_of(head));
     }
     Ok(sent)
 }
 
-fn report_of(head: &ureq::Response) -> HeadReport {
+fn report_of(head: &ureq::Response) -> BackendSelfReport {
     let rest = match TURNED_AWAY.contains(&head.status()) {
         true => RetryAfter::read(head.all(RETRY_AFTER)),
         false => RetryAfter::default(),
     };
-    HeadReport {
+    BackendSelfReport {
         rest: rest.longest,
         has_unreadable_rest: rest.is_unreadable,
         is_leaving: head.all(LEAVING).contains(&"1"),
--- a/crates/backend/src/lib.rs
+++ b/crates/backend/src/lib.rs
@@ -12,5 +12,5 @@
 pub use agent::Agents;
 pub use call::{CallFailure, StageCall, StageOutput, TokenSink};
 pub use engine::EngineLoad;
-pub use guard::{CallGuard, HeadReport};
+pub use guard::{BackendSelfReport, CallGuard};
 pub use platform::{MachineList, MachineListEntry};
--- a/crates/backend/src/order.rs
+++ b/crates/backend/src/order.rs
@@ -4,7 +4,7 @@
 //! `model`, and answers 202 when the order is taken, 409 when its fence is older
 //! than one seen before. Some engines don't check the fence.
 
-use crate::agent::{transport_failure, Agents};
+use crate::agent::{classify_transport_error, Agents};
 use crate::call::CallFailure;
 use serde::Serialize;
 use std::time::Duration;
@@ -39,6 +39,6 @@
         Ok(_) => Ok(()),
         Err(ureq::Error::Status(409, _)) => Err(CallFailure::NotRun("older fence".into())),
         Err(ureq::Error::Status(status, _)) => Err(CallFailure::Failed(format!("status {status}"))),
-        Err(ureq::Error::Transport(error)) => Err(transport_failure(&error)),
+        Err(ureq::Error::Transport(error)) => Err(classify_transport_error(&error)),
     }
 }
--- a/crates/backend/src/platform.rs
+++ b/crates/backend/src/platform.rs
@@ -25,13 +25,13 @@
     /// IP address and port of its back end.
     pub address: String,
     /// Its state.
-    pub state: ListedState,
+    pub state: ListedMachineState,
 }
 
 /// A machine's state on the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ListedState {
+pub enum ListedMachineState {
     /// In use.
     Live,
     /// Shall get no new work.
@@ -39,16 +39,20 @@
 }
 
 /// Reads the list from the platform at `address`, as the reader `node`.
-pub fn machines(agents: &Agents, address: &str, node: &str) -> Result<MachineList, CallFailure> {
+pub fn fetch_machine_list(
+    agents: &Agents,
+    address: &str,
+    node: &str,
+) -> Result<MachineList, CallFailure> {
     let response = agents
         .pooled
         .get(&format!("http://{address}/v1/machines"))
         .query("reader", node)
         .timeout(LIST_TIMEOUT)
         .call()
-        .map_err(|error| CallFailure::Lost(error.to_string()))?;
+        .map_err(|error| CallFailure::AnswerLost(error.to_string()))?;
     let text = response
         .into_string()
-        .map_err(|error| CallFailure::Lost(error.to_string()))?;
+        .map_err(|error| CallFailure::AnswerLost(error.to_string()))?;
     serde_json::from_str(&text).map_err(|error| CallFailure::Protocol(error.to_string()))
 }
--- a/crates/backend/src/service.rs
+++ b/crates/backend/src/service.rs
@@ -4,7 +4,7 @@
 //! answers `attempt`, `output` and `cost_ms`. A refusal before running is 429,
 //! or 503 with `not_run` set.
 
-use crate::agent::{transport_failure, Agents};
+use crate::agent::{classify_transport_error, Agents};
 use crate::call::{CallFailure, StageCall, StageOutput};
 use crate::guard::{send_guarded, CallGuard, Sent};
 use serde::{Deserialize, Serialize};
@@ -64,13 +64,13 @@
     match send_guarded(guard, request, Some(&encoded))? {
         Sent::Succeeded(response) => read_answer(response, call),
         Sent::Refused(status, response) => Err(refusal(status, response, call)),
-        Sent::Unanswered(error) => Err(after_deadline(transport_failure(&error), call)),
+        Sent::Unanswered(error) => Err(after_deadline(classify_transport_error(&error), call)),
     }
 }
 
 fn after_deadline(failure: CallFailure, call: &StageCall) -> CallFailure {
     match failure {
-        CallFailure::Lost(_) if call.remaining().is_zero() => CallFailure::Deadline,
+        CallFailure::AnswerLost(_) if call.remaining().is_zero() => CallFailure::DeadlineExceeded,
         other => other,
     }
 }
@@ -81,7 +81,7 @@
         .into_reader()
         .take(MAX_ANSWER_BYTES)
         .read_to_end(&mut bytes)
-        .map_err(|error| after_deadline(CallFailure::Lost(error.to_string()), call))?;
+        .map_err(|error| after_deadline(CallFailure::AnswerLost(error.to_string()), call))?;
     let answer: AnswerBody =
         serde_json::from_slice(&bytes).map_err(|error| CallFailure::Protocol(error.to_string()))?;
     if answer.attempt != call.attempt {
--- a/crates/daemon/src/call_guard.rs
+++ b/crates/daemon/src/call_guard.rs
@@ -1,7 +1,7 @@
 //! Keeps calls of pipelines from back ends that rest or leave by their own word.
 
 use crate::gateway::notices::NoticeListener;
-use silversail_backend::{CallGuard, HeadReport};
+use silversail_backend::{BackendSelfReport, CallGuard};
 use silversail_serving::notices::ExchangeKind;
 use silversail_serving::ports::SelfReport;
 use std::time::Duration;
@@ -23,11 +23,11 @@
 }
 
 impl CallGuard for AddressGuard<'_> {
-    fn takes_calls(&self) -> bool {
+    fn accepts_calls(&self) -> bool {
         self.listener.withheld(self.address, self.path).is_none()
     }
 
-    fn heard(&self, report: &HeadReport) {
+    fn record_report(&self, report: &BackendSelfReport) {
         let until_gone = report.is_leaving.then_some(LEAVING_FOR);
         let said = SelfReport {
             rest: report.rest.max(until_gone),
--- a/crates/daemon/src/gateway/callers.rs
+++ b/crates/daemon/src/gateway/callers.rs
@@ -8,7 +8,7 @@
 use hyper::http::request::Parts;
 use hyper::Response;
 use silversail_http::{
-    AsyncService, IncomingRequest, OutgoingBody, RejectReason, RelayEnd, ServedResponse,
+    AsyncService, IncomingRequest, OutgoingBody, RejectReason, RelayOutcome, ServedResponse,
     ServiceFuture, ServiceLimits,
 };
 use silversail_model::traffic::CallerLimits;
@@ -82,8 +82,10 @@
         let code = match reason {
             RejectReason::BodyTooLarge => ResultCode::BodyTooLarge,
             RejectReason::BodyTimeout => ResultCode::SlowRequest,
-            RejectReason::BodyBroken => ResultCode::MalformedRequest,
-            RejectReason::TooManyConnections | RejectReason::NoRoom => ResultCode::TooManyRequests,
+            RejectReason::BodyInterrupted => ResultCode::MalformedRequest,
+            RejectReason::TooManyConnections | RejectReason::BodyMemoryExhausted => {
+                ResultCode::TooManyRequests
+            }
         };
         let refusals = &self.exchanger.listener.metrics.refusals;
         refusals.with_label_values(&[code.reason()]).inc();
@@ -214,14 +216,16 @@
     }
 }
 
-fn stream_end(number: RequestNumber, status: u16, end: RelayEnd) -> GatewayEvent {
-    let is_whole = end == RelayEnd::Whole;
+fn stream_end(number: RequestNumber, status: u16, end: RelayOutcome) -> GatewayEvent {
+    let is_whole = end == RelayOutcome::Completed;
     match end {
-        RelayEnd::CallerLeft => GatewayEvent::CallerGone { number },
-        RelayEnd::Whole | RelayEnd::Broken | RelayEnd::TimeOver => GatewayEvent::SendEnded {
-            number,
-            outcome: SendOutcome::Delivered { status, is_whole },
-            load: None,
-        },
+        RelayOutcome::CallerDisconnected => GatewayEvent::CallerGone { number },
+        RelayOutcome::Completed | RelayOutcome::ConnectionLost | RelayOutcome::TimedOut => {
+            GatewayEvent::SendEnded {
+                number,
+                outcome: SendOutcome::Delivered { status, is_whole },
+                load: None,
+            }
+        }
     }
 }
--- a/crates/daemon/src/gateway/calls.rs
+++ b/crates/daemon/src/gateway/calls.rs
@@ -251,7 +251,7 @@
         let mut permit = match self.admit(target) {
             Ok(permit) => permit,
             Err(withheld) => {
-                connection.keep();
+                connection.return_to_pool();
                 return Err(withheld);
             }
         };
@@ -266,7 +266,7 @@
                 permit = match permit.map(SendPermit::renew).transpose() {
                     Ok(permit) => permit,
                     Err(withheld) => {
-                        connection.keep();
+                        connection.return_to_pool();
                         return Err(CallError::Withheld(withheld));
                     }
                 };
@@ -276,7 +276,7 @@
             }
             Err(error) => return Err(CallError::NoAnswer(error.to_string())),
         };
-        connection.note_head(response.headers());
+        connection.apply_keep_alive(response.headers());
         let status = response.status().as_u16();
         let head = self
             .protocols
@@ -295,7 +295,7 @@
             .collect()
             .await
             .map_err(|error| CallError::NoAnswer(error.to_string()))?;
-        connection.keep();
+        connection.return_to_pool();
         Ok(CallAnswer {
             status,
             not_run: head.not_run,
--- a/crates/daemon/src/gateway/exchange.rs
+++ b/crates/daemon/src/gateway/exchange.rs
@@ -12,7 +12,7 @@
 };
 use hyper::{Request, Response};
 use silversail_http::{
-    Connection, ConnectionPool, IncomingRequest, OutgoingBody, RelayBody, RelayEnd, SendError,
+    Connection, ConnectionPool, IncomingRequest, OutgoingBody, RelayBody, RelayOutcome, SendError,
 };
 use silversail_limits::Serial;
 use silversail_serving::dispatcher::{NotRunReason, SendOutcome, SendPlan, UnknownReason};
@@ -79,7 +79,7 @@
     /// Told when the head came.
     pub on_head: Box<dyn FnOnce(Option<ReportedLoad>) + Send>,
     /// Told when the stream ended, with the engine's status.
-    pub on_end: Box<dyn FnOnce(u16, RelayEnd) + Send>,
+    pub on_end: Box<dyn FnOnce(u16, RelayOutcome) + Send>,
 }
 
 impl Exchanger {
@@ -118,7 +118,7 @@
         end: Instant,
     ) -> Result<SendResult, Ended> {
         let (mut connection, response, permit) = self.first_head(request, plan).await?;
-        connection.note_head(response.headers());
+        connection.apply_keep_alive(response.headers());
         let status = response.status().as_u16();
         let head = self
             .protocols
@@ -168,7 +168,7 @@
                 Ok(response) => return Ok((connection, response, permit.serial())),
                 // The engine closed it meanwhile; nothing was sent.
                 Err(SendError::NotSent(_)) => permit.unspend(),
-                Err(SendError::Broken(_)) => {
+                Err(SendError::NoAnswer(_)) => {
                     return Err(SendOutcome::Unknown(UnknownReason::Broken).into())
                 }
             }
@@ -180,7 +180,7 @@
         let mut permit = match permit.renew() {
             Ok(permit) => permit,
             Err(withheld) => {
-                connection.keep();
+                connection.return_to_pool();
                 return Err(withheld.into());
             }
         };
@@ -191,7 +191,7 @@
                 permit.unspend();
                 Err(unreachable())
             }
-            Err(SendError::Broken(_)) => Err(SendOutcome::Unknown(UnknownReason::Broken).into()),
+            Err(SendError::NoAnswer(_)) => Err(SendOutcome::Unknown(UnknownReason::Broken).into()),
         }
     }
 
@@ -240,7 +240,7 @@
 async fn keep_after_refusal(connection: Connection, body: Incoming) {
     let body = Limited::new(body, MAX_WHOLE).collect();
     if let Ok(Ok(_)) = timeout(REFUSAL_BODY, body).await {
-        connection.keep();
+        connection.return_to_pool();
     }
 }
 
@@ -310,7 +310,7 @@
             load: head.report.load,
         });
     };
-    connection.keep();
+    connection.return_to_pool();
     strip_connection_headers(&mut parts.headers);
     let outcome = SendOutcome::Delivered {
         status: parts.status.as_u16(),
--- a/crates/daemon/src/gateway/list_reading.rs
+++ b/crates/daemon/src/gateway/list_reading.rs
@@ -58,7 +58,7 @@
         let mut calls = 0;
         let mut reads_list = self.reads_list.subscribe();
         loop {
-            self.pool.trim();
+            self.pool.remove_expired();
             if reads_list.wait_for(|reads| *reads).await.is_err() {
                 return;
             }
--- a/crates/daemon/src/gateway/runtime.rs
+++ b/crates/daemon/src/gateway/runtime.rs
@@ -7,7 +7,7 @@
 use crate::gateway::notices::NoticeListener;
 use crate::gateway::surface::SurfaceService;
 use crate::settings::GatewaySettings;
-use silversail_http::{serve, AsyncService, ConnectionPool, HeldBodies};
+use silversail_http::{serve, AsyncService, BodyMemoryLimit, ConnectionPool};
 use silversail_serving::ports::Protocols;
 use std::io;
 use std::sync::atomic::AtomicU64;
@@ -66,13 +66,13 @@
             answer_lifetime_ms: settings.answer_lifetime_ms,
         };
         let surface: Arc<dyn AsyncService> = Arc::new(surface);
-        let held = HeldBodies::new(settings.held_body_bytes);
+        let held = BodyMemoryLimit::new(settings.held_body_bytes);
         {
             let _entered = runtime.enter();
             let callers = Arc::new(callers);
             serve(&settings.callers, callers, held, is_closing.clone())?;
             // Operators and callers' questions don't wait for callers' bodies.
-            let held = HeldBodies::new(settings.held_body_bytes);
+            let held = BodyMemoryLimit::new(settings.held_body_bytes);
             for address in [
                 &settings.readiness,
                 &settings.control,
--- a/crates/daemon/src/gateway/surface.rs
+++ b/crates/daemon/src/gateway/surface.rs
@@ -50,7 +50,7 @@
     fn reject(&self, reason: RejectReason, _head: Parts) -> ServedResponse {
         let code = match reason {
             RejectReason::BodyTooLarge => ResultCode::BodyTooLarge,
-            RejectReason::NoRoom => ResultCode::TooManyRequests,
+            RejectReason::BodyMemoryExhausted => ResultCode::TooManyRequests,
             _ => ResultCode::MalformedRequest,
         };
         Ok(plain(code.http_status(), code.reason()))
--- a/crates/daemon/src/node/start.rs
+++ b/crates/daemon/src/node/start.rs
@@ -262,7 +262,7 @@
         header_timeout: Duration::from_millis(limits.header_timeout_ms),
         body_timeout: Duration::from_millis(limits.body_timeout_ms),
         max_body_bytes: limits.body_bytes,
-        ..HttpServerConfig::on(address)
+        ..HttpServerConfig::with_default_limits(address)
     };
     let handler = CallerHandler::new(events.clone(), metrics.clone());
     HttpServer::start(config, Arc::new(handler)).map_err(|error| {
--- a/crates/daemon/src/pollers.rs
+++ b/crates/daemon/src/pollers.rs
@@ -50,7 +50,7 @@
                     address: &address,
                     path: ExchangeKind::Load,
                 };
-                if let Ok(load) = engine::load(&agents, &address, &guard) {
+                if let Ok(load) = engine::fetch_load(&agents, &address, &guard) {
                     if events.send(Event::EngineLoad { backend, load }).is_err() {
                         return;
                     }
@@ -80,7 +80,7 @@
     events: EventSender,
 ) {
     spawn("platform-poller", move || loop {
-        match platform::machines(&agents, &address, node.as_str()) {
+        match platform::fetch_machine_list(&agents, &address, node.as_str()) {
             Ok(list) => {
                 if events.send(Event::MachineList(list)).is_err() {
                     return;
--- a/crates/daemon/src/requests/outcome.rs
+++ b/crates/daemon/src/requests/outcome.rs
@@ -30,11 +30,15 @@
         let load = self.pools.load(&outstanding.backend);
         match &result {
             Ok(_) => load.record_success(service.as_secs_f64() * 1_000.0, now),
-            Err(CallFailure::Cancelled | CallFailure::Deadline | CallFailure::Withheld) => {}
+            Err(
+                CallFailure::Cancelled
+                | CallFailure::DeadlineExceeded
+                | CallFailure::BackendUnavailable,
+            ) => {}
             Err(_) => load.record_failure(now),
         }
         let number = outstanding.request;
-        if matches!(result, Err(CallFailure::Lost(_))) {
+        if matches!(result, Err(CallFailure::AnswerLost(_))) {
             self.call_broke_off(&outstanding, now);
         }
         let is_current = self.requests.get(&number).is_some_and(|request| {
@@ -51,7 +55,7 @@
         }
         match result {
             Ok(output) => self.stage_done(cx, number, service, output),
-            Err(CallFailure::Withheld) => self.choose_anew(cx, number),
+            Err(CallFailure::BackendUnavailable) => self.choose_anew(cx, number),
             Err(failure) => {
                 let was_turned_away = matches!(failure, CallFailure::NotRun(_));
                 self.stage_failed(cx, number, failure);
@@ -158,7 +162,10 @@
         let code = failure_code(&failure, is_repeatable);
         request.avoid.push(call.backend.clone());
         let may_repeat = was_not_run || is_repeatable;
-        let is_final = matches!(failure, CallFailure::Deadline | CallFailure::Cancelled);
+        let is_final = matches!(
+            failure,
+            CallFailure::DeadlineExceeded | CallFailure::Cancelled
+        );
         if may_repeat && !is_final && request.attempts < MAX_ATTEMPTS {
             if self.take_retry(&call) {
                 let reason = code.reason();
@@ -286,16 +293,16 @@
 /// The code of a failure that is not retried.
 fn failure_code(failure: &CallFailure, is_repeatable: bool) -> ResultCode {
     match failure {
-        CallFailure::NotRun(_) | CallFailure::Withheld => ResultCode::BackendRefused,
+        CallFailure::NotRun(_) | CallFailure::BackendUnavailable => ResultCode::BackendRefused,
         CallFailure::Failed(_) => ResultCode::BackendFailed,
-        CallFailure::Protocol(_) | CallFailure::Lost(_) | CallFailure::Cancelled
+        CallFailure::Protocol(_) | CallFailure::AnswerLost(_) | CallFailure::Cancelled
             if !is_repeatable =>
         {
             ResultCode::AnswerLost
         }
-        CallFailure::Deadline if !is_repeatable => ResultCode::DeadlineWhileSent,
+        CallFailure::DeadlineExceeded if !is_repeatable => ResultCode::DeadlineWhileSent,
         CallFailure::Protocol(_) => ResultCode::BackendProtocol,
-        CallFailure::Lost(_) | CallFailure::Cancelled => ResultCode::BackendFailed,
-        CallFailure::Deadline => ResultCode::DeadlineMissed,
+        CallFailure::AnswerLost(_) | CallFailure::Cancelled => ResultCode::BackendFailed,
+        CallFailure::DeadlineExceeded => ResultCode::DeadlineMissed,
     }
 }
--- a/crates/daemon/src/session/session_actor.rs
+++ b/crates/daemon/src/session/session_actor.rs
@@ -6,7 +6,7 @@
 use crate::outbox::SharedOutbox;
 use crate::session::node_state::SharedNodeState;
 use crate::session::relay_choice::RelayChoice;
-use silversail_backend::platform::ListedState;
+use silversail_backend::platform::ListedMachineState;
 use silversail_backend::MachineList;
 use silversail_consensus::Millis;
 use silversail_control::{
@@ -432,7 +432,7 @@
             for entry in &list.machines {
                 changed |= state.merge_machine(&MachineState {
                     address: entry.address.clone(),
-                    leaving: entry.state == ListedState::Leaving,
+                    leaving: entry.state == ListedMachineState::Leaving,
                     list_version: list.version,
                 });
             }
--- a/crates/daemon/src/surface/callers.rs
+++ b/crates/daemon/src/surface/callers.rs
@@ -113,8 +113,10 @@
             RejectReason::BodyTimeout => {
                 (ResultCode::SlowRequest, "the body came too slowly", None)
             }
-            RejectReason::BodyBroken => (ResultCode::MalformedRequest, "the body broke off", None),
-            RejectReason::TooManyConnections | RejectReason::NoRoom => (
+            RejectReason::BodyInterrupted => {
+                (ResultCode::MalformedRequest, "the body broke off", None)
+            }
+            RejectReason::TooManyConnections | RejectReason::BodyMemoryExhausted => (
                 ResultCode::TooManyRequests,
                 "too many connections are open",
                 Some(CONNECTIONS_RETRY_AFTER_MS),
--- a/crates/http/src/held_bodies.rs
+++ b/crates/http/src/body_memory.rs
@@ -10,17 +10,17 @@
 
 /// Room for the bodies of all requests under way; clones share it.
 #[derive(Clone)]
-pub struct HeldBodies {
+pub struct BodyMemoryLimit {
     room: Arc<Semaphore>,
 }
 
 /// A whole body. Its room is free again once it is dropped.
-pub(crate) struct HeldBody {
+pub(crate) struct BufferedBody {
     pub(crate) bytes: Bytes,
     pub(crate) room: Option<OwnedSemaphorePermit>,
 }
 
-impl HeldBodies {
+impl BodyMemoryLimit {
     /// Room for `most` bytes.
     pub fn new(most: usize) -> Self {
         Self {
@@ -29,21 +29,21 @@
     }
 
     /// Bytes that may still be taken in.
-    pub fn free_bytes(&self) -> usize {
+    pub fn available_bytes(&self) -> usize {
         self.room.available_permits()
     }
 
     /// Takes in a body of `longest` bytes at most. Room is taken as bytes come, so that a caller
     /// who announces much and sends little keeps nobody out.
-    pub(crate) async fn take_in(
+    pub(crate) async fn read_body(
         &self,
         mut body: Incoming,
         longest: usize,
-    ) -> Result<HeldBody, RejectReason> {
+    ) -> Result<BufferedBody, RejectReason> {
         let mut bytes = BytesMut::new();
         let mut room: Option<OwnedSemaphorePermit> = None;
         while let Some(frame) = body.frame().await {
-            let frame = frame.map_err(|_| RejectReason::BodyBroken)?;
+            let frame = frame.map_err(|_| RejectReason::BodyInterrupted)?;
             let Ok(part) = frame.into_data() else {
                 continue;
             };
@@ -57,7 +57,7 @@
             }
             bytes.extend_from_slice(&part);
         }
-        Ok(HeldBody {
+        Ok(BufferedBody {
             bytes: bytes.freeze(),
             room,
         })
@@ -67,6 +67,6 @@
         let bytes = u32::try_from(bytes).map_err(|_| RejectReason::BodyTooLarge)?;
         let room = self.room.clone();
         room.try_acquire_many_owned(bytes)
-            .map_err(|_| RejectReason::NoRoom)
+            .map_err(|_| RejectReason::BodyMemoryExhausted)
     }
 }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -40,7 +40,7 @@
     NotSent(String),
     /// Some of it may have been sent.
     #[error("no answer: {0}")]
-    Broken(String),
+    NoAnswer(String),
 }
 
 /// A connection to a back end; dropped, it is closed.
@@ -80,7 +80,7 @@
                 match was_sent {
                     true => {
                         self.pool.discard_idle(&self.address);
-                        SendError::Broken(text)
+                        SendError::NoAnswer(text)
                     }
                     false => SendError::NotSent(text),
                 }
@@ -88,7 +88,7 @@
     }
 
     /// Takes in how long the back end keeps the connection.
-    pub fn note_head(&mut self, headers: &HeaderMap) {
+    pub fn apply_keep_alive(&mut self, headers: &HeaderMap) {
         let is_closing = header_text(headers, "connection")
             .is_some_and(|value| value.to_ascii_lowercase().contains("close"));
         let told = header_text(headers, "keep-alive").and_then(keep_alive_seconds);
@@ -100,7 +100,7 @@
     }
 
     /// Keeps the connection for the next request, after a whole answer.
-    pub fn keep(mut self) {
+    pub fn return_to_pool(mut self) {
         if self.lifetime.is_zero() || self.sender.is_closed() {
             return;
         }
@@ -211,7 +211,7 @@
     }
 
     /// Closes idle connections that are too old.
-    pub fn trim(&self) {
+    pub fn remove_expired(&self) {
         if let Ok(mut idle) = self.shared.idle.lock() {
             idle.retain(|_, kept| {
                 kept.retain(Connection::is_usable);
--- a/crates/http/src/config.rs
+++ b/crates/http/src/config.rs
@@ -21,7 +21,7 @@
 
 impl HttpServerConfig {
     /// Usual limits on `address`.
-    pub fn on(address: &str) -> Self {
+    pub fn with_default_limits(address: &str) -> Self {
         Self {
             address: address.to_owned(),
             max_connections: 4096,
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -7,9 +7,9 @@
 //! `docs/design/http-server.md`.
 
 pub mod body;
+pub mod body_memory;
 pub mod client;
 pub mod config;
-pub mod held_bodies;
 pub mod liveness;
 pub mod relay;
 pub mod request;
@@ -17,10 +17,10 @@
 pub mod server;
 pub mod service;
 
+pub use body_memory::BodyMemoryLimit;
 pub use client::{Connection, ConnectionPool, SendError};
 pub use config::HttpServerConfig;
-pub use held_bodies::HeldBodies;
-pub use relay::{RelayBody, RelayEnd};
+pub use relay::{RelayBody, RelayOutcome};
 pub use request::Request;
 pub use responder::{Responder, ResponseHead, ResponsePart, ResponseReader};
 pub use server::{Handler, HttpServer, RejectReason};
--- a/crates/http/src/relay.rs
+++ b/crates/http/src/relay.rs
@@ -12,18 +12,18 @@
 
 /// How a relayed answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RelayEnd {
+pub enum RelayOutcome {
     /// The back end ended it.
-    Whole,
+    Completed,
     /// The back end broke it off.
-    Broken,
+    ConnectionLost,
     /// Its time was over.
-    TimeOver,
+    TimedOut,
     /// The caller left.
-    CallerLeft,
+    CallerDisconnected,
 }
 
-type OnEnd = Box<dyn FnOnce(RelayEnd) + Send>;
+type OnEnd = Box<dyn FnOnce(RelayOutcome) + Send>;
 
 /// Passes a body on. It ends as the back end's body ends; anything else is an
 /// error, which cuts the caller's connection.
@@ -40,7 +40,7 @@
         inner: Incoming,
         connection: Connection,
         end: Instant,
-        on_end: impl FnOnce(RelayEnd) + Send + 'static,
+        on_end: impl FnOnce(RelayOutcome) + Send + 'static,
     ) -> Self {
         Self {
             inner,
@@ -50,12 +50,12 @@
         }
     }
 
-    fn finish(&mut self, end: RelayEnd) {
+    fn finish(&mut self, end: RelayOutcome) {
         if let Some(on_end) = self.on_end.take() {
             on_end(end);
         }
         match (end, self.connection.take()) {
-            (RelayEnd::Whole, Some(connection)) => connection.keep(),
+            (RelayOutcome::Completed, Some(connection)) => connection.return_to_pool(),
             (_, connection) => drop(connection),
         }
     }
@@ -64,7 +64,7 @@
 impl Drop for RelayBody {
     fn drop(&mut self) {
         if self.on_end.is_some() {
-            self.finish(RelayEnd::CallerLeft);
+            self.finish(RelayOutcome::CallerDisconnected);
         }
     }
 }
@@ -83,18 +83,18 @@
         match Pin::new(&mut self.inner).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => return Poll::Ready(Some(Ok(frame))),
             Poll::Ready(Some(Err(error))) => {
-                self.finish(RelayEnd::Broken);
+                self.finish(RelayOutcome::ConnectionLost);
                 return Poll::Ready(Some(Err(io::Error::other(error))));
             }
             Poll::Ready(None) => {
-                self.finish(RelayEnd::Whole);
+                self.finish(RelayOutcome::Completed);
                 return Poll::Ready(None);
             }
             Poll::Pending => {}
         }
         match self.time_over.as_mut().poll(context) {
             Poll::Ready(()) => {
-                self.finish(RelayEnd::TimeOver);
+                self.finish(RelayOutcome::TimedOut);
                 Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())))
             }
             Poll::Pending => Poll::Pending,
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -26,11 +26,11 @@
     /// The body did not come in time.
     BodyTimeout,
     /// The body broke off.
-    BodyBroken,
+    BodyInterrupted,
     /// Too many connections are open.
     TooManyConnections,
     /// The process holds as many bytes of bodies as it may.
-    NoRoom,
+    BodyMemoryExhausted,
 }
 
 /// Serves requests. Called on the server's threads; must not block.
@@ -216,7 +216,7 @@
     let reason = match collected {
         Ok(Ok(body)) => return Ok(request_of(head, body.to_bytes().to_vec())),
         Ok(Err(error)) if error.is::<LengthLimitError>() => RejectReason::BodyTooLarge,
-        Ok(Err(_)) => RejectReason::BodyBroken,
+        Ok(Err(_)) => RejectReason::BodyInterrupted,
         Err(_) => RejectReason::BodyTimeout,
     };
     Err((reason, request_of(head, Vec::new())))
--- a/crates/http/src/service.rs
+++ b/crates/http/src/service.rs
@@ -1,7 +1,7 @@
 //! Serving requests with an asynchronous service, whose answers may be relayed
 //! from elsewhere as they come.
 
-use crate::held_bodies::HeldBodies;
+use crate::body_memory::BodyMemoryLimit;
 use crate::liveness;
 use crate::relay::RelayBody;
 use crate::server::RejectReason;
@@ -80,7 +80,7 @@
 pub fn serve(
     address: &str,
     service: Arc<dyn AsyncService>,
-    held: HeldBodies,
+    held: BodyMemoryLimit,
     stop: watch::Receiver<bool>,
 ) -> io::Result<()> {
     let address = address.parse().map_err(io::Error::other)?;
@@ -99,7 +99,7 @@
 async fn accept(
     listener: TcpListener,
     service: Arc<dyn AsyncService>,
-    held: HeldBodies,
+    held: BodyMemoryLimit,
     mut stop: watch::Receiver<bool>,
 ) {
     loop {
@@ -124,7 +124,7 @@
 async fn serve_connection(
     stream: TcpStream,
     service: Arc<dyn AsyncService>,
-    held: HeldBodies,
+    held: BodyMemoryLimit,
     mut stop: watch::Receiver<bool>,
 ) {
     let _ = stream.set_nodelay(true);
@@ -154,11 +154,11 @@
 async fn respond(
     request: Request<Incoming>,
     service: Arc<dyn AsyncService>,
-    held: HeldBodies,
+    held: BodyMemoryLimit,
 ) -> ServedResponse {
     let limits = service.limits();
     let (parts, body) = request.into_parts();
-    let taken_in = timeout(limits.body_timeout, held.take_in(body, limits.body_bytes));
+    let taken_in = timeout(limits.body_timeout, held.read_body(body, limits.body_bytes));
     let body = match taken_in.await {
         Ok(Ok(body)) => body,
         Ok(Err(reason)) => return service.reject(reason, parts),
--- a/crates/http/tests/silence.rs
+++ b/crates/http/tests/silence.rs
@@ -69,7 +69,8 @@
         assert_eq!(body.expect("whole").to_bytes(), "ok");
         used.push(connection);
     }
-    used.into_iter().for_each(|connection| connection.keep());
+    used.into_iter()
+        .for_each(|connection| connection.return_to_pool());
     let mut first = pool.take_idle(&address).expect("kept");
     assert!(first.send(request()).await.is_err());
     assert!(pool.take_idle(&address).is_none());
--- a/crates/http/tests/slow_peers.rs
+++ b/crates/http/tests/slow_peers.rs
@@ -6,7 +6,7 @@
 use hyper::http::request::Parts;
 use hyper::{Request, Response};
 use silversail_http::{
-    serve, AsyncService, ConnectionPool, HeldBodies, IncomingRequest, RejectReason, RelayBody,
+    serve, AsyncService, BodyMemoryLimit, ConnectionPool, IncomingRequest, RejectReason, RelayBody,
     ServedResponse, ServiceFuture, ServiceLimits,
 };
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
     listener.local_addr().expect("bound")
 }
 
-async fn start(service: Arc<dyn AsyncService>, held: HeldBodies) -> SocketAddr {
+async fn start(service: Arc<dyn AsyncService>, held: BodyMemoryLimit) -> SocketAddr {
     let address = free_address().await;
     let (stop, is_stopping) = watch::channel(false);
     // Never stopped.
@@ -130,7 +130,7 @@
     let (back_end, taken) = start_endless_back_end().await;
     let pool = ConnectionPool::new();
     let relay = Arc::new(Relay { pool, back_end });
-    let address = start(relay, HeldBodies::new(1 << 20)).await;
+    let address = start(relay, BodyMemoryLimit::new(1 << 20)).await;
     let mut callers = Vec::new();
     for _ in 0..STREAMS {
         let mut caller = connect(address).await;
@@ -167,7 +167,7 @@
     }
 
     fn reject(&self, reason: RejectReason, _: Parts) -> ServedResponse {
-        assert_eq!(reason, RejectReason::NoRoom);
+        assert_eq!(reason, RejectReason::BodyMemoryExhausted);
         self.rejected.fetch_add(1, Ordering::Relaxed);
         let mut response = Response::new(Either::Left(Full::default()));
         *response.status_mut() = hyper::StatusCode::SERVICE_UNAVAILABLE;
@@ -198,7 +198,7 @@
         answers,
     };
     let (taken_in, rejected) = (service.taken_in.clone(), service.rejected.clone());
-    let held = HeldBodies::new(10 * BODY + BODY / 2);
+    let held = BodyMemoryLimit::new(10 * BODY + BODY / 2);
     let address = start(Arc::new(service), held.clone()).await;
     let mut callers = Vec::new();
     for _ in 0..10 {
@@ -213,7 +213,7 @@
     answer.send_replace(true);
     let mut byte = [0];
     callers[0].read_exact(&mut byte).await.expect("an answer");
-    while held.free_bytes() < 10 * BODY {
+    while held.available_bytes() < 10 * BODY {
         sleep(Duration::from_millis(10)).await;
     }
 }
@@ -228,7 +228,7 @@
         answers,
     };
     let taken_in = service.taken_in.clone();
-    let address = start(Arc::new(service), HeldBodies::new(2 * BODY)).await;
+    let address = start(Arc::new(service), BodyMemoryLimit::new(2 * BODY)).await;
     let mut callers = Vec::new();
     for _ in 0..20 {
         callers.push(post(address, 2 * BODY, 10).await);
--- a/crates/simulation/src/calls.rs
+++ b/crates/simulation/src/calls.rs
@@ -74,7 +74,7 @@
             CallEnd {
                 at: desk.now + LOSS_NOTICED_AFTER,
                 attempt,
-                result: Err(CallFailure::Lost("lost".into())),
+                result: Err(CallFailure::AnswerLost("lost".into())),
             }
         } else {
             CallEnd {
--- a/crates/testbed/examples/idle_connections.rs
+++ b/crates/testbed/examples/idle_connections.rs
@@ -46,7 +46,7 @@
         measure("tiny_http", idle, tiny_http_server);
         let servers = std::cell::RefCell::new(Vec::new());
         measure("callers' server", idle, || {
-            let config = HttpServerConfig::on("127.0.0.1:0");
+            let config = HttpServerConfig::with_default_limits("127.0.0.1:0");
             let server = HttpServer::start(config, Arc::new(Hello)).expect("started");
             let address = server.address();
             servers.borrow_mut().push(server);
--- a/crates/testbed/src/emulate/mod.rs
+++ b/crates/testbed/src/emulate/mod.rs
@@ -105,7 +105,7 @@
     fn serve(&mut self, name: &str, address: &str, handler: Arc<dyn Handler>) -> io::Result<()> {
         let config = HttpServerConfig {
             threads: 1,
-            ..HttpServerConfig::on(address)
+            ..HttpServerConfig::with_default_limits(address)
         };
         let server = HttpServer::start(config, handler)?;
         self.addresses.insert(name.to_owned(), server.address());
