--- a/crates/backend/src/agent.rs
+++ b/crates/backend/src/agent.rs
@@ -1,4 +1,4 @@
-//! HTTP clients and what their errors prove.
+//! HTTP clients and classification of their transport errors.
 
 use crate::call::CallFailure;
 use std::time::Duration;
@@ -8,19 +8,19 @@
 const IDLE_CONNECTIONS: usize = 256;
 const IDLE_CONNECTIONS_PER_HOST: usize = 16;
 
-/// The two clients of a process.
+/// HTTP clients of a process; clones share their connections.
 #[derive(Clone)]
 pub struct Agents {
-    /// Keeps connections; for calls that may be repeated.
+    /// Client with a connection pool, for calls that may be retried.
     pub pooled: Agent,
-    /// A new connection for each call; for calls that may not be repeated, as
-    /// a kept connection that the other side has closed makes it unclear
-    /// whether a request arrived, and the library may send it again.
+    /// Client that opens a connection for each call, for calls that must not be retried. If the
+    /// peer closes a pooled connection, it is unknown whether the request arrived, and the library
+    /// may send it again.
     pub single_use: Agent,
 }
 
 impl Agents {
-    /// Clients that follow no redirects: a redirect would send a call twice.
+    /// Creates clients that do not follow redirects, as a redirect would send a call twice.
     pub fn new() -> Self {
         let builder = || {
             AgentBuilder::new()
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The client for a call.
+    /// Returns the client for a call that may or may not be retried.
     pub fn for_call(&self, repeatable: bool) -> &Agent {
         if repeatable {
             &self.pooled
@@ -53,10 +53,10 @@
     }
 }
 
-/// What a transport error proves about the call.
+/// Determines from a transport error whether the call may have reached the back end.
 pub fn classify_transport_error(error: &Transport) -> CallFailure {
     match error.kind() {
-        // The connection was never made, so nothing was sent.
+        // The connection was not established, so nothing was sent.
         ErrorKind::ConnectionFailed | ErrorKind::Dns | ErrorKind::InvalidUrl => {
             CallFailure::NotRun(error.to_string())
         }
--- a/crates/backend/src/call.rs
+++ b/crates/backend/src/call.rs
@@ -1,89 +1,89 @@
-//! A call of one stage at one back end, and what may come of it.
+//! Calls of a stage at a back end, and their results.
 
 use serde_json::Value;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// One attempt at one stage.
+/// One attempt to run a stage at a back end.
 #[derive(Clone, Debug)]
 pub struct StageCall {
     /// IP address and port of the back end.
     pub address: String,
-    /// Identifier of the attempt; the reply must echo it.
+    /// Identifier of the attempt; the answer must echo it.
     pub attempt: String,
     /// Name of the stage.
     pub stage: String,
-    /// The request's own input.
+    /// Input of the pipeline request.
     pub input: Value,
-    /// Outputs of the stages before, by stage name.
+    /// Outputs of the preceding stages, by stage name.
     pub previous: Value,
-    /// Model of a generation stage.
+    /// Model to use, for generation stages.
     pub model: Option<String>,
-    /// Most tokens of a generation stage.
+    /// Maximum number of tokens to generate, for generation stages.
     pub max_tokens: u32,
-    /// The deadline in milliseconds since the Unix epoch: smaller is more
-    /// urgent, also among calls of different nodes. Engines honour it.
+    /// Scheduling priority at the engine: the deadline in milliseconds since the Unix epoch, so that
+    /// smaller values are more urgent among the calls of all nodes.
     pub priority: i64,
-    /// When to give up.
+    /// Time at which the call is abandoned.
     pub deadline: Instant,
-    /// Whether the call may be sent again.
+    /// Whether the call may be retried.
     pub repeatable: bool,
-    /// Set when the answer is not wanted any more.
+    /// Set to cancel the call.
     pub cancelled: Arc<AtomicBool>,
 }
 
 impl StageCall {
-    /// Time left until the deadline.
+    /// Returns the time until the deadline; zero after it.
     pub fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Whether the answer is not wanted any more.
+    /// Returns whether the call has been cancelled.
     pub fn is_cancelled(&self) -> bool {
         self.cancelled.load(Ordering::Relaxed)
     }
 }
 
-/// What a stage gave.
+/// Output of a successful call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StageOutput {
-    /// The output, opaque to silversail.
+    /// Output value, which is passed on without interpretation.
     pub value: Value,
-    /// What the back end says the call consumed, in its milliseconds.
+    /// Processing cost that the back end reports, in milliseconds.
     pub cost_ms: f64,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub tokens: u32,
 }
 
-/// Why a call gave no output.
+/// Reason why a call produced no output.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum CallFailure {
-    /// Nothing reached the back end, or it said that it did not run the call.
+    /// The call did not reach the back end, or the back end rejected it without running it.
     #[error("not run: {0}")]
     NotRun(String),
     /// The back end answered with an error.
     #[error("failed: {0}")]
     Failed(String),
-    /// The answer is not in the protocol, or names another call.
+    /// The answer violates the protocol or belongs to another call.
     #[error("protocol: {0}")]
     Protocol(String),
-    /// The call was sent and no whole answer came.
+    /// The call was sent, but no complete answer arrived.
     #[error("lost: {0}")]
     AnswerLost(String),
     /// The deadline passed after the call was sent.
     #[error("deadline passed")]
     DeadlineExceeded,
-    /// Nothing was sent, as the back end rests or leaves by its own word.
-    #[error("withheld: the back end rests or leaves")]
+    /// Nothing was sent, as the back end requested back-off or is draining.
+    #[error("not sent: the back end requested back-off or is draining")]
     BackendUnavailable,
     /// The call was cancelled.
     #[error("cancelled")]
     Cancelled,
 }
 
-/// Receives the tokens of a stream, in order, each once.
+/// Receiver of the tokens of a stream, each exactly once and in order.
 pub trait TokenSink {
-    /// Takes the text of the token at `sequence`.
+    /// Accepts the text of the token at position `sequence`, starting at 0.
     fn token(&mut self, sequence: u64, text: &str);
 }
--- a/crates/backend/src/engine.rs
+++ b/crates/backend/src/engine.rs
@@ -1,32 +1,31 @@
-//! Model engines: completions as server-sent events, with resume and cancel.
+//! Client for model engines, which stream completions as server-sent events.
 //!
-//! `POST /v1/completions` takes `request_id`, `model`, `prompt`, `max_tokens`,
-//! `priority`, `stream` and, to resume, `resume_from`; events carry `id`,
-//! `sequence` and `choices[0].text`; the last one carries `finish_reason` and
-//! `usage`, and `data: [DONE]` ends the stream.
+//! `POST /v1/completions` takes `request_id`, `model`, `prompt`, `max_tokens`, `priority`, `stream`
+//! and, to resume a stream, `resume_from`. Events carry `id`, `sequence` and `choices[0].text`. The
+//! last event carries `finish_reason` and `usage`, and `data: [DONE]` ends the stream.
 
 use crate::agent::{classify_transport_error, Agents};
 use crate::call::{CallFailure, StageCall, StageOutput, TokenSink};
-use crate::guard::{send_guarded, CallGuard, Sent};
+use crate::guard::{send_guarded, CallGuard, SendResult};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::time::Duration;
 
-const END_MARK: &str = "[DONE]";
+const END_MARKER: &str = "[DONE]";
 const DATA_FIELD: &str = "data:";
 const LOAD_TIMEOUT: Duration = Duration::from_millis(800);
-/// How often a broken stream is resumed at the same engine.
+/// Maximum number of times that an interrupted stream is resumed at the same engine.
 const MAX_RESUMES: u32 = 2;
 
-/// An engine's report of its load.
+/// Load that an engine reports.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct EngineLoad {
-    /// Sequences being generated.
+    /// Number of running sequences.
     pub running: u32,
-    /// Sequences waiting.
+    /// Number of queued sequences.
     pub waiting: u32,
-    /// Models that it holds, where it tells.
+    /// Loaded models; empty if the engine does not report them.
     #[serde(default)]
     pub models: Vec<String>,
 }
@@ -66,35 +65,39 @@
     cost_ms: f64,
 }
 
-/// How reading one connection of a stream ended.
+/// How a stream ended on one of its connections.
 enum StreamEnd {
     Complete,
-    Broken(String),
+    Interrupted(String),
 }
 
-/// What has been received of a stream over all its connections.
-struct Progress<'a> {
+/// Part of a stream that has been received over all its connections.
+struct StreamProgress<'a> {
     text: String,
     tokens: u64,
     cost_ms: f64,
-    finished: bool,
+    is_finished: bool,
     sink: &'a mut dyn TokenSink,
 }
 
-/// Runs a generation; blocks until the engine's end mark, the deadline or an
-/// error. A broken connection is resumed at the next token.
+/// Runs a generation. Blocks until the end marker, the deadline or an error. An interrupted stream
+/// is resumed at the next token.
+///
+/// # Errors
+///
+/// If the engine rejected the call, or the stream could not be completed.
 pub fn generate(
     agents: &Agents,
     call: &StageCall,
     sink: &mut dyn TokenSink,
     guard: &dyn CallGuard,
 ) -> Result<StageOutput, CallFailure> {
-    let prompt = prompt_of(call);
-    let mut progress = Progress {
+    let prompt = build_prompt(call);
+    let mut progress = StreamProgress {
         text: String::new(),
         tokens: 0,
         cost_ms: 0.0,
-        finished: false,
+        is_finished: false,
         sink,
     };
     let mut resumes = 0;
@@ -102,8 +105,8 @@
         let resume_from = (resumes > 0).then_some(progress.tokens);
         let end = match open_stream(agents, call, &prompt, resume_from, guard) {
             Ok(response) => read_stream(response, call, &mut progress)?,
-            // A refused resume leaves what was received unfinished.
-            Err(CallFailure::NotRun(detail)) if resumes > 0 => StreamEnd::Broken(detail),
+            // A rejected resume leaves the stream incomplete.
+            Err(CallFailure::NotRun(detail)) if resumes > 0 => StreamEnd::Interrupted(detail),
             Err(failure @ CallFailure::BackendUnavailable) if resumes > 0 => {
                 return Err(CallFailure::AnswerLost(failure.to_string()));
             }
@@ -111,15 +114,15 @@
         };
         match end {
             StreamEnd::Complete => return Ok(progress.into_output()),
-            StreamEnd::Broken(detail) if resumes == MAX_RESUMES => {
+            StreamEnd::Interrupted(detail) if resumes == MAX_RESUMES => {
                 return Err(CallFailure::AnswerLost(detail))
             }
-            StreamEnd::Broken(_) => resumes += 1,
+            StreamEnd::Interrupted(_) => resumes += 1,
         }
     }
 }
 
-impl Progress<'_> {
+impl StreamProgress<'_> {
     fn into_output(self) -> StageOutput {
         StageOutput {
             value: Value::String(self.text),
@@ -129,9 +132,9 @@
     }
 }
 
-/// The prompt: the outputs of earlier stages and the input, as stable JSON, so
-/// that equal beginnings make equal prefixes.
-fn prompt_of(call: &StageCall) -> String {
+/// Builds the prompt from the input and the outputs of the preceding stages. The encoding is
+/// deterministic, so that engines can share the cached prefix of prompts that begin alike.
+fn build_prompt(call: &StageCall) -> String {
     let input = match &call.input {
         Value::String(text) => text.clone(),
         other => other.to_string(),
@@ -169,19 +172,19 @@
         .set("content-type", "application/json")
         .timeout(remaining);
     match send_guarded(guard, request, Some(&encoded))? {
-        Sent::Succeeded(response) => Ok(response),
-        Sent::Refused(status @ (429 | 503 | 404), _) => {
+        SendResult::Succeeded(response) => Ok(response),
+        SendResult::ErrorStatus(status @ (429 | 503 | 404), _) => {
             Err(CallFailure::NotRun(format!("status {status}")))
         }
-        Sent::Refused(status, _) => Err(CallFailure::Failed(format!("status {status}"))),
-        Sent::Unanswered(error) => Err(classify_transport_error(&error)),
+        SendResult::ErrorStatus(status, _) => Err(CallFailure::Failed(format!("status {status}"))),
+        SendResult::NoAnswer(error) => Err(classify_transport_error(&error)),
     }
 }
 
 fn read_stream(
     response: ureq::Response,
     call: &StageCall,
-    progress: &mut Progress<'_>,
+    progress: &mut StreamProgress<'_>,
 ) -> Result<StreamEnd, CallFailure> {
     let reader = BufReader::new(response.into_reader());
     for line in reader.lines() {
@@ -191,53 +194,57 @@
         let line = match line {
             Ok(line) => line,
             Err(_) if call.remaining().is_zero() => return Err(CallFailure::DeadlineExceeded),
-            Err(error) => return Ok(StreamEnd::Broken(error.to_string())),
+            Err(error) => return Ok(StreamEnd::Interrupted(error.to_string())),
         };
         let Some(data) = line.strip_prefix(DATA_FIELD) else {
             continue;
         };
-        if data.trim() == END_MARK {
-            // Only the engine's own end mark after its last token is an end.
-            return match progress.finished {
+        if data.trim() == END_MARKER {
+            // The stream is complete only if the last token preceded the end marker.
+            return match progress.is_finished {
                 true => Ok(StreamEnd::Complete),
-                false => Ok(StreamEnd::Broken("end mark before the last token".into())),
+                false => Ok(StreamEnd::Interrupted(
+                    "end marker before the last token".into(),
+                )),
             };
         }
-        take_event(data, call, progress)?;
+        apply_event(data, call, progress)?;
     }
-    Ok(StreamEnd::Broken("closed before the end mark".into()))
+    Ok(StreamEnd::Interrupted(
+        "connection closed before the end marker".into(),
+    ))
 }
 
-fn take_event(
+fn apply_event(
     data: &str,
     call: &StageCall,
-    progress: &mut Progress<'_>,
+    progress: &mut StreamProgress<'_>,
 ) -> Result<(), CallFailure> {
     let event: Event =
         serde_json::from_str(data).map_err(|error| CallFailure::Protocol(error.to_string()))?;
     if event.id != call.attempt {
         return Err(CallFailure::Protocol(format!(
-            "event is for attempt {}",
+            "event belongs to attempt {}",
             event.id
         )));
     }
     let Some(choice) = event.choices.first() else {
-        return Err(CallFailure::Protocol("event without a choice".into()));
+        return Err(CallFailure::Protocol("event has no choices".into()));
     };
     if let Some(usage) = event.usage {
         progress.cost_ms += usage.cost_ms;
     }
     if choice.finish_reason.is_some() {
-        progress.finished = event.sequence == progress.tokens;
+        progress.is_finished = event.sequence == progress.tokens;
         return Ok(());
     }
     if event.sequence < progress.tokens {
-        // Repeated after a resume.
+        // The engine repeated a token after a resume.
         return Ok(());
     }
     if event.sequence > progress.tokens {
         return Err(CallFailure::Protocol(format!(
-            "token {} instead of {}",
+            "received token {} instead of {}",
             event.sequence, progress.tokens
         )));
     }
@@ -247,16 +254,20 @@
     Ok(())
 }
 
-/// Tells an engine that an attempt's stream is not wanted any more.
+/// Cancels the stream of an attempt at an engine. Errors are ignored.
 pub fn cancel(agents: &Agents, address: &str, attempt: &str, guard: &dyn CallGuard) {
     let url = format!("http://{address}/v1/cancel");
     let body = json!({ "request_id": attempt }).to_string();
     let request = agents.pooled.post(&url).timeout(LOAD_TIMEOUT);
-    // Best effort: the engine ends the stream by itself at its last token.
+    // Best effort: without the cancellation the stream ends at its last token.
     let _ = send_guarded(guard, request, Some(body.as_bytes()));
 }
 
-/// Asks an engine for its load.
+/// Fetches the load of an engine.
+///
+/// # Errors
+///
+/// If the engine does not answer, answers with an error, or the answer is malformed.
 pub fn fetch_load(
     agents: &Agents,
     address: &str,
@@ -265,9 +276,11 @@
     let url = format!("http://{address}/v1/load");
     let request = agents.pooled.get(&url).timeout(LOAD_TIMEOUT);
     let response = match send_guarded(guard, request, None)? {
-        Sent::Succeeded(response) => response,
-        Sent::Refused(status, _) => return Err(CallFailure::Failed(format!("status {status}"))),
-        Sent::Unanswered(error) => return Err(CallFailure::AnswerLost(error.to_string())),
+        SendResult::Succeeded(response) => response,
+        SendResult::ErrorStatus(status, _) => {
+            return Err(CallFailure::Failed(format!("status {status}")))
+        }
+        SendResult::NoAnswer(error) => return Err(CallFailure::AnswerLost(error.to_string())),
     };
     let text = response
         .into_string()
--- a/crates/backend/src/guard.rs
+++ b/crates/backend/src/guard.rs
@@ -1,83 +1,82 @@
-//! What is asked before a call leaves for a back end, and what its answers say of it.
+//! Checks before a call is sent to a back end, and the state that a back end advertises in answers.
 
 use crate::call::CallFailure;
 use silversail_model::{AdvertisedRateLimit, RetryAfter};
 use std::time::Duration;
 
-/// Header by which a back end says in an answer that it leaves; its value is `1`.
-const LEAVING: &str = "silversail-leaving";
-/// Header by which a back end names how many requests a second it takes from all nodes together.
+/// Header with the value `1` in answers of a back end that is draining.
+const DRAINING: &str = "silversail-leaving";
+/// Header with a back end's rate limit for all nodes together, in requests per second.
 const LIMIT: &str = "silversail-limit";
 const RETRY_AFTER: &str = "retry-after";
-/// Statuses by which a back end turns a call away.
-const TURNED_AWAY: [u16; 2] = [429, 503];
+/// Statuses with which a back end rejects a call and may advertise a back-off period.
+const REJECTING_STATUSES: [u16; 2] = [429, 503];
 
-/// What a back end says of itself in the head of an answer.
+/// State that a back end advertises in the head of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BackendSelfReport {
-    /// How long it wants nothing.
+    /// Requested back-off period; the longest if it advertises several.
     pub rest: Option<Duration>,
-    /// Whether it names a rest that can't be read.
+    /// Whether a back-off period was advertised that cannot be parsed.
     pub has_unreadable_rest: bool,
-    /// Whether it leaves.
+    /// Whether it is draining and accepts no new calls.
     pub is_leaving: bool,
-    /// How many requests it takes from all nodes together.
+    /// Rate limit for all nodes together.
     pub limit: AdvertisedRateLimit,
 }
 
-/// Stands between calls and one back end.
+/// Availability check for the calls to one back end.
 pub trait CallGuard {
-    /// Whether the back end takes calls, by its own word.
+    /// Returns whether the back end accepts calls according to the state that it advertised.
     fn accepts_calls(&self) -> bool;
 
-    /// The back end said so in an answer.
+    /// Records the state that the back end advertised in an answer.
     fn record_report(&self, report: &BackendSelfReport);
 }
 
-/// What came of a request that was sent.
-pub(crate) enum Sent {
-    /// It was answered with a success.
+/// Result of a request that was sent.
+pub(crate) enum SendResult {
+    /// The back end answered with a success status.
     Succeeded(ureq::Response),
-    /// It was answered with another status.
-    Refused(u16, ureq::Response),
-    /// No answer came.
-    Unanswered(Box<ureq::Transport>),
+    /// The back end answered with another status, which is attached.
+    ErrorStatus(u16, ureq::Response),
+    /// No answer arrived.
+    NoAnswer(Box<ureq::Transport>),
 }
 
-/// Sends a request, with a body where there is one, if the back end takes it, and hears what the
-/// answer says.
+/// Sends a request if the back end accepts calls, and records the state that the answer advertises.
 pub(crate) fn send_guarded(
     guard: &dyn CallGuard,
     request: ureq::Request,
     body: Option<&[u8]>,
-) -> Result<Sent, CallFailure> {
+) -> Result<SendResult, CallFailure> {
     if !guard.accepts_calls() {
         return Err(CallFailure::BackendUnavailable);
     }
-    let answer = match body {
+    let response = match body {
         Some(body) => request.send_bytes(body),
         None => request.call(),
     };
-    let sent = match answer {
-        Ok(response) => Sent::Succeeded(response),
-        Err(ureq::Error::Status(status, response)) => Sent::Refused(status, response),
-        Err(ureq::Error::Transport(error)) => Sent::Unanswered(Box::new(error)),
+    let result = match response {
+        Ok(response) => SendResult::Succeeded(response),
+        Err(ureq::Error::Status(status, response)) => SendResult::ErrorStatus(status, response),
+        Err(ureq::Error::Transport(error)) => SendResult::NoAnswer(Box::new(error)),
     };
-    if let Sent::Succeeded(head) | Sent::Refused(_, head) = &sent {
-        guard.record_report(&report_of(head));
+    if let SendResult::Succeeded(head) | SendResult::ErrorStatus(_, head) = &result {
+        guard.record_report(&parse_report(head));
     }
-    Ok(sent)
+    Ok(result)
 }
 
-fn report_of(head: &ureq::Response) -> BackendSelfReport {
-    let rest = match TURNED_AWAY.contains(&head.status()) {
+fn parse_report(head: &ureq::Response) -> BackendSelfReport {
+    let retry_after = match REJECTING_STATUSES.contains(&head.status()) {
         true => RetryAfter::read(head.all(RETRY_AFTER)),
         false => RetryAfter::default(),
     };
     BackendSelfReport {
-        rest: rest.longest,
-        has_unreadable_rest: rest.is_unreadable,
-        is_leaving: head.all(LEAVING).contains(&"1"),
+        rest: retry_after.longest,
+        has_unreadable_rest: retry_after.is_unreadable,
+        is_leaving: head.all(DRAINING).contains(&"1"),
         limit: AdvertisedRateLimit::read(head.all(LIMIT)),
     }
 }
--- a/crates/backend/src/lib.rs
+++ b/crates/backend/src/lib.rs
@@ -1,5 +1,5 @@
-//! Adapters for the protocols of outside systems, one module each, behind typed
-//! results. No other package knows a field name of these protocols.
+//! Clients for the protocols of back ends and of the platform, one module for each protocol. Field
+//! names of these protocols are private to this package.
 
 pub mod agent;
 pub mod call;
--- a/crates/backend/src/platform.rs
+++ b/crates/backend/src/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's lagging list of live and leaving machines.
+//! Client for the platform's list of live and draining machines, which may be out of date.
 //!
-//! `GET /v1/machines` answers `version` and `machines`, each with `address` and
-//! `state` (`live` or `leaving`).
+//! `GET /v1/machines` answers `version` and `machines`, each with `address` and `state` (`live` or
+//! `leaving`).
 
 use crate::agent::Agents;
 use crate::call::CallFailure;
@@ -10,35 +10,39 @@
 
 const LIST_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// One version of the list.
+/// List of machines at one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct MachineList {
-    /// Grows with each change of the list.
+    /// Version of the list; it increases with each change.
     pub version: u64,
-    /// The machines.
+    /// Entries of the list.
     pub machines: Vec<MachineListEntry>,
 }
 
 /// One machine of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct MachineListEntry {
-    /// IP address and port of its back end.
+    /// IP address and port of the back end on the machine.
     pub address: String,
-    /// Its state.
+    /// State of the machine.
     pub state: ListedMachineState,
 }
 
-/// A machine's state on the list.
+/// State of a machine according to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedMachineState {
-    /// In use.
+    /// The machine accepts work.
     Live,
-    /// Shall get no new work.
+    /// The machine is draining and must not receive new work.
     Leaving,
 }
 
-/// Reads the list from the platform at `address`, as the reader `node`.
+/// Fetches the list from the platform at `address`; `node` identifies the reader.
+///
+/// # Errors
+///
+/// If the platform does not answer or the answer is malformed.
 pub fn fetch_machine_list(
     agents: &Agents,
     address: &str,
--- a/crates/backend/src/service.rs
+++ b/crates/backend/src/service.rs
@@ -1,17 +1,17 @@
-//! Pools and plain services: one JSON call over HTTP.
+//! Client for services that take one JSON call over HTTP.
 //!
-//! `POST /v1/call` takes `attempt`, `stage`, `input` and `previous`, and
-//! answers `attempt`, `output` and `cost_ms`. A refusal before running is 429,
-//! or 503 with `not_run` set.
+//! `POST /v1/call` takes `attempt`, `stage`, `input` and `previous`, and answers `attempt`, `output`
+//! and `cost_ms`. A service that rejects a call without running it answers 429, or 503 with `not_run`
+//! set.
 
 use crate::agent::{classify_transport_error, Agents};
 use crate::call::{CallFailure, StageCall, StageOutput};
-use crate::guard::{send_guarded, CallGuard, Sent};
+use crate::guard::{send_guarded, CallGuard, SendResult};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::io::Read;
 
-/// Largest answer, in bytes.
+/// Maximum size of an answer, in bytes.
 const MAX_ANSWER_BYTES: u64 = 8 << 20;
 
 #[derive(Serialize)]
@@ -31,12 +31,16 @@
 }
 
 #[derive(Deserialize, Default)]
-struct RefusalBody {
+struct RejectionBody {
     #[serde(default)]
     not_run: bool,
 }
 
-/// Runs a call; blocks until its answer, its deadline or an error.
+/// Runs a call. Blocks until the answer, the deadline or an error.
+///
+/// # Errors
+///
+/// If the call produced no output; the error tells whether the service may have run it.
 pub fn call(
     agents: &Agents,
     call: &StageCall,
@@ -62,31 +66,33 @@
         .set("content-type", "application/json")
         .timeout(remaining);
     match send_guarded(guard, request, Some(&encoded))? {
-        Sent::Succeeded(response) => read_answer(response, call),
-        Sent::Refused(status, response) => Err(refusal(status, response, call)),
-        Sent::Unanswered(error) => Err(after_deadline(classify_transport_error(&error), call)),
+        SendResult::Succeeded(response) => parse_answer(response, call),
+        SendResult::ErrorStatus(status, response) => Err(rejection_failure(status, response, call)),
+        SendResult::NoAnswer(error) => {
+            Err(with_deadline_check(classify_transport_error(&error), call))
+        }
     }
 }
 
-fn after_deadline(failure: CallFailure, call: &StageCall) -> CallFailure {
+fn with_deadline_check(failure: CallFailure, call: &StageCall) -> CallFailure {
     match failure {
         CallFailure::AnswerLost(_) if call.remaining().is_zero() => CallFailure::DeadlineExceeded,
         other => other,
     }
 }
 
-fn read_answer(response: ureq::Response, call: &StageCall) -> Result<StageOutput, CallFailure> {
+fn parse_answer(response: ureq::Response, call: &StageCall) -> Result<StageOutput, CallFailure> {
     let mut bytes = Vec::new();
     response
         .into_reader()
         .take(MAX_ANSWER_BYTES)
         .read_to_end(&mut bytes)
-        .map_err(|error| after_deadline(CallFailure::AnswerLost(error.to_string()), call))?;
+        .map_err(|error| with_deadline_check(CallFailure::AnswerLost(error.to_string()), call))?;
     let answer: AnswerBody =
         serde_json::from_slice(&bytes).map_err(|error| CallFailure::Protocol(error.to_string()))?;
     if answer.attempt != call.attempt {
         return Err(CallFailure::Protocol(format!(
-            "answer is for attempt {}",
+            "answer belongs to attempt {}",
             answer.attempt
         )));
     }
@@ -97,16 +103,16 @@
     })
 }
 
-fn refusal(status: u16, response: ureq::Response, call: &StageCall) -> CallFailure {
-    let body: RefusalBody = response
+fn rejection_failure(status: u16, response: ureq::Response, call: &StageCall) -> CallFailure {
+    let body: RejectionBody = response
         .into_string()
         .ok()
         .and_then(|text| serde_json::from_str(&text).ok())
         .unwrap_or_default();
-    // 429 and 503 are taken as "not processed" for calls that may be repeated
-    // anyway; for others only the service's explicit word counts.
-    let said_not_run = body.not_run || (call.repeatable && matches!(status, 429 | 503));
-    if said_not_run {
+    // For calls that may be retried, 429 and 503 alone mean that the call was not run. For others
+    // the service must state it explicitly.
+    let was_not_run = body.not_run || (call.repeatable && matches!(status, 429 | 503));
+    if was_not_run {
         CallFailure::NotRun(format!("status {status}"))
     } else {
         CallFailure::Failed(format!("status {status}"))
