--- a/crates/serving/examples/returns.rs
+++ b/crates/serving/examples/returns.rs
@@ -1,7 +1,6 @@
-//! How nodes had better come back to engines that asked them for rest: all at once, spread, one
-//! request first, or both. A model of nodes that choose by the product's own selection before
-//! engines that turn requests away while they are full, amid a burst, or for a while whatever
-//! their load.
+//! Compares policies by which nodes resume sending to engines after a back-off period: immediately,
+//! spread over time, after a probe, or both. Simulates nodes with the real backend selection in front
+//! of engines that reject requests because of a burst of load or regardless of their load.
 //!
 //! `cargo run --release -p silversail-serving --example returns [SEEDS]`
 
@@ -23,72 +22,76 @@
 
 const ENGINES: usize = 18;
 const SLOTS: u32 = 16;
-/// Requests beyond its slots that an engine takes before it turns others away.
-const QUEUE: u32 = 8;
-/// Mean time that an engine works on a request, in milliseconds.
-const WORK_MS: f64 = 300.0;
-const REST: Duration = Duration::from_secs(3);
-/// Time of the trouble, in milliseconds.
-const TROUBLE: std::ops::Range<u64> = 4_000..10_000;
-const END: u64 = 20_000;
-/// An answer within this time is in time, in milliseconds.
-const OBJECTIVE: u64 = 1_000;
-const MOST_SENDS: usize = 3;
+/// Requests beyond its slots that an engine queues before it rejects others.
+const QUEUE_LENGTH: u32 = 8;
+/// Mean processing time of a request, in milliseconds.
+const MEAN_SERVICE_MS: f64 = 300.0;
+/// Back-off period that engines advertise with a rejection.
+const BACK_OFF: Duration = Duration::from_secs(3);
+/// Start and end of the fault, in milliseconds.
+const FAULT_PERIOD_MS: std::ops::Range<u64> = 4_000..10_000;
+/// Duration of a simulation, in milliseconds.
+const DURATION_MS: u64 = 20_000;
+/// Response time within which an answer counts as in time, in milliseconds.
+const OBJECTIVE_MS: u64 = 1_000;
+/// Maximum number of attempts of a request.
+const MAX_SENDS: usize = 3;
 
 #[derive(Clone, Copy, PartialEq)]
-enum Trouble {
-    /// Twice the load that the engines carry.
+enum Fault {
+    /// The load exceeds the capacity of the engines.
     Burst,
-    /// Five engines turn all away, whatever their load.
+    /// Five engines reject all requests regardless of their load.
     Shedding,
 }
 
-/// How nodes take what engines ask for.
+/// How nodes and engines handle back-off.
 #[derive(Clone, Copy)]
-struct Way {
-    returns: ResumePolicy,
-    /// Whether a rest that one node was asked for counts at all of them.
-    told_to_all: bool,
-    /// Whether engines that turn a request away ask for rest.
-    asks: bool,
+struct Variant {
+    resume_policy: ResumePolicy,
+    /// Whether a back-off period that one node receives applies to all nodes.
+    is_shared: bool,
+    /// Whether engines advertise a back-off period with a rejection.
+    advertises_back_off: bool,
 }
 
 #[derive(Default)]
 struct Engine {
-    /// When each request under way ends.
-    ends: Vec<u64>,
+    /// End of each request in flight, in milliseconds.
+    end_times: Vec<u64>,
 }
 
 #[derive(Default)]
-struct Tally {
-    asked: u32,
+struct Totals {
+    requests: u32,
     in_time: u32,
-    turned_away: u32,
-    turned_away_after: u32,
+    rejected: u32,
+    /// Rejections within 10 s after the fault.
+    rejected_after_fault: u32,
     sends: u32,
-    times: Vec<u64>,
+    response_times_ms: Vec<u64>,
 }
 
-struct Model {
-    trouble: Trouble,
-    asks: bool,
+struct Simulation {
+    fault: Fault,
+    advertises_back_off: bool,
     nodes: Vec<InstanceTable>,
     engines: Vec<Engine>,
     topology: Topology,
     random: ChaCha8Rng,
-    tally: Tally,
-    /// Ends of requests by time: node, engine, arrival.
-    ending: BTreeMap<u64, Vec<(usize, usize, u64)>>,
+    totals: Totals,
+    /// Node, engine and arrival of the requests in flight, by their end.
+    requests_by_end: BTreeMap<u64, Vec<(usize, usize, u64)>>,
 }
 
-fn id_of(engine: usize) -> String {
+fn engine_id(engine: usize) -> String {
     format!("e{engine}")
 }
 
-fn listed(engine: usize) -> BackendListEntry {
+fn list_entry(engine: usize) -> BackendListEntry {
     BackendListEntry {
-        id: id_of(engine),
-        name: id_of(engine),
+        id: engine_id(engine),
+        name: engine_id(engine),
         service: "pool".into(),
         address: format!("e{engine}:80"),
         zone: "a".into(),
@@ -100,61 +103,62 @@
     }
 }
 
-impl Model {
-    fn new(trouble: Trouble, nodes: usize, way: Way, seed: u64) -> Self {
-        let all = BackendNotices::new(DecisionLog::disabled());
-        let list: Vec<BackendListEntry> = (0..ENGINES).map(listed).collect();
+impl Simulation {
+    fn new(fault: Fault, nodes: usize, variant: Variant, seed: u64) -> Self {
+        let shared_notices = BackendNotices::new(DecisionLog::disabled());
+        let list: Vec<BackendListEntry> = (0..ENGINES).map(list_entry).collect();
         let names: Vec<String> = (0..nodes).map(|node| format!("n{node}")).collect();
-        let table = |own: &String| {
+        let create_table = |node: &String| {
             let own_notices = || BackendNotices::new(DecisionLog::disabled());
-            let notices = if way.told_to_all {
-                all.clone()
+            let notices = if variant.is_shared {
+                shared_notices.clone()
             } else {
                 own_notices()
             };
             let mut table = InstanceTable::with_notices(notices, DecisionLog::disabled());
-            table.set_senders(own, names.clone());
-            table.set_resume_policy(way.returns);
+            table.set_senders(node, names.clone());
+            table.set_resume_policy(variant.resume_policy);
             table.replace_list(&list);
             table
         };
         Self {
-            trouble,
-            asks: way.asks,
-            nodes: names.iter().map(table).collect(),
+            fault,
+            advertises_back_off: variant.advertises_back_off,
+            nodes: names.iter().map(create_table).collect(),
             engines: (0..ENGINES).map(|_| Engine::default()).collect(),
             topology: Topology::new("a", BTreeMap::new(), RoundTrips::default()).expect("valid"),
             random: ChaCha8Rng::seed_from_u64(seed),
-            tally: Tally::default(),
-            ending: BTreeMap::new(),
+            totals: Totals::default(),
+            requests_by_end: BTreeMap::new(),
         }
     }
 
-    fn run(mut self) -> Tally {
-        let capacity = ENGINES as f64 * f64::from(SLOTS) / WORK_MS;
-        for now in 0..END {
-            for (node, engine, arrived) in self.ending.remove(&now).unwrap_or_default() {
-                self.end(node, engine, arrived, now);
+    fn run(mut self) -> Totals {
+        let capacity = ENGINES as f64 * f64::from(SLOTS) / MEAN_SERVICE_MS;
+        for now in 0..DURATION_MS {
+            for (node, engine, arrived_at) in self.requests_by_end.remove(&now).unwrap_or_default()
+            {
+                self.finish_request(node, engine, arrived_at, now);
             }
-            let is_burst = self.trouble == Trouble::Burst && TROUBLE.contains(&now);
+            let is_burst = self.fault == Fault::Burst && FAULT_PERIOD_MS.contains(&now);
             let load = if is_burst { 1.6 } else { 0.7 };
-            let mut due = capacity * load;
-            while due > 0.0 {
-                if self.random.gen::<f64>() < due.min(1.0) {
+            let mut expected_arrivals = capacity * load;
+            while expected_arrivals > 0.0 {
+                if self.random.gen::<f64>() < expected_arrivals.min(1.0) {
                     let node = self.random.gen_range(0..self.nodes.len());
-                    self.ask(node, now);
+                    self.send_request(node, now);
                 }
-                due -= 1.0;
+                expected_arrivals -= 1.0;
             }
         }
-        self.tally
+        self.totals
     }
 
-    fn ask(&mut self, node: usize, now: u64) {
-        self.tally.asked += 1;
+    fn send_request(&mut self, node: usize, now: u64) {
+        self.totals.requests += 1;
         let mut tried = Vec::new();
         let regions = RegionFilter::any();
-        while tried.len() < MOST_SENDS {
+        while tried.len() < MAX_SENDS {
             let request = SelectionRequest {
                 service: "pool",
                 versions: VersionChoice::Any,
@@ -168,165 +172,173 @@
                 cold_use: ColdBackendPolicy::Unlimited,
                 lot: 0,
             };
-            let chosen = select(&self.nodes[node], &request, now);
-            let Some(id) = chosen.map(|one| one.listed.id.clone()) else {
+            let selected = select(&self.nodes[node], &request, now);
+            let Some(id) = selected.map(|backend| backend.listed.id.clone()) else {
                 return;
             };
             let engine: usize = id[1..].parse().expect("a number");
-            self.tally.sends += 1;
+            self.totals.sends += 1;
             self.nodes[node].record_sent(&id, 1, now);
-            if self.takes(engine, now) {
-                let work = -WORK_MS * (1.0 - self.random.gen::<f64>()).ln();
-                self.work(node, engine, work as u64 + 1, now);
+            if self.accepts(engine, now) {
+                let service_ms = -MEAN_SERVICE_MS * (1.0 - self.random.gen::<f64>()).ln();
+                self.start_request(node, engine, service_ms as u64 + 1, now);
                 return;
             }
-            self.turn_away(node, engine, now);
+            self.reject_request(node, engine, now);
             tried.push(id);
         }
     }
 
-    fn takes(&self, engine: usize, now: u64) -> bool {
-        let sheds = self.trouble == Trouble::Shedding && engine < 5 && TROUBLE.contains(&now);
-        !sheds && (self.engines[engine].ends.len() as u32) < SLOTS + QUEUE
+    fn accepts(&self, engine: usize, now: u64) -> bool {
+        let is_shedding =
+            self.fault == Fault::Shedding && engine < 5 && FAULT_PERIOD_MS.contains(&now);
+        !is_shedding && (self.engines[engine].end_times.len() as u32) < SLOTS + QUEUE_LENGTH
     }
 
-    /// A request begins once one of those before it has ended, where all slots are taken.
-    fn work(&mut self, node: usize, engine: usize, work: u64, now: u64) {
-        let ends = &mut self.engines[engine].ends;
-        let waits = ends.len() >= SLOTS as usize;
-        let mut sorted = ends.clone();
+    /// Starts a request, after an earlier one has ended if all slots are occupied.
+    fn start_request(&mut self, node: usize, engine: usize, service_ms: u64, now: u64) {
+        let end_times = &mut self.engines[engine].end_times;
+        let is_queued = end_times.len() >= SLOTS as usize;
+        let mut sorted = end_times.clone();
         sorted.sort_unstable();
-        let begins = match waits {
-            true => sorted[ends.len() - SLOTS as usize],
+        let begins_at = match is_queued {
+            true => sorted[end_times.len() - SLOTS as usize],
             false => now,
         };
-        let end = begins.max(now) + work;
-        ends.push(end);
-        self.ending
+        let end = begins_at.max(now) + service_ms;
+        end_times.push(end);
+        self.requests_by_end
             .entry(end)
             .or_default()
             .push((node, engine, now));
     }
 
-    fn load_of(&self, engine: usize) -> ReportedLoad {
-        let all = self.engines[engine].ends.len() as u32;
+    fn reported_load(&self, engine: usize) -> ReportedLoad {
+        let requests = self.engines[engine].end_times.len() as u32;
         ReportedLoad {
-            running: all.min(SLOTS),
-            waiting: all.saturating_sub(SLOTS),
+            running: requests.min(SLOTS),
+            waiting: requests.saturating_sub(SLOTS),
             slots: SLOTS,
             pace: Pace::NORMAL,
         }
     }
 
-    fn turn_away(&mut self, node: usize, engine: usize, now: u64) {
-        self.tally.turned_away += 1;
-        if (TROUBLE.end..TROUBLE.end + 10_000).contains(&now) {
-            self.tally.turned_away_after += 1;
+    fn reject_request(&mut self, node: usize, engine: usize, now: u64) {
+        self.totals.rejected += 1;
+        if (FAULT_PERIOD_MS.end..FAULT_PERIOD_MS.end + 10_000).contains(&now) {
+            self.totals.rejected_after_fault += 1;
         }
-        let load = self.load_of(engine);
-        let id = id_of(engine);
+        let load = self.reported_load(engine);
+        let id = engine_id(engine);
         let table = &mut self.nodes[node];
-        let said = SelfReport {
+        let report = SelfReport {
             load: Some(load),
-            rest: self.asks.then_some(REST),
+            rest: self.advertises_back_off.then_some(BACK_OFF),
             ..SelfReport::default()
         };
         table
             .notices()
-            .record_report(&id, ExchangeKind::Request, &said, now);
+            .record_report(&id, ExchangeKind::Request, &report, now);
         table.record_ended(&id, 1);
         table.record_load(&id, load, now);
         table.record_full(&id, now);
     }
 
-    fn end(&mut self, node: usize, engine: usize, arrived: u64, now: u64) {
-        let ends = &mut self.engines[engine].ends;
-        if let Some(position) = ends.iter().position(|end| *end == now) {
-            ends.swap_remove(position);
+    fn finish_request(&mut self, node: usize, engine: usize, arrived_at: u64, now: u64) {
+        let end_times = &mut self.engines[engine].end_times;
+        if let Some(position) = end_times.iter().position(|end| *end == now) {
+            end_times.swap_remove(position);
         }
-        let load = self.load_of(engine);
-        let id = id_of(engine);
+        let load = self.reported_load(engine);
+        let id = engine_id(engine);
         let table = &mut self.nodes[node];
-        let said = SelfReport::default();
+        let report = SelfReport::default();
         table
             .notices()
-            .record_report(&id, ExchangeKind::Request, &said, now);
+            .record_report(&id, ExchangeKind::Request, &report, now);
         table.record_ended(&id, 1);
         table.record_load(&id, load, now);
         table.record_answer(&id);
-        let took = now - arrived;
-        self.tally.times.push(took);
-        if took <= OBJECTIVE {
-            self.tally.in_time += 1;
+        let response_ms = now - arrived_at;
+        self.totals.response_times_ms.push(response_ms);
+        if response_ms <= OBJECTIVE_MS {
+            self.totals.in_time += 1;
         }
     }
 }
 
-const fn way(first_alone: bool, spread: f64, told_to_all: bool, asks: bool) -> Way {
-    Way {
-        returns: ResumePolicy {
+const fn variant(
+    first_alone: bool,
+    spread: f64,
+    is_shared: bool,
+    advertises_back_off: bool,
+) -> Variant {
+    Variant {
+        resume_policy: ResumePolicy {
             first_alone,
             spread,
         },
-        told_to_all,
-        asks,
+        is_shared,
+        advertises_back_off,
     }
 }
 
-const WAYS: [Way; 9] = [
-    way(false, 0.0, false, true),
-    way(false, 0.5, false, true),
-    way(false, 1.0, false, true),
-    way(true, 0.0, false, true),
-    way(true, 0.25, false, true),
-    way(true, 0.5, false, true),
-    way(true, 1.0, false, true),
-    way(true, 1.0, true, true),
-    way(true, 1.0, false, false),
+const VARIANTS: [Variant; 9] = [
+    variant(false, 0.0, false, true),
+    variant(false, 0.5, false, true),
+    variant(false, 1.0, false, true),
+    variant(true, 0.0, false, true),
+    variant(true, 0.25, false, true),
+    variant(true, 0.5, false, true),
+    variant(true, 1.0, false, true),
+    variant(true, 1.0, true, true),
+    variant(true, 1.0, false, false),
 ];
 
 fn main() {
     let seeds = std::env::args().nth(1).and_then(|text| text.parse().ok());
     let seeds: u64 = seeds.unwrap_or(20);
     println!(
-        "trouble, nodes, first alone, spread, told to all, asked: \
-         in time, turned away, in the 10 s after, sends a request, p90 ms"
+        "fault, nodes, probe first, spread, shared, back-off advertised: \
+         in time, rejected, rejected in the 10 s after, sends per request, p90 ms"
     );
-    for (name, trouble) in [("burst", Trouble::Burst), ("shedding", Trouble::Shedding)] {
+    for (name, fault) in [("burst", Fault::Burst), ("shedding", Fault::Shedding)] {
         for nodes in [10, 90] {
-            for way in WAYS {
-                print_way(name, trouble, nodes, way, seeds);
+            for variant in VARIANTS {
+                print_variant(name, fault, nodes, variant, seeds);
             }
         }
     }
 }
 
-fn print_way(name: &str, trouble: Trouble, nodes: usize, way: Way, seeds: u64) {
-    let mut sum = Tally::default();
+fn print_variant(name: &str, fault: Fault, nodes: usize, variant: Variant, seeds: u64) {
+    let mut total = Totals::default();
     for seed in 0..seeds {
-        let one = Model::new(trouble, nodes, way, seed).run();
-        sum.asked += one.asked;
-        sum.in_time += one.in_time;
-        sum.turned_away += one.turned_away;
-        sum.turned_away_after += one.turned_away_after;
-        sum.sends += one.sends;
-        sum.times.extend(one.times);
+        let run = Simulation::new(fault, nodes, variant, seed).run();
+        total.requests += run.requests;
+        total.in_time += run.in_time;
+        total.rejected += run.rejected;
+        total.rejected_after_fault += run.rejected_after_fault;
+        total.sends += run.sends;
+        total.response_times_ms.extend(run.response_times_ms);
     }
-    sum.times.sort_unstable();
-    let p90 = sum.times[sum.times.len() * 9 / 10];
-    let asked = f64::from(sum.asked);
+    total.response_times_ms.sort_unstable();
+    let p90 = total.response_times_ms[total.response_times_ms.len() * 9 / 10];
+    let requests = f64::from(total.requests);
     let ResumePolicy {
         first_alone,
         spread,
-    } = way.returns;
-    let Way {
-        told_to_all, asks, ..
-    } = way;
+    } = variant.resume_policy;
+    let Variant {
+        is_shared,
+        advertises_back_off,
+        ..
+    } = variant;
     println!(
-        "{name:8} {nodes:3} {first_alone:5} {spread:4} {told_to_all:5} {asks:5}: {:.4} {:8.1} {:8.1} {:.3} {p90}",
-        f64::from(sum.in_time) / asked,
-        f64::from(sum.turned_away) / seeds as f64,
-        f64::from(sum.turned_away_after) / seeds as f64,
-        f64::from(sum.sends) / asked,
+        "{name:8} {nodes:3} {first_alone:5} {spread:4} {is_shared:5} {advertises_back_off:5}: {:.4} {:8.1} {:8.1} {:.3} {p90}",
+        f64::from(total.in_time) / requests,
+        f64::from(total.rejected) / seeds as f64,
+        f64::from(total.rejected_after_fault) / seeds as f64,
+        f64::from(total.sends) / requests,
     );
 }
