--- a/crates/serving/examples/returns.rs
+++ b/crates/serving/examples/returns.rs
@@ -27,7 +27,7 @@
 /// Mean processing time of a request, in milliseconds.
 const MEAN_SERVICE_MS: f64 = 300.0;
 /// Back-off period that engines advertise with a rejection.
-const BACK_OFF: Duration = Duration::from_secs(3);
+const BACKOFF: Duration = Duration::from_secs(3);
 /// Start and end of the fault, in milliseconds.
 const FAULT_PERIOD_MS: std::ops::Range<u64> = 4_000..10_000;
 /// Duration of a simulation, in milliseconds.
@@ -52,7 +52,7 @@
     /// Whether a back-off period that one node receives applies to all nodes.
     is_shared: bool,
     /// Whether engines advertise a back-off period with a rejection.
-    advertises_back_off: bool,
+    advertises_backoff: bool,
 }
 
 #[derive(Default)]
@@ -74,7 +74,7 @@
 
 struct Simulation {
     fault: Fault,
-    advertises_back_off: bool,
+    advertises_backoff: bool,
     nodes: Vec<InstanceTable>,
     engines: Vec<Engine>,
     topology: Topology,
@@ -123,7 +123,7 @@
         };
         Self {
             fault,
-            advertises_back_off: variant.advertises_back_off,
+            advertises_backoff: variant.advertises_backoff,
             nodes: names.iter().map(create_table).collect(),
             engines: (0..ENGINES).map(|_| Engine::default()).collect(),
             topology: Topology::new("a", BTreeMap::new(), RoundTrips::default()).expect("valid"),
@@ -233,7 +233,7 @@
         let table = &mut self.nodes[node];
         let report = SelfReport {
             load: Some(load),
-            rest: self.advertises_back_off.then_some(BACK_OFF),
+            rest: self.advertises_backoff.then_some(BACKOFF),
             ..SelfReport::default()
         };
         table
@@ -271,7 +271,7 @@
     first_alone: bool,
     spread: f64,
     is_shared: bool,
-    advertises_back_off: bool,
+    advertises_backoff: bool,
 ) -> Variant {
     Variant {
         resume_policy: ResumePolicy {
@@ -279,7 +279,7 @@
             spread,
         },
         is_shared,
-        advertises_back_off,
+        advertises_backoff,
     }
 }
 
@@ -331,11 +331,11 @@
     } = variant.resume_policy;
     let Variant {
         is_shared,
-        advertises_back_off,
+        advertises_backoff,
         ..
     } = variant;
     println!(
-        "{name:8} {nodes:3} {first_alone:5} {spread:4} {is_shared:5} {advertises_back_off:5}: {:.4} {:8.1} {:8.1} {:.3} {p90}",
+        "{name:8} {nodes:3} {first_alone:5} {spread:4} {is_shared:5} {advertises_backoff:5}: {:.4} {:8.1} {:8.1} {:.3} {p90}",
         f64::from(total.in_time) / requests,
         f64::from(total.rejected) / seeds as f64,
         f64::from(total.rejected_after_fault) / seeds as f64,
