--- a/crates/daemon/src/call_guard.rs
+++ b/crates/daemon/src/call_guard.rs
@@ -1,7 +1,7 @@
 //! Guards pipelines' calls against back ends that asked for back-off or announced a shutdown.
 
 use crate::gateway::notices::NoticeRecorder;
-use silversail_backend::{CallGuard, HeadReport};
+use silversail_backend::{BackendSelfReport, CallGuard};
 use silversail_serving::notices::ExchangeKind;
 use silversail_serving::ports::SelfReport;
 use std::time::Duration;
@@ -22,13 +22,13 @@
 }
 
 impl CallGuard for AddressGuard<'_> {
-    fn takes_calls(&self) -> bool {
+    fn accepts_calls(&self) -> bool {
         self.listener
             .unavailable_reason(self.address, self.exchange_kind)
             .is_none()
     }
 
-    fn heard(&self, report: &HeadReport) {
+    fn record_report(&self, report: &BackendSelfReport) {
         let shutdown_back_off = report.is_leaving.then_some(SHUTDOWN_BACK_OFF);
         let self_report = SelfReport {
             backoff: report.rest.max(shutdown_back_off),
--- a/crates/daemon/src/gateway/calls.rs
+++ b/crates/daemon/src/gateway/calls.rs
@@ -251,7 +251,7 @@
         let mut permit = match self.admit(target) {
             Ok(permit) => permit,
             Err(error) => {
-                connection.keep();
+                connection.return_to_pool();
                 return Err(error);
             }
         };
@@ -266,7 +266,7 @@
                 permit = match permit.map(SendPermit::renew).transpose() {
                     Ok(permit) => permit,
                     Err(reason) => {
-                        connection.keep();
+                        connection.return_to_pool();
                         return Err(CallError::BackendUnavailable(reason));
                     }
                 };
@@ -276,7 +276,7 @@
             }
             Err(error) => return Err(CallError::NoAnswer(error.to_string())),
         };
-        connection.note_head(response.headers());
+        connection.apply_keep_alive(response.headers());
         let status = response.status().as_u16();
         let head = self
             .protocols
@@ -296,7 +296,7 @@
             .collect()
             .await
             .map_err(|error| CallError::NoAnswer(error.to_string()))?;
-        connection.keep();
+        connection.return_to_pool();
         Ok(CallAnswer {
             status,
             not_run: head.not_run,
--- a/crates/daemon/src/gateway/list_fetch.rs
+++ b/crates/daemon/src/gateway/list_fetch.rs
@@ -56,7 +56,7 @@
         let mut calls = 0;
         let mut is_list_reader = self.is_list_reader.subscribe();
         loop {
-            self.pool.trim();
+            self.pool.remove_expired();
             if is_list_reader
                 .wait_for(|is_reader| *is_reader)
                 .await
--- a/crates/daemon/src/gateway/request_sender.rs
+++ b/crates/daemon/src/gateway/request_sender.rs
@@ -12,7 +12,7 @@
 };
 use hyper::{Request, Response};
 use silversail_http::{
-    Connection, ConnectionPool, IncomingRequest, OutgoingBody, RelayBody, RelayEnd, SendError,
+    Connection, ConnectionPool, IncomingRequest, OutgoingBody, RelayBody, RelayOutcome, SendError,
 };
 use silversail_limits::Serial;
 use silversail_serving::dispatcher::{NotRunReason, SendOutcome, SendPlan, UnknownReason};
@@ -81,7 +81,7 @@
     /// Called with the reported load when the head is received.
     pub on_head: Box<dyn FnOnce(Option<ReportedLoad>) + Send>,
     /// Called with the back end's status when the stream ends.
-    pub on_end: Box<dyn FnOnce(u16, RelayEnd) + Send>,
+    pub on_end: Box<dyn FnOnce(u16, RelayOutcome) + Send>,
 }
 
 impl RequestSender {
@@ -124,7 +124,7 @@
         deadline: Instant,
     ) -> Result<SendResult, FailedSend> {
         let (mut connection, response, permit) = self.send_until_head(request, plan).await?;
-        connection.note_head(response.headers());
+        connection.apply_keep_alive(response.headers());
         let status = response.status().as_u16();
         let head = self
             .protocols
@@ -181,7 +181,7 @@
                 Ok(response) => return Ok((connection, response, permit.serial())),
                 // The back end had closed the idle connection before the request was sent.
                 Err(SendError::NotSent(_)) => permit.unspend(),
-                Err(SendError::Broken(_)) => {
+                Err(SendError::NoAnswer(_)) => {
                     return Err(SendOutcome::Unknown(UnknownReason::Broken).into())
                 }
             }
@@ -193,7 +193,7 @@
         let mut permit = match permit.renew() {
             Ok(permit) => permit,
             Err(reason) => {
-                connection.keep();
+                connection.return_to_pool();
                 return Err(reason.into());
             }
         };
@@ -204,7 +204,7 @@
                 permit.unspend();
                 Err(unreachable())
             }
-            Err(SendError::Broken(_)) => Err(SendOutcome::Unknown(UnknownReason::Broken).into()),
+            Err(SendError::NoAnswer(_)) => Err(SendOutcome::Unknown(UnknownReason::Broken).into()),
         }
     }
 
@@ -253,7 +253,7 @@
 async fn reuse_after_refusal(connection: Connection, body: Incoming) {
     let body = Limited::new(body, MAX_BUFFERED_ANSWER_BYTES).collect();
     if let Ok(Ok(_)) = timeout(REFUSAL_BODY_TIMEOUT, body).await {
-        connection.keep();
+        connection.return_to_pool();
     }
 }
 
@@ -325,7 +325,7 @@
             load: head.report.load,
         });
     };
-    connection.keep();
+    connection.return_to_pool();
     strip_connection_headers(&mut parts.headers);
     let outcome = SendOutcome::Delivered {
         status: parts.status.as_u16(),
--- a/crates/daemon/src/gateway/runtime.rs
+++ b/crates/daemon/src/gateway/runtime.rs
@@ -7,7 +7,7 @@
 use crate::gateway::request_sender::RequestSender;
 use crate::gateway::surface::SurfaceService;
 use crate::settings::GatewaySettings;
-use silversail_http::{serve, AsyncService, ConnectionPool, HeldBodies};
+use silversail_http::{serve, AsyncService, BodyMemoryLimit, ConnectionPool};
 use silversail_serving::ports::Protocols;
 use std::io;
 use std::sync::atomic::AtomicU64;
@@ -66,7 +66,7 @@
             answer_lifetime_ms: settings.answer_lifetime_ms,
         };
         let surface: Arc<dyn AsyncService> = Arc::new(surface);
-        let held_bodies = HeldBodies::new(settings.held_body_bytes);
+        let held_bodies = BodyMemoryLimit::new(settings.held_body_bytes);
         {
             let _guard = runtime.enter();
             let callers = Arc::new(callers);
@@ -78,7 +78,7 @@
             )?;
             // A separate limit, so that callers' bodies cannot block operators and entry-point
             // lookups.
-            let held_bodies = HeldBodies::new(settings.held_body_bytes);
+            let held_bodies = BodyMemoryLimit::new(settings.held_body_bytes);
             for address in [
                 &settings.readiness,
                 &settings.control,
--- a/crates/daemon/src/surface/callers.rs
+++ b/crates/daemon/src/surface/callers.rs
@@ -123,12 +123,12 @@
                 "the body was not received in time",
                 None,
             ),
-            RejectReason::BodyBroken => (
+            RejectReason::BodyInterrupted => (
                 ResultCode::MalformedRequest,
                 "the connection was closed before the body was complete",
                 None,
             ),
-            RejectReason::TooManyConnections | RejectReason::NoRoom => (
+            RejectReason::TooManyConnections | RejectReason::BodyMemoryExhausted => (
                 ResultCode::TooManyRequests,
                 "too many connections are open",
                 Some(CONNECTIONS_RETRY_AFTER_MS),
--- a/crates/simulation/src/backends.rs
+++ b/crates/simulation/src/backends.rs
@@ -74,7 +74,7 @@
             CallCompletion {
                 at: backends.now + LOSS_DETECTION_DELAY_MS,
                 attempt,
-                result: Err(CallFailure::Lost("lost".into())),
+                result: Err(CallFailure::AnswerLost("lost".into())),
             }
         } else {
             CallCompletion {
