--- a/crates/backend/src/lib.rs
+++ b/crates/backend/src/lib.rs
@@ -1,5 +1,5 @@
-//! Adapters for the protocols of outside systems, one module each, behind typed
-//! results. No other package knows a field name of these protocols.
+//! Clients for the protocols of back ends and of the platform, one module for each protocol. Field
+//! names of these protocols are private to this package.
 
 pub mod agent;
 pub mod call;
@@ -12,5 +12,5 @@
 pub use agent::Agents;
 pub use call::{CallFailure, StageCall, StageOutput, TokenSink};
 pub use engine::EngineLoad;
-pub use guard::{CallGuard, HeadReport};
+pub use guard::{BackendSelfReport, CallGuard};
 pub use platform::{MachineList, MachineListEntry};
--- a/crates/daemon/src/crashes.rs
+++ b/crates/daemon/src/crashes.rs
@@ -1,4 +1,4 @@
-//! What a process finds out and tells of back ends that crash; shared by the paths that send.
+//! Detection and reporting of back-end crashes, shared by pipeline and pass-through requests.
 
 use crate::metrics::Metrics;
 use crate::session::SharedNodeState;
@@ -11,58 +11,58 @@
 use stakker::{fwd, fwd_nop, Fwd};
 use std::sync::Arc;
 
-/// What comes of connections that broke off.
-pub enum Finding {
-    /// The back end is to be asked for a connection.
-    Ask(Probe),
-    /// It is being asked.
+/// Progress of the diagnosis of a lost connection.
+pub enum DiagnosisProgress {
+    /// The back end has to be probed.
+    Probe(Probe),
+    /// A probe of the back end is in progress.
     Pending,
-    /// It is known why they broke off.
-    Known(Diagnosis),
+    /// The cause of the connection loss is known.
+    Complete(Diagnosis),
 }
 
-/// Finds out why connections break off, and tells of crashes.
+/// Diagnoses lost connections and reports crashes.
 pub struct CrashReporter {
-    watch: CrashDetector,
+    detector: CrashDetector,
     state: SharedNodeState,
     metrics: Arc<Metrics>,
-    /// Has a heartbeat sent at once.
-    tell_at_once: Fwd<()>,
+    /// Sends a heartbeat at once.
+    heartbeat_trigger: Fwd<()>,
 }
 
 impl CrashReporter {
-    /// A reporter that tells with the process's heartbeats.
+    /// A reporter whose reports are sent with the process's heartbeats.
     pub fn new(state: SharedNodeState, metrics: Arc<Metrics>) -> Self {
         Self {
-            watch: CrashDetector::default(),
+            detector: CrashDetector::default(),
             state,
             metrics,
-            tell_at_once: fwd_nop!(),
+            heartbeat_trigger: fwd_nop!(),
         }
     }
 
-    /// Takes what has a heartbeat sent at once.
-    pub fn set_tell_at_once(&mut self, tell_at_once: Fwd<()>) {
-        self.tell_at_once = tell_at_once;
+    /// Sets the callback that sends a heartbeat at once.
+    pub fn set_heartbeat_trigger(&mut self, heartbeat_trigger: Fwd<()>) {
+        self.heartbeat_trigger = heartbeat_trigger;
     }
 
-    /// Requests broke off at a back end.
-    pub fn broke_off(&mut self, broken: ConnectionLoss, now: Millis) -> Finding {
-        match self.watch.connection_lost(broken, now) {
-            ConnectionLossAction::Probe(probe) => Finding::Ask(probe),
-            ConnectionLossAction::Wait => Finding::Pending,
-            ConnectionLossAction::Known(diagnosis) => Finding::Known(diagnosis),
+    /// Records requests whose connections to a back end were lost.
+    pub fn connection_lost(&mut self, loss: ConnectionLoss, now: Millis) -> DiagnosisProgress {
+        match self.detector.connection_lost(loss, now) {
+            ConnectionLossAction::Probe(probe) => DiagnosisProgress::Probe(probe),
+            ConnectionLossAction::Wait => DiagnosisProgress::Pending,
+            ConnectionLossAction::Known(diagnosis) => DiagnosisProgress::Complete(diagnosis),
         }
     }
 
-    /// A back end was asked for a connection.
-    pub fn probed(&mut self, backend: &str, answer: ProbeResult) -> Option<Diagnosis> {
-        self.watch.probe_finished(backend, answer)
+    /// Records the result of a probe, and returns the diagnosis if one was pending.
+    pub fn probe_finished(&mut self, backend: &str, answer: ProbeResult) -> Option<Diagnosis> {
+        self.detector.probe_finished(backend, answer)
     }
 
-    /// Counts what broke off. Where the back end ended, its suspects count in `quarantine` at
-    /// once and are told; true then.
-    pub fn report(
+    /// Counts the lost connections. If the back end crashed, its suspects are added to
+    /// `quarantine` and reported at once. Returns whether a crash was reported.
+    pub fn report_crash(
         &mut self,
         diagnosis: &Diagnosis,
         quarantine: &mut RequestQuarantine,
@@ -77,26 +77,27 @@
             return false;
         }
         let backend = &diagnosis.instance;
-        let sends = diagnosis.sends.iter().map(|one| one.fingerprint);
-        let suspects = quarantine.crashed(backend, sends, now);
+        let sends = diagnosis.sends.iter().map(|send| send.fingerprint);
+        let suspects = quarantine.record_crash(backend, sends, now);
         if suspects.is_empty() {
             return false;
         }
-        let news = &mut self.state.borrow_mut().crash_news;
-        news.crashed(backend, diagnosis.lost_at, suspects, now);
-        fwd!([self.tell_at_once], ());
+        let news = &mut self.state.borrow_mut().pending_crash_reports;
+        news.record_crash(backend, diagnosis.lost_at, suspects, now);
+        fwd!([self.heartbeat_trigger], ());
         true
     }
 
-    /// A request got a whole answer, so it crashes nothing; told where others are to know.
-    pub fn ended_well(
+    /// Records that a request was answered completely and so did not crash its back end; reported
+    /// if other nodes need to know.
+    pub fn request_completed(
         &mut self,
         fingerprint: RequestFingerprint,
         quarantine: &mut RequestQuarantine,
     ) {
-        if quarantine.ended_well(fingerprint) {
-            let news = &mut self.state.borrow_mut().crash_news;
-            news.answered_whole(fingerprint);
+        if quarantine.record_success(fingerprint) {
+            let news = &mut self.state.borrow_mut().pending_crash_reports;
+            news.record_completed_request(fingerprint);
         }
     }
 }
--- a/crates/daemon/src/settings/validation.rs
+++ b/crates/daemon/src/settings/validation.rs
@@ -1,28 +1,31 @@
-//! Checks of a settings file: addresses, names and ranges.
+//! Validation of settings: addresses, names and ranges.
 
 use super::{Settings, SettingsError};
 use silversail_model::ResultCode;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Shares of a core that a process may use, up to a large machine.
-const PROCESSOR_SHARES: std::ops::RangeInclusive<f64> = 0.01..=64.0;
+/// Allowed values of `gateway.processor_share`, in cores.
+const PROCESSOR_SHARE_RANGE: std::ops::RangeInclusive<f64> = 0.01..=64.0;
 
 impl Settings {
-    /// Checks references, addresses and ranges.
+    /// Validates references, addresses and ranges.
+    ///
+    /// # Errors
+    /// With the code and the path of the first invalid field.
     pub fn validate(&self) -> Result<(), SettingsError> {
         self.validate_nodes()?;
         self.topology()?;
         self.validate_gateway()?;
         self.validate_voters()?;
-        check_address("operators", &self.operators)?;
+        validate_address("operators", &self.operators)?;
         for (path, address) in [
             ("listen.peer", &self.listen.peer),
             ("listen.callers", &self.listen.callers),
             ("platform", &self.platform),
         ] {
             if let Some(address) = address {
-                check_address(path, address)?;
+                validate_address(path, address)?;
             }
         }
         self.validate_ranges()
@@ -33,7 +36,8 @@
         for (position, node) in self.cluster.nodes.iter().enumerate() {
             let path = format!("cluster.nodes[{position}]");
             if !silversail_model::identifiers::is_valid_name(node.name.as_str()) {
-                let message = "a name takes 1 to 128 letters, digits, '-', '_' and '.'";
+                let message =
+                    "must have 1 to 128 characters out of letters, digits, '-', '_' and '.'";
                 return Err(SettingsError::new(
                     ResultCode::InvalidName,
                     format!("{path}.name"),
@@ -41,26 +45,26 @@
                 ));
             }
             if !names.insert(&node.name) {
-                let message = format!("'{}' stands twice", node.name);
+                let message = format!("'{}' is used by several nodes", node.name);
                 return Err(SettingsError::new(
                     ResultCode::DuplicateName,
                     format!("{path}.name"),
                     message,
                 ));
             }
-            check_address(&format!("{path}.peer"), &node.peer)?;
-            check_address(&format!("{path}.callers"), &node.callers)?;
+            validate_address(&format!("{path}.peer"), &node.peer)?;
+            validate_address(&format!("{path}.callers"), &node.callers)?;
         }
         if let Some(discovery) = &self.discovery {
-            check_address("discovery.own.peer", &discovery.own.peer)?;
-            check_address("discovery.own.callers", &discovery.own.callers)?;
+            validate_address("discovery.own.peer", &discovery.own.peer)?;
+            validate_address("discovery.own.callers", &discovery.own.callers)?;
             for (position, contact) in discovery.contacts.iter().enumerate() {
-                check_address(&format!("discovery.contacts[{position}]"), contact)?;
+                validate_address(&format!("discovery.contacts[{position}]"), contact)?;
             }
             return Ok(());
         }
         if !names.contains(&self.node) {
-            let message = format!("'{}' is not among cluster.nodes", self.node);
+            let message = format!("'{}' is not a node in cluster.nodes", self.node);
             return Err(SettingsError::new(
                 ResultCode::UnknownReference,
                 "node",
@@ -81,11 +85,11 @@
             ("gateway.entry_points", &gateway.entry_points),
             ("gateway.backend_list", &gateway.backend_list),
         ] {
-            check_address(path, address)?;
+            validate_address(path, address)?;
         }
-        if !PROCESSOR_SHARES.contains(&gateway.processor_share) {
+        if !PROCESSOR_SHARE_RANGE.contains(&gateway.processor_share) {
             let path = "gateway.processor_share";
-            let message = "must lie between 0.01 and 64";
+            let message = "must be between 0.01 and 64";
             return Err(SettingsError::new(
                 ResultCode::ValueOutOfRange,
                 path,
@@ -115,7 +119,7 @@
                 return Err(SettingsError::new(
                     ResultCode::UnknownReference,
                     format!("cluster.voters[{position}]"),
-                    format!("'{voter}' is not among cluster.nodes"),
+                    format!("'{voter}' is not a node in cluster.nodes"),
                 ));
             }
         }
@@ -123,7 +127,7 @@
             return Err(SettingsError::new(
                 ResultCode::MissingField,
                 "data_folder",
-                "a voter needs a data folder",
+                "is required on a voter",
             ));
         }
         Ok(())
@@ -146,13 +150,13 @@
         if self.timing.node_lease_ms < 2 * self.timing.session_heartbeat_ms {
             return out_of_range(
                 "timing.node_lease_ms",
-                "must be at least 2 session_heartbeat_ms",
+                "must be at least twice session_heartbeat_ms",
             );
         }
         if self.timing.freshness_lease_ms < 2 * self.timing.session_heartbeat_ms {
             return out_of_range(
                 "timing.freshness_lease_ms",
-                "must be at least 2 session_heartbeat_ms",
+                "must be at least twice session_heartbeat_ms",
             );
         }
         if self.timing.ledger_retention_ms < self.limits.deadline_ms {
@@ -162,19 +166,19 @@
             );
         }
         if self.timing.weight_store_mb_per_s <= 0.0 {
-            return out_of_range("timing.weight_store_mb_per_s", "must be above 0");
+            return out_of_range("timing.weight_store_mb_per_s", "must be greater than 0");
         }
         if self.routing.slot_share <= 0.0 {
-            return out_of_range("routing.slot_share", "must be above 0");
+            return out_of_range("routing.slot_share", "must be greater than 0");
         }
         if !(0.0..=1.0).contains(&self.rollout.exposure_share) {
-            return out_of_range("rollout.exposure_share", "must lie between 0 and 1");
+            return out_of_range("rollout.exposure_share", "must be between 0 and 1");
         }
         if !self.rollout.exposure_slack.is_finite() || self.rollout.exposure_slack < 0.0 {
             return out_of_range("rollout.exposure_slack", "must be 0 or more");
         }
         if self.rollout.rollback_ms == 0 {
-            return out_of_range("rollout.rollback_ms", "must be above 0");
+            return out_of_range("rollout.rollback_ms", "must be greater than 0");
         }
         if self.log.level.parse::<log::LevelFilter>().is_err() {
             return out_of_range("log.level", "must be error, warn, info, debug or trace");
@@ -183,13 +187,13 @@
     }
 }
 
-fn check_address(path: &str, address: &str) -> Result<(), SettingsError> {
+fn validate_address(path: &str, address: &str) -> Result<(), SettingsError> {
     match address.parse::<SocketAddr>() {
         Ok(_) => Ok(()),
         Err(_) => Err(SettingsError::new(
             ResultCode::InvalidAddress,
             path,
-            format!("'{address}' is not IP:PORT"),
+            format!("'{address}' is not an address of the form IP:PORT"),
         )),
     }
 }
--- a/crates/serving/src/batcher.rs
+++ b/crates/serving/src/batcher.rs
@@ -76,9 +76,9 @@
     NotRun,
     /// The connection failed before anything was sent.
     Unreachable,
-    /// Nothing was sent: after it was selected, the back end reported that it rests or shuts
-    /// down.
-    Withheld,
+    /// Nothing was sent: after it was selected, the back end requested a back-off or reported
+    /// that it is draining.
+    BackendUnavailable,
     /// The call may have run.
     Unknown,
 }
@@ -110,7 +110,7 @@
 pub struct Batcher {
     specs: BTreeMap<String, BatchSpec>,
     orders: BTreeMap<OrderKey, Order>,
-    /// Number of orders of each shard, kept so that a message need not scan all orders.
+    /// Number of orders of each shard, so that a message need not scan all orders.
     shards: BTreeMap<Shard, usize>,
     calls: BTreeMap<CallId, CallState>,
     backends: BackendHealthTable,
@@ -213,7 +213,7 @@
     pub fn cancel(&mut self, key: &OrderKey) {
         self.announced.remove(key);
         if let Some(order) = self.remove_order(key) {
-            self.result_memory.release(&order.made());
+            self.result_memory.release(&order.results());
         }
     }
 
@@ -257,7 +257,7 @@
         self.result_memory.freed(handles);
     }
 
-    /// Takes the results that back ends have to be told to free.
+    /// Takes the results that back ends must free.
     pub fn take_releases(&mut self) -> Vec<ResultHandle> {
         self.result_memory.take_releases()
     }
@@ -289,7 +289,7 @@
         }
         self.result_memory.reserve(backend, result_bytes);
         if let Some(instance) = table.get(backend) {
-            instance.choose_permit(now);
+            instance.reserve_permit(now);
         }
         let listed = table.get(backend).map(|instance| instance.listed.clone());
         let (name, address, version) = listed
--- a/crates/serving/src/batcher/outcomes.rs
+++ b/crates/serving/src/batcher/outcomes.rs
@@ -1,7 +1,7 @@
 //! Completion and failure of orders: outcomes of calls, deadlines, unavailable back ends.
 
 use super::{Batcher, CallId, CallOutcome, CallState, FinishedOrder, Order, OrderKey, PieceState};
-use crate::batcher::backend_health::{call_ms, EndedCall};
+use crate::batcher::backend_health::{call_ms, FinishedCall};
 use crate::instances::InstanceTable;
 use crate::ports::PieceResults;
 use crate::quarantine::RequestQuarantine;
@@ -36,7 +36,7 @@
         self.record_call_outcome(&state, &outcome, now);
         match outcome {
             CallOutcome::Answered(results) => self.answered(&state, results, now),
-            CallOutcome::NotRun | CallOutcome::Unreachable | CallOutcome::Withheld => {
+            CallOutcome::NotRun | CallOutcome::Unreachable | CallOutcome::BackendUnavailable => {
                 self.requeue(&state, false)
             }
             CallOutcome::Unknown => self.requeue(&state, true),
@@ -47,7 +47,7 @@
         let Some(spec) = self.specs.get(&call.shard.service) else {
             return;
         };
-        let ended = EndedCall {
+        let ended = FinishedCall {
             backend: &call.instance,
             service: &call.shard.service,
             version: &call.version,
@@ -56,9 +56,9 @@
         };
         self.backends.call_ended(&ended, outcome, now);
         if let Some(counted) = call.counted {
-            let usual_ms = spec.call_ms;
+            let normal_ms = spec.call_ms;
             self.rollouts
-                .count_call_end(counted, &ended, usual_ms, outcome);
+                .count_call_end(counted, &ended, normal_ms, outcome);
         }
     }
 
@@ -110,11 +110,11 @@
         };
         match result {
             Ok(handle) => {
-                order.set_state(index, PieceState::Made(handle));
+                order.set_state(index, PieceState::Completed(handle));
                 None
             }
             Err(PieceFailure::NoRoom) => {
-                self.backends.refused(backend, now);
+                self.backends.record_rejection(backend, now);
                 order.requeue(index, false, MAX_CALLS_OF_PIECE)
             }
             Err(PieceFailure::Failed) => order.requeue(index, true, MAX_CALLS_OF_PIECE),
@@ -136,7 +136,7 @@
 
     fn fail(&mut self, key: &OrderKey, failure: PieceFailure) -> Option<FinishedOrder> {
         let order = self.remove_order(key)?;
-        self.result_memory.release(&order.made());
+        self.result_memory.release(&order.results());
         Some(FinishedOrder {
             key: key.clone(),
             shard: order.work.shard,
@@ -157,7 +157,7 @@
             if let Some(order) = self.remove_order(key) {
                 finished.push(FinishedOrder {
                     key: key.clone(),
-                    result: Ok(order.made()),
+                    result: Ok(order.results()),
                     shard: order.work.shard,
                 });
             }
@@ -189,20 +189,21 @@
     }
 
     /// Fails the waiting orders whose deadline passes before any back end of their shard ends
-    /// its rest, so that submitters learn it at once.
-    pub fn reject_orders_delayed_by_rest(
+    /// its back-off, so that submitters learn it at once.
+    pub fn reject_orders_delayed_by_backoff(
         &mut self,
         table: &InstanceTable,
         now: Millis,
     ) -> Vec<FinishedOrder> {
-        let rests = self.shards.keys().map(|shard| {
-            let rest = self.backends.rest_ms(shard, table, now);
-            (shard.clone(), rest)
+        let backoffs = self.shards.keys().map(|shard| {
+            let backoff_ms = self.backends.backoff_ms(shard, table, now);
+            (shard.clone(), backoff_ms)
         });
-        let rests: BTreeMap<Shard, Millis> = rests.filter(|(_, rest)| *rest > 0).collect();
+        let backoffs: BTreeMap<Shard, Millis> =
+            backoffs.filter(|(_, backoff_ms)| *backoff_ms > 0).collect();
         let is_too_late = |order: &Order| {
-            let rest = rests.get(&order.work.shard).copied();
-            rest.is_some_and(|rest| now.saturating_add(rest) >= order.deadline)
+            let backoff_ms = backoffs.get(&order.work.shard).copied();
+            backoff_ms.is_some_and(|backoff_ms| now.saturating_add(backoff_ms) >= order.deadline)
         };
         let orders = self.orders.iter().filter(|(_, order)| order.is_waiting());
         let ended = orders.filter(|(_, order)| is_too_late(order));
@@ -243,7 +244,7 @@
         CallOutcome::Answered(results) => results,
         CallOutcome::NotRun => return "not_run".to_owned(),
         CallOutcome::Unreachable => return "unreachable".to_owned(),
-        CallOutcome::Withheld => return "withheld".to_owned(),
+        CallOutcome::BackendUnavailable => return "withheld".to_owned(),
         CallOutcome::Unknown => return "unknown".to_owned(),
     };
     let mut failures: BTreeMap<PieceFailure, usize> = BTreeMap::new();
--- a/crates/serving/src/batcher/versions.rs
+++ b/crates/serving/src/batcher/versions.rs
@@ -1,7 +1,7 @@
 //! Rollouts of a batched service: which version gets the next call, how calls are counted, and
 //! what still runs at the baseline.
 
-use super::backend_health::EndedCall;
+use super::backend_health::FinishedCall;
 use super::{Batcher, CallOutcome};
 use crate::instances::{Instance, InstanceTable};
 use crate::rollouts::{CountedAnswer, CountedSend, RolloutTracker, VersionChoice, VersionRole};
@@ -26,7 +26,7 @@
 
     /// Excludes the candidate from the calls of this round; false if none of its back ends was
     /// left.
-    pub(super) fn pass_over_candidate(&mut self) -> bool {
+    pub(super) fn exclude_candidate(&mut self) -> bool {
         !std::mem::take(&mut self.candidate).is_empty()
     }
 }
@@ -91,7 +91,7 @@
     }
 
     /// Whether the baseline may have been stopped: the rollout may have completed without this
-    /// node having heard of it.
+    /// node having been informed.
     fn may_be_stopped(&self, shard: &Shard, table: &InstanceTable) -> bool {
         let is_ready = |instance: &Instance| {
             instance.role() == VersionRole::Baseline && instance.accepts_new_work()
@@ -153,25 +153,27 @@
 
 impl RolloutTracker {
     /// Counts the outcome of a call for the rollout. As calls differ in size, durations are
-    /// scaled to a call that takes `usual_ms` by the configured cost model.
+    /// scaled to a call that takes `normal_ms` by the configured cost model.
     pub(super) fn count_call_end(
         &mut self,
         counted: CountedSend,
-        call: &EndedCall<'_>,
-        usual_ms: f64,
+        call: &FinishedCall<'_>,
+        normal_ms: f64,
         outcome: &CallOutcome,
     ) {
         let answer = match outcome {
-            CallOutcome::NotRun | CallOutcome::Unreachable | CallOutcome::Withheld => return,
+            CallOutcome::NotRun | CallOutcome::Unreachable | CallOutcome::BackendUnavailable => {
+                return
+            }
             CallOutcome::Unknown => CountedAnswer::Bad,
             CallOutcome::Answered(results) if results.contains(&Err(PieceFailure::Failed)) => {
                 CountedAnswer::Bad
             }
             CallOutcome::Answered(_) => {
-                let time_ms = (call.share() * usual_ms) as Millis;
+                let time_ms = (call.relative_duration() * normal_ms) as Millis;
                 CountedAnswer::Good {
-                    first_part_ms: time_ms,
-                    whole_ms: time_ms,
+                    time_to_first_byte_ms: time_ms,
+                    response_time_ms: time_ms,
                 }
             }
         };
--- a/crates/serving/src/dispatcher/admission.rs
+++ b/crates/serving/src/dispatcher/admission.rs
@@ -10,13 +10,13 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Initial estimate of the time from the send to the first part of an answer, in milliseconds.
-const INITIAL_FIRST_PART_MS: f64 = 150.0;
+/// Initial estimate of the time from the send to the first byte of an answer, in milliseconds.
+const INITIAL_TIME_TO_FIRST_BYTE_MS: f64 = 150.0;
 /// Weight of a new answer in the moving average of that time.
-const FIRST_PART_WEIGHT: f64 = 0.1;
+const TIME_TO_FIRST_BYTE_WEIGHT: f64 = 0.1;
 /// Cap on the time of one answer in that average, in milliseconds, so that a stuck one does not
 /// distort it.
-const MAX_FIRST_PART_MS: f64 = 1_000.0;
+const MAX_TIME_TO_FIRST_BYTE_MS: f64 = 1_000.0;
 
 /// Weight of a phase in the moving average of a service's forecast errors.
 const ERROR_WEIGHT: f64 = 0.15;
@@ -45,7 +45,7 @@
     policy: Policy,
     errors: BTreeMap<String, ForecastError>,
     pub(super) waits: ShardWaitTable,
-    first_part_averages: BTreeMap<String, f64>,
+    time_to_first_byte_averages: BTreeMap<String, f64>,
 }
 
 impl Admission {
@@ -54,30 +54,31 @@
             policy,
             errors: BTreeMap::new(),
             waits: ShardWaitTable::new(topology, policy.near_shards),
-            first_part_averages: BTreeMap::new(),
+            time_to_first_byte_averages: BTreeMap::new(),
         }
     }
 
-    /// Records the time from a send to the first part of the answer, in milliseconds.
-    pub(super) fn record_first_part(&mut self, route: &str, after: Millis) {
-        let mean = self.first_part_averages.get(route).copied();
-        let mean = mean.unwrap_or(INITIAL_FIRST_PART_MS);
-        let seen = (after as f64).min(MAX_FIRST_PART_MS);
-        let next = mean + FIRST_PART_WEIGHT * (seen - mean);
-        self.first_part_averages.insert(route.to_owned(), next);
+    /// Records the time from a send to the first byte of the answer, in milliseconds.
+    pub(super) fn record_time_to_first_byte(&mut self, route: &str, after: Millis) {
+        let mean = self.time_to_first_byte_averages.get(route).copied();
+        let mean = mean.unwrap_or(INITIAL_TIME_TO_FIRST_BYTE_MS);
+        let measured = (after as f64).min(MAX_TIME_TO_FIRST_BYTE_MS);
+        let next = mean + TIME_TO_FIRST_BYTE_WEIGHT * (measured - mean);
+        self.time_to_first_byte_averages
+            .insert(route.to_owned(), next);
     }
 
-    /// Average time from a send to the first part of an answer of a route, in milliseconds.
-    pub(super) fn first_part_ms(&self, route: &str) -> u64 {
-        let mean = self.first_part_averages.get(route).copied();
-        mean.unwrap_or(INITIAL_FIRST_PART_MS) as u64
+    /// Average time from a send to the first byte of an answer of a route, in milliseconds.
+    pub(super) fn time_to_first_byte_ms(&self, route: &str) -> u64 {
+        let mean = self.time_to_first_byte_averages.get(route).copied();
+        mean.unwrap_or(INITIAL_TIME_TO_FIRST_BYTE_MS) as u64
     }
 
     /// When an order that is submitted in `begin` milliseconds ends, in milliseconds from now.
     /// The backlog shrinks until then. Without an estimate nothing is added, so that the first
     /// request is admitted and yields one.
-    fn end_of(&self, service: &str, rank: u8, begin: u64, now: Millis) -> u64 {
-        let Some(expected) = self.waits.expected(service, rank, now) else {
+    fn end_of(&self, service: &str, priority: u8, begin: u64, now: Millis) -> u64 {
+        let Some(expected) = self.waits.expected(service, priority, now) else {
             return begin;
         };
         let turn = begin.max(expected.backlog_ms);
@@ -98,10 +99,10 @@
         let known = self.errors.get(service).copied();
         let mean = known.map_or(0.0, |error| error.present(now));
         // The forecast included the error known at that time.
-        let seen = took as f64 - forecast as f64;
-        let seen = seen.clamp(-MAX_ERROR_MS, MAX_ERROR_MS);
+        let error = took as f64 - forecast as f64;
+        let error = error.clamp(-MAX_ERROR_MS, MAX_ERROR_MS);
         let next = ForecastError {
-            mean: (mean + ERROR_WEIGHT * seen).clamp(0.0, MAX_ERROR_MS),
+            mean: (mean + ERROR_WEIGHT * error).clamp(0.0, MAX_ERROR_MS),
             at: now,
         };
         self.errors.insert(service.to_owned(), next);
@@ -109,27 +110,27 @@
 
     /// Stores the forecast of each phase in an admitted request.
     pub(super) fn store_forecasts(&self, request: &mut ActiveRequest, now: Millis) {
-        let rank = request.routed.priority;
-        let specs = &request.routed.route.phases;
+        let priority = request.resolved_route.priority;
+        let specs = &request.resolved_route.route.phases;
         let end_of =
-            |phase: usize, begin: u64| self.end_of(&specs[phase].service, rank, begin, now);
+            |phase: usize, begin: u64| self.end_of(&specs[phase].service, priority, begin, now);
         request.phases.set_forecasts(end_of);
     }
 
     /// `Retry-After` in milliseconds of a request that is expected to miss its objective; none
     /// if it is admitted.
-    pub(super) fn refuses(&self, request: &ActiveRequest, now: Millis) -> Option<u64> {
+    pub(super) fn rejects(&self, request: &ActiveRequest, now: Millis) -> Option<u64> {
         if !self.policy.chain_admission {
             return None;
         }
-        let rank = request.routed.priority;
-        let specs = &request.routed.route.phases;
+        let priority = request.resolved_route.priority;
+        let specs = &request.resolved_route.route.phases;
         let end_of =
-            |phase: usize, begin: u64| self.end_of(&specs[phase].service, rank, begin, now);
-        let first_part = self.first_part_ms(&request.routed.route.name);
-        let expected = request.phases.expected_end(end_of)? + first_part;
-        let share = self.policy.admitted_shares[usize::from(rank).min(PRIORITY_LEVELS - 1)];
-        let objective = (request.routed.route.objective_ms as f64 * share) as u64;
+            |phase: usize, begin: u64| self.end_of(&specs[phase].service, priority, begin, now);
+        let time_to_first_byte = self.time_to_first_byte_ms(&request.resolved_route.route.name);
+        let expected = request.phases.expected_end(end_of)? + time_to_first_byte;
+        let share = self.policy.admitted_shares[usize::from(priority).min(PRIORITY_LEVELS - 1)];
+        let objective = (request.resolved_route.route.objective_ms as f64 * share) as u64;
         if expected <= objective {
             return None;
         }
--- a/crates/serving/src/dispatcher/rests.rs
+++ b/crates/serving/src/dispatcher/backoff.rs
@@ -1,18 +1,18 @@
-//! Requests without an available engine, because all rest or this node lacks permits: they wait
-//! for the first engine that is available in time, or are rejected at once with the time of its
-//! return.
+//! Requests without an available engine, because all are in back-off or this node lacks permits:
+//! they wait for the first engine that is available in time, or are rejected at once with the time
+//! at which it is available.
 
 use super::request::ActiveRequest;
 use super::sending::send_hash;
 use super::{Action, Dispatcher, RequestNumber};
 use crate::instances::{Instance, InstanceId};
-use crate::selection::rank;
+use crate::selection::rendezvous_hash;
 use crate::Millis;
 use silversail_decisions::Event;
 use silversail_model::ResultCode;
 
-/// Maximum `Retry-After` in milliseconds: whether an engine returns from a longer rest is
-/// uncertain.
+/// Maximum `Retry-After` in milliseconds: whether an engine is available after a longer
+/// back-off is uncertain.
 const MAX_RETRY_AFTER: Millis = 3_600_000;
 
 /// The engine that is available first.
@@ -63,25 +63,26 @@
         if request.waits_until.replace(available_at).is_none() {
             self.log.record(Event::WaitsForRest {
                 request: request.call.id.clone(),
-                service: request.routed.service.clone(),
+                service: request.resolved_route.service.clone(),
                 for_ms: available_at.saturating_sub(now),
             });
         }
     }
 
-    /// Rejects a request that no engine will take in time, with the time of the first engine's
-    /// return.
+    /// Rejects a request that no engine will take in time, with the time at which the
+    /// first engine is available.
     pub(super) fn reject_until(
         &mut self,
         number: RequestNumber,
         available_at: Millis,
         now: Millis,
     ) -> Vec<Action> {
-        let back_in = available_at.saturating_sub(now);
-        let retry_after = (back_in <= MAX_RETRY_AFTER).then_some(back_in);
+        let available_in = available_at.saturating_sub(now);
+        let retry_after = (available_in <= MAX_RETRY_AFTER).then_some(available_in);
         let request = self.requests.get(&number);
-        let rests = |engine: &Instance| engine.is_resting(now) || engine.is_probe_pending(now);
-        let code = match request.is_some_and(|request| self.engines_of(request).any(rests)) {
+        let is_waiting =
+            |engine: &Instance| engine.is_in_backoff(now) || engine.is_probe_pending(now);
+        let code = match request.is_some_and(|request| self.engines_of(request).any(is_waiting)) {
             true => ResultCode::BackendsResting,
             false => ResultCode::BackendsLimited,
         };
@@ -100,8 +101,10 @@
     }
 
     pub(super) fn is_too_late(&self, request: &ActiveRequest, available_at: Millis) -> bool {
-        let first_part = self.admission.first_part_ms(&request.routed.route.name);
-        available_at.saturating_add(first_part) > request.end
+        let time_to_first_byte = self
+            .admission
+            .time_to_first_byte_ms(&request.resolved_route.route.name);
+        available_at.saturating_add(time_to_first_byte) > request.end
     }
 
     /// Engines that may get the request now or later.
@@ -109,12 +112,12 @@
         &'a self,
         request: &'a ActiveRequest,
     ) -> impl Iterator<Item = &'a Instance> {
-        let engines = self.instances.of_service(&request.routed.service);
+        let engines = self.instances.of_service(&request.resolved_route.service);
         engines.filter(|engine| engine.accepts_new_work() && request.allows(engine, &self.topology))
     }
 
     /// When the first matching engine becomes available; none if one is available now, or none
-    /// rests or is rate-limited.
+    /// is in back-off or rate-limited.
     fn available_at(
         &self,
         request: &ActiveRequest,
@@ -141,9 +144,9 @@
             .filter(|engine| is_considered(engine))
         {
             let at = engine.available_at(now)?;
-            let is_waiting = engine.is_resting(now) || engine.is_probe_pending(now);
+            let is_waiting = engine.is_in_backoff(now) || engine.is_probe_pending(now);
             waits_help |= is_waiting || engine.is_limited();
-            let order = (at, rank(hash, &engine.listed.id));
+            let order = (at, rendezvous_hash(hash, &engine.listed.id));
             if first.as_ref().is_none_or(|known| order < known.order) {
                 first = Some(FirstAvailable { at, order, engine });
             }
@@ -162,7 +165,8 @@
             .map(|engine| engine.listed.slots.max(1) as usize)
             .sum();
         let others = self.requests.values().filter(|other| {
-            other.waits_until.is_some() && other.routed.service == request.routed.service
+            other.waits_until.is_some()
+                && other.resolved_route.service == request.resolved_route.service
         });
         others.count() < places
     }
@@ -175,7 +179,7 @@
         };
         let due = self.requests.iter().filter(|(_, request)| is_due(request));
         let mut due: Vec<(u8, Millis, RequestNumber)> = due
-            .map(|(number, request)| (request.routed.priority, request.end, *number))
+            .map(|(number, request)| (request.resolved_route.priority, request.end, *number))
             .collect();
         due.sort_unstable();
         let numbers = due.into_iter().map(|(_, _, number)| number);
@@ -186,8 +190,8 @@
             .collect()
     }
 
-    /// Selects another engine after the selected one reported that it rests or shuts down.
-    /// Nothing was sent, so that no attempt is counted.
+    /// Selects another engine after the selected one requested a back-off or reported
+    /// that it is draining. Nothing was sent, so that no attempt is counted.
     pub(super) fn select_again(&mut self, number: RequestNumber, now: Millis) -> Vec<Action> {
         if let Some(request) = self.requests.get_mut(&number) {
             request.sends = request.sends.saturating_sub(1);
--- a/crates/serving/src/dispatcher/sending.rs
+++ b/crates/serving/src/dispatcher/sending.rs
@@ -31,7 +31,7 @@
         self.log_sent(request, instance, plan.distance, now);
         let role = instance.role();
         let tokens = request.tokens();
-        let route = &request.routed.route.name;
+        let route = &request.resolved_route.route.name;
         let counted = self.rollouts.record_send(&plan.service, route, role);
         self.instances.record_sent(&plan.instance, tokens, now);
         if let Some(request) = self.requests.get_mut(&number) {
@@ -98,11 +98,11 @@
 
     /// Selects the versions for one send; each retry counts against the canary share again.
     fn versions_for(&self, request: &ActiveRequest) -> VersionChoice {
-        let routed = &request.routed;
+        let resolved_route = &request.resolved_route;
         let hash = || send_hash(&request.call.id, request.sends);
         match self
             .rollouts
-            .choose(&routed.service, &routed.route.name, hash)
+            .choose(&resolved_route.service, &resolved_route.route.name, hash)
         {
             VersionChoice::Candidate if request.failed_at_candidate => VersionChoice::Baseline,
             choice => choice,
@@ -110,7 +110,7 @@
     }
 
     /// Whether the baseline may have been stopped: the rollout may have completed without this
-    /// node having heard of it.
+    /// node having been informed.
     fn may_be_stopped(&self, request: &ActiveRequest, now: Millis) -> bool {
         if self.rollouts.is_permitted() {
             return false;
@@ -120,7 +120,7 @@
             let is_allowed = request.allows(engine, &self.topology);
             is_baseline && is_allowed && engine.accepts_new_work() && !engine.is_suspect(now)
         };
-        let mut engines = self.instances.of_service(&request.routed.service);
+        let mut engines = self.instances.of_service(&request.resolved_route.service);
         request.unreached >= UNREACHED_UNTIL_STOPPED || !engines.any(is_ready)
     }
 
@@ -129,7 +129,7 @@
         let is_admitted = |engine: &Instance| {
             !request.failed_at_candidate || engine.role() != VersionRole::Candidate
         };
-        let mut engines = self.instances.of_service(&request.routed.service);
+        let mut engines = self.instances.of_service(&request.resolved_route.service);
         engines.any(|engine| {
             engine.accepts_new_work()
                 && is_admitted(engine)
@@ -157,12 +157,12 @@
         };
         let is_delivered = matches!(outcome, SendOutcome::Delivered { .. });
         request.failed_at_candidate |= counted.is_to_candidate() && !is_delivered;
-        let first_part_at = request.head_at.unwrap_or(now);
-        let Some(answer) = counted_answer(outcome, active_send.began_at, first_part_at, now) else {
+        let first_byte_at = request.head_at.unwrap_or(now);
+        let Some(answer) = counted_answer(outcome, active_send.began_at, first_byte_at, now) else {
             return;
         };
-        let service = &request.routed.service;
-        let route = &request.routed.route.name;
+        let service = &request.resolved_route.service;
+        let route = &request.resolved_route.route.name;
         self.rollouts.record_answer(service, route, counted, answer);
     }
 }
@@ -173,7 +173,7 @@
     topology: &Topology,
     now: Millis,
 ) -> SendPlan {
-    let route = &request.routed.route;
+    let route = &request.resolved_route.route;
     let listed = &instance.listed;
     SendPlan {
         instance: listed.id.clone(),
@@ -193,7 +193,7 @@
 fn counted_answer(
     outcome: SendOutcome,
     began_at: Millis,
-    first_part_at: Millis,
+    first_byte_at: Millis,
     now: Millis,
 ) -> Option<CountedAnswer> {
     match outcome {
@@ -202,8 +202,8 @@
             status,
             is_whole: true,
         } if status < 500 => Some(CountedAnswer::Good {
-            first_part_ms: first_part_at.saturating_sub(began_at),
-            whole_ms: now.saturating_sub(began_at),
+            time_to_first_byte_ms: first_byte_at.saturating_sub(began_at),
+            response_time_ms: now.saturating_sub(began_at),
         }),
         SendOutcome::Delivered { .. } | SendOutcome::Unknown(_) | SendOutcome::Failed { .. } => {
             Some(CountedAnswer::Bad)
--- a/crates/serving/src/waits.rs
+++ b/crates/serving/src/waits.rs
@@ -17,7 +17,7 @@
 /// Minimum gain in queue time, beyond network and transfer time, for which an order leaves its
 /// region, in milliseconds. Covers the age of the estimates.
 const OTHER_REGION_MARGIN: u64 = 60;
-/// Index of the random draw for the shard of another region; 0 and 1 are for the own region.
+/// Index of the random draw for the shard of another region; 0 and 1 are for the local region.
 const OTHER_REGION_DRAW: u64 = 2;
 
 /// An order for which a shard must be chosen.
@@ -28,9 +28,9 @@
     /// Total bytes to transfer from or to the preferred zone.
     pub moved_bytes: u64,
     /// Priority of its request; 0 is the most urgent.
-    pub rank: u8,
-    /// Random value that spreads orders over the candidate shards.
-    pub lot: u64,
+    pub priority: u8,
+    /// Seed of the random draw of candidate shards.
+    pub random_seed: u64,
 }
 
 /// Expected queue and execution time of an order of a service.
@@ -61,12 +61,12 @@
     }
 
     /// Records a reported estimate, unless a newer one is known.
-    pub fn update(&mut self, waits: ShardWaitEstimates, now: Millis) {
-        let reported_at = now.saturating_sub(waits.age_ms);
-        let known = self.estimates.get(&waits.shard);
+    pub fn update(&mut self, estimate: ShardWaitEstimates, now: Millis) {
+        let reported_at = now.saturating_sub(estimate.age_ms);
+        let known = self.estimates.get(&estimate.shard);
         if known.is_none_or(|(_, at)| *at <= reported_at) {
             self.estimates
-                .insert(waits.shard.clone(), (waits, reported_at));
+                .insert(estimate.shard.clone(), (estimate, reported_at));
         }
     }
 
@@ -74,9 +74,9 @@
     pub fn of_service(&self, service: &str, now: Millis) -> Vec<ShardWaitEstimates> {
         let known = self.current(service, now);
         known
-            .map(|(waits, age_ms)| ShardWaitEstimates {
+            .map(|(estimate, age_ms)| ShardWaitEstimates {
                 age_ms,
-                ..waits.clone()
+                ..estimate.clone()
             })
             .collect()
     }
@@ -88,43 +88,43 @@
     ) -> impl Iterator<Item = (&'a ShardWaitEstimates, Millis)> {
         let estimates = self.estimates.values();
         estimates
-            .filter(move |(waits, _)| waits.shard.service == service)
-            .map(move |(waits, at)| (waits, now.saturating_sub(*at)))
+            .filter(move |(estimate, _)| estimate.shard.service == service)
+            .map(move |(estimate, at)| (estimate, now.saturating_sub(*at)))
             .filter(|(_, age)| *age <= ESTIMATE_LIFETIME)
     }
 
     fn queue_ms(&self, shard: &Shard, now: Millis) -> Option<u32> {
-        let (waits, at) = self.estimates.get(shard)?;
+        let (estimate, at) = self.estimates.get(shard)?;
         let is_current = now.saturating_sub(*at) <= ESTIMATE_LIFETIME;
-        is_current.then_some(waits.queue_ms)
+        is_current.then_some(estimate.queue_ms)
     }
 
     /// Expected wait of an order that is submitted now: the mean over the shards that random
     /// placement would choose. None without valid estimates.
-    pub fn expected(&self, service: &str, rank: u8, now: Millis) -> Option<ExpectedWait> {
-        let known = self.current(service, now).map(|(waits, _)| waits);
-        let own_zone = self.topology.own_zone();
+    pub fn expected(&self, service: &str, priority: u8, now: Millis) -> Option<ExpectedWait> {
+        let known = self.current(service, now).map(|(estimate, _)| estimate);
+        let local_zone = self.topology.local_zone();
         let (near, far): (Vec<_>, Vec<_>) =
-            known.partition(|waits| self.is_near(&waits.shard, own_zone));
+            known.partition(|estimate| self.is_near(&estimate.shard, local_zone));
         if far.is_empty() {
-            return mean_wait(&near, rank, 0);
+            return mean_wait(&near, priority, 0);
         }
         let network_ms = self.topology.round_trip_ms(Distance::OtherRegion) as u64;
         if near.is_empty() {
-            return mean_wait(&far, rank, network_ms);
+            return mean_wait(&far, priority, network_ms);
         }
         let margin = self.leaving_region_ms(0);
-        let mut waits = Vec::new();
+        let mut expected_waits = Vec::new();
         for in_region in shorter_of_pairs(&near) {
             for elsewhere in &far {
                 let leaves = u64::from(elsewhere.queue_ms) + margin < u64::from(in_region.queue_ms);
-                waits.push(match leaves {
-                    true => wait_at(elsewhere, rank, network_ms),
-                    false => wait_at(in_region, rank, 0),
+                expected_waits.push(match leaves {
+                    true => wait_at(elsewhere, priority, network_ms),
+                    false => wait_at(in_region, priority, 0),
                 });
             }
         }
-        mean(&waits)
+        mean(&expected_waits)
     }
 
     /// Whether a shard is in the region of a zone, as far as the regions are known.
@@ -149,7 +149,7 @@
         now: Millis,
     ) -> Option<&'a Shard> {
         let preferred_zone = match order.zone {
-            "" => self.topology.own_zone(),
+            "" => self.topology.local_zone(),
             zone => zone,
         };
         let (near, far): (Vec<&Shard>, Vec<&Shard>) = shards
@@ -158,7 +158,7 @@
         let Some(in_region) = self.choose_in_region(&near, preferred_zone, order, now) else {
             return self.choose_in_region(&far, preferred_zone, order, now);
         };
-        let elsewhere = draw_shard(&far, order.lot, OTHER_REGION_DRAW);
+        let elsewhere = draw_shard(&far, order.random_seed, OTHER_REGION_DRAW);
         // An order with a preferred zone also loses that preference in another region.
         let zone_margin = match order.zone {
             "" => 0,
@@ -194,13 +194,13 @@
             .find(|shard| shard.contains_zone(preferred_zone))
             .copied();
         let (first, margin) = match (order.zone, near) {
-            ("", _) | (_, None) => (draw_shard(shards, order.lot, 0), 0),
+            ("", _) | (_, None) => (draw_shard(shards, order.random_seed, 0), 0),
             (_, near) => (near, OTHER_ZONE_MARGIN),
         };
         let first = first?;
         let others = shards.iter().copied().filter(|shard| *shard != first);
         let others: Vec<&Shard> = others.collect();
-        let Some(other) = draw_shard(&others, order.lot, 1) else {
+        let Some(other) = draw_shard(&others, order.random_seed, 1) else {
             return Some(first);
         };
         match (self.queue_ms(first, now), self.queue_ms(other, now)) {
@@ -230,39 +230,45 @@
 }
 
 /// The wait at a shard with `network_ms` added to the queue time.
-fn wait_at(waits: &ShardWaitEstimates, rank: u8, network_ms: u64) -> ExpectedWait {
+fn wait_at(estimate: &ShardWaitEstimates, priority: u8, network_ms: u64) -> ExpectedWait {
     ExpectedWait {
-        backlog_ms: backlog_ms_at(waits, rank) + network_ms,
-        call_ms: u64::from(waits.call_ms),
+        backlog_ms: backlog_ms_at(estimate, priority) + network_ms,
+        call_ms: u64::from(estimate.call_ms),
     }
 }
 
-fn mean_wait(known: &[&ShardWaitEstimates], rank: u8, network_ms: u64) -> Option<ExpectedWait> {
-    let waits: Vec<ExpectedWait> = known
+fn mean_wait(known: &[&ShardWaitEstimates], priority: u8, network_ms: u64) -> Option<ExpectedWait> {
+    let expected_waits: Vec<ExpectedWait> = known
         .iter()
-        .map(|estimate| wait_at(estimate, rank, network_ms))
+        .map(|estimate| wait_at(estimate, priority, network_ms))
         .collect();
-    mean(&waits)
+    mean(&expected_waits)
 }
 
-fn mean(waits: &[ExpectedWait]) -> Option<ExpectedWait> {
-    let count = waits.len() as u64;
-    let backlog_ms = waits.iter().map(|wait| wait.backlog_ms).sum::<u64>();
-    let call_ms = waits.iter().map(|wait| wait.call_ms).sum::<u64>();
+fn mean(expected_waits: &[ExpectedWait]) -> Option<ExpectedWait> {
+    let count = expected_waits.len() as u64;
+    let backlog_ms = expected_waits
+        .iter()
+        .map(|expected| expected.backlog_ms)
+        .sum::<u64>();
+    let call_ms = expected_waits
+        .iter()
+        .map(|expected| expected.call_ms)
+        .sum::<u64>();
     (count > 0).then(|| ExpectedWait {
         backlog_ms: backlog_ms / count,
         call_ms: call_ms / count,
     })
 }
 
-fn backlog_ms_at(waits: &ShardWaitEstimates, rank: u8) -> u64 {
-    u64::from(waits.backlog_ms[usize::from(rank).min(PRIORITY_LEVELS - 1)])
+fn backlog_ms_at(estimate: &ShardWaitEstimates, priority: u8) -> u64 {
+    u64::from(estimate.backlog_ms[usize::from(priority).min(PRIORITY_LEVELS - 1)])
 }
 
 /// The shard that draw number `draw` of a random value selects; none if `shards` is empty.
-fn draw_shard<'a>(shards: &[&'a Shard], lot: u64, draw: u64) -> Option<&'a Shard> {
+fn draw_shard<'a>(shards: &[&'a Shard], random_seed: u64, draw: u64) -> Option<&'a Shard> {
     let mut hasher = DefaultHasher::new();
-    (lot, draw).hash(&mut hasher);
+    (random_seed, draw).hash(&mut hasher);
     let position = hasher.finish().checked_rem(shards.len() as u64)?;
     shards.get(position as usize).copied()
 }
--- a/crates/serving/tests/selection.rs
+++ b/crates/serving/tests/selection.rs
@@ -6,7 +6,7 @@
 use silversail_decisions::DecisionLog;
 use silversail_serving::cold::ColdBackendPolicy;
 use silversail_serving::instances::InstanceTable;
-use silversail_serving::ports::{Pace, PrefixPart, ReportedLoad};
+use silversail_serving::ports::{PrefixPart, RelativeProcessingTime, ReportedLoad};
 use silversail_serving::regions::{RegionAffinity, SharedPrefixCost};
 use silversail_serving::rollouts::VersionChoice;
 use silversail_serving::selection::{affinity_key, select, SelectionRequest};
@@ -30,7 +30,7 @@
         inputs: &[],
         tried: &[],
         cold_use: ColdBackendPolicy::Limited,
-        lot: 0,
+        random_seed: 0,
     }
 }
 
@@ -67,7 +67,7 @@
         running: 64,
         waiting: 20,
         slots: 64,
-        pace: Pace::NORMAL,
+        processing_time: RelativeProcessingTime::NORMAL,
     };
     table.record_load(&preferred, busy, 100);
     assert_ne!(
@@ -112,7 +112,10 @@
     listed[0].address = "e1:80".into();
     assert!(table.replace_list(&listed));
     assert!(table.get("e1").is_none());
-    assert_eq!(table.at_address("e1:80").map(|one| one.in_flight), Some(0));
+    assert_eq!(
+        table.at_address("e1:80").map(|instance| instance.in_flight),
+        Some(0)
+    );
     // The end of a request to the former process changes nothing.
     table.record_ended("e1", 10);
 }
@@ -149,7 +152,7 @@
     assert!(table.get("e4").expect("listed").accepts_new_work());
 }
 
-/// A reported pace is valid only for a short time.
+/// A reported processing time is valid only for a short time.
 #[test]
 fn a_back_end_with_a_current_slow_pace_gets_no_requests_while_others_are_faster() {
     let mut table = table();
@@ -157,21 +160,21 @@
         running: 0,
         waiting: 0,
         slots: 64,
-        pace: Pace(160),
+        processing_time: RelativeProcessingTime(160),
     };
     table.record_load("e1", slow, 1_000);
-    for lot in 0..50 {
+    for random_seed in 0..50 {
         let request = SelectionRequest {
-            lot,
+            random_seed,
             ..request(None)
         };
         let chosen = select(&table, &request, 1_100).expect("one");
         assert_ne!(chosen.listed.id, "e1");
     }
-    let lots = 0..50;
-    let later = lots.map(|lot| {
+    let random_seeds = 0..50;
+    let later = random_seeds.map(|random_seed| {
         let request = SelectionRequest {
-            lot,
+            random_seed,
             ..request(None)
         };
         let chosen = select(&table, &request, 1_400).expect("one");
